--- a/scale/src/balancer.rs
+++ b/scale/src/balancer.rs
@@ -44,9 +44,15 @@
         let command = file.run.strip_prefix("exec ").unwrap_or(&file.run);
         let program = root.join(command.split_whitespace().next().unwrap_or_default());
         if !program.is_file() {
-            return Err(ScaleError::MissingBuild { program, build: file.build });
+            return Err(ScaleError::MissingBuild {
+                program,
+                build: file.build,
+            });
         }
-        Ok(Deployment { root: root.to_path_buf(), run: file.run })
+        Ok(Deployment {
+            root: root.to_path_buf(),
+            run: file.run,
+        })
     }
 }
 
@@ -71,9 +77,12 @@
     ) -> Result<PathBuf, ScaleError> {
         let directory = self.path.join(&configuration.name);
         let file = directory.join("config.json");
-        let written =
-            fs::create_dir_all(&directory).and_then(|()| fs::write(&file, configuration.to_json(listen)));
-        written.map_err(|source| ScaleError::Unwritable { path: file.clone(), source })?;
+        let written = fs::create_dir_all(&directory)
+            .and_then(|()| fs::write(&file, configuration.to_json(listen)));
+        written.map_err(|source| ScaleError::Unwritable {
+            path: file.clone(),
+            source,
+        })?;
         Ok(file)
     }
 }
--- a/scale/src/balancer/configuration.rs
+++ b/scale/src/balancer/configuration.rs
@@ -113,7 +113,11 @@
             listen,
             discovery: self.discovery,
             seed: format!("{:016x}", self.seed),
-            limits: Limits { cores: 1.0, memory_mb: MEMORY_MB, sockets: SOCKETS },
+            limits: Limits {
+                cores: 1.0,
+                memory_mb: MEMORY_MB,
+                sockets: SOCKETS,
+            },
             settings: self.settings(),
         };
         // Strings, numbers and structs of these always have a form in JSON.
@@ -128,8 +132,15 @@
             membership_mode: self.membership,
             dcs: [ZONE],
             kinds: [MACHINE_KIND],
-            classes: [self.class(CallKind::Read, "free"), self.class(CallKind::Order, "single_shot")],
-            tenants: [Tenant { name: TENANT, share: 1.0, quota_per_s: self.quota_per_second }],
+            classes: [
+                self.class(CallKind::Read, "free"),
+                self.class(CallKind::Order, "single_shot"),
+            ],
+            tenants: [Tenant {
+                name: TENANT,
+                share: 1.0,
+                quota_per_s: self.quota_per_second,
+            }],
             permissions: Permissions {
                 attempts_cap: self.attempts_cap,
                 cancel: true,
@@ -149,6 +160,12 @@
 
     fn class(&self, kind: CallKind, effect: &'static str) -> Class {
         let objective = OBJECTIVE_MS.min(self.deadline_ms);
-        Class { name: kind.class(), objective, deadline: self.deadline_ms, effect, late_worth: 0.5 }
+        Class {
+            name: kind.class(),
+            objective,
+            deadline: self.deadline_ms,
+            effect,
+            late_worth: 0.5,
+        }
     }
 }
--- a/scale/src/cli.rs
+++ b/scale/src/cli.rs
@@ -48,8 +48,15 @@
 /// Carries out what the command line asks for.
 pub fn execute(arguments: Arguments) -> Result<(), ScaleError> {
     match arguments.command {
-        Command::Run { experiment, out, root } => run_experiment(&experiment, out.as_deref(), &root),
-        Command::Hollow { configuration, balancers } => hollow::serve(&configuration, balancers),
+        Command::Run {
+            experiment,
+            out,
+            root,
+        } => run_experiment(&experiment, out.as_deref(), &root),
+        Command::Hollow {
+            configuration,
+            balancers,
+        } => hollow::serve(&configuration, balancers),
     }
 }
 
@@ -57,12 +64,17 @@
     let experiment = Experiment::read(path)?;
     let deployment = Deployment::read(root)?;
     if let Some(directory) = out {
-        let unwritable = |source| ScaleError::Unwritable { path: directory.to_path_buf(), source };
+        let unwritable = |source| ScaleError::Unwritable {
+            path: directory.to_path_buf(),
+            source,
+        };
         fs::create_dir_all(directory).map_err(unwritable)?;
     }
     log_to_standard_error();
-    let runtime =
-        tokio::runtime::Builder::new_multi_thread().worker_threads(STAND_IN_THREADS).enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(STAND_IN_THREADS)
+        .enable_all()
+        .build()?;
     let report = runtime.block_on(run::run(experiment, deployment))?;
     publish(&report, out)
 }
@@ -73,7 +85,10 @@
         None => println!("{json}"),
         Some(directory) => {
             let path = directory.join(format!("{}.json", report.experiment.name));
-            let unwritable = |source| ScaleError::Unwritable { path: path.clone(), source };
+            let unwritable = |source| ScaleError::Unwritable {
+                path: path.clone(),
+                source,
+            };
             fs::write(&path, json + "\n").map_err(unwritable)?;
             println!("{}", path.display());
         }
@@ -83,7 +98,10 @@
 }
 
 fn log_to_standard_error() {
-    let subscriber = tracing_subscriber::fmt().json().with_writer(std::io::stderr).finish();
+    let subscriber = tracing_subscriber::fmt()
+        .json()
+        .with_writer(std::io::stderr)
+        .finish();
     // Only a second logger in the same process is refused, and then the first one goes on.
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
--- a/scale/src/client.rs
+++ b/scale/src/client.rs
@@ -37,7 +37,9 @@
 
     /// The kind of a class with this name.
     pub fn of_class(name: &str) -> Option<CallKind> {
-        [CallKind::Read, CallKind::Order].into_iter().find(|kind| kind.class() == name)
+        [CallKind::Read, CallKind::Order]
+            .into_iter()
+            .find(|kind| kind.class() == name)
     }
 
     fn method(self) -> Method {
@@ -111,7 +113,11 @@
 impl Pool {
     /// No connections yet; `seed` sets this pool's request ids apart from those of others.
     pub fn new(address: SocketAddr, seed: u64) -> Pool {
-        Pool { address, idle: Mutex::default(), next_id: AtomicU64::new(seed << 40) }
+        Pool {
+            address,
+            idle: Mutex::default(),
+            next_id: AtomicU64::new(seed << 40),
+        }
     }
 
     /// Sends a call and waits for its whole answer, for its deadline at most.
@@ -124,7 +130,9 @@
     pub async fn status(&self, path: &str) -> Result<StatusCode, CallError> {
         let request = Request::get(path).header(header::HOST, self.address.to_string());
         let mut connection = self.connect().await?;
-        let answer = connection.send_request(request.body(Full::default())?).await?;
+        let answer = connection
+            .send_request(request.body(Full::default())?)
+            .await?;
         Ok(answer.status())
     }
 
@@ -136,7 +144,11 @@
                     continue;
                 }
                 match connection.try_send_request(request).await {
-                    Ok(answer) => return self.finish(connection, answer, ConnectionUse::Idle, true).await,
+                    Ok(answer) => {
+                        return self
+                            .finish(connection, answer, ConnectionUse::Idle, true)
+                            .await
+                    }
                     Err(mut error) => match error.take_message() {
                         // The other side closed the connection before it read anything of the request.
                         Some(unsent) => request = unsent,
@@ -147,7 +159,13 @@
         }
         let mut connection = self.connect().await?;
         let answer = connection.send_request(request).await?;
-        self.finish(connection, answer, ConnectionUse::New, call.connection == ConnectionUse::Idle).await
+        self.finish(
+            connection,
+            answer,
+            ConnectionUse::New,
+            call.connection == ConnectionUse::Idle,
+        )
+        .await
     }
 
     async fn finish(
@@ -160,13 +178,23 @@
         let status = answer.status();
         let body = answer.into_body().collect().await?.to_bytes();
         if keep {
-            self.idle.lock().unwrap_or_else(PoisonError::into_inner).push(connection);
+            self.idle
+                .lock()
+                .unwrap_or_else(PoisonError::into_inner)
+                .push(connection);
         }
-        Ok(CallAnswer { status, body, connection: used })
+        Ok(CallAnswer {
+            status,
+            body,
+            connection: used,
+        })
     }
 
     fn take_idle(&self) -> Option<Connection> {
-        self.idle.lock().unwrap_or_else(PoisonError::into_inner).pop()
+        self.idle
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .pop()
     }
 
     async fn connect(&self) -> Result<Connection, CallError> {
@@ -179,7 +207,10 @@
     }
 
     fn request(&self, call: &Call) -> Result<Request<Full<Bytes>>, CallError> {
-        let id = self.next_id.fetch_add(1, Ordering::Relaxed).wrapping_mul(ID_STEP);
+        let id = self
+            .next_id
+            .fetch_add(1, Ordering::Relaxed)
+            .wrapping_mul(ID_STEP);
         let mut request = Request::builder()
             .method(call.kind.method())
             .uri(PATH)
--- a/scale/src/discovery.rs
+++ b/scale/src/discovery.rs
@@ -75,7 +75,10 @@
 
 impl Watch {
     fn read(query: &str) -> Option<Watch> {
-        let mut watch = Watch { since: None, wait: Duration::ZERO };
+        let mut watch = Watch {
+            since: None,
+            wait: Duration::ZERO,
+        };
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
             match pair.split_once('=')? {
                 ("since", version) => watch.since = Some(version.parse().ok()?),
@@ -88,7 +91,11 @@
     }
 }
 
-async fn respond(registry: &Registry, acknowledged: &AtomicU64, request: Request<Incoming>) -> Answer {
+async fn respond(
+    registry: &Registry,
+    acknowledged: &AtomicU64,
+    request: Request<Incoming>,
+) -> Answer {
     if request.uri().path() != PATH {
         return answer(StatusCode::NOT_FOUND, "");
     }
--- a/scale/src/discovery/registry.rs
+++ b/scale/src/discovery/registry.rs
@@ -130,7 +130,10 @@
             state.history.pop_front();
         }
         state.answers.clear();
-        state.changes.push(PublishedChange { published: Instant::now(), acknowledged: Vec::new() });
+        state.changes.push(PublishedChange {
+            published: Instant::now(),
+            acknowledged: Vec::new(),
+        });
         self.version.send_replace(version);
     }
 
@@ -189,7 +192,10 @@
 
 impl State {
     fn knows(&self, since: u64) -> bool {
-        let oldest = self.history.front().map_or(self.version, |(version, _)| version - 1);
+        let oldest = self
+            .history
+            .front()
+            .map_or(self.version, |(version, _)| version - 1);
         (oldest..=self.version).contains(&since)
     }
 
@@ -204,10 +210,18 @@
 
     fn listing(&self, since: Option<u64>) -> Bytes {
         let servers = match since {
-            None => self.endpoints.iter().filter(|e| e.state != EndpointState::Left).collect(),
+            None => self
+                .endpoints
+                .iter()
+                .filter(|e| e.state != EndpointState::Left)
+                .collect(),
             Some(since) => self.changed_since(since),
         };
-        let listing = Listing { version: self.version, full: since.is_none(), servers };
+        let listing = Listing {
+            version: self.version,
+            full: since.is_none(),
+            servers,
+        };
         // Strings and numbers always have a form in JSON.
         Bytes::from(serde_json::to_vec(&listing).unwrap_or_default())
     }
@@ -218,10 +232,15 @@
         let mut positions: Vec<usize> = newer.map(|(_, position)| *position).collect();
         positions.sort_unstable();
         positions.dedup();
-        positions.into_iter().map(|position| &self.endpoints[position]).collect()
+        positions
+            .into_iter()
+            .map(|position| &self.endpoints[position])
+            .collect()
     }
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_millis() as u64)
 }
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -40,12 +40,19 @@
 
 /// Runs hollow balancers in this process until it is ended from outside.
 pub fn serve(configuration: &Path, balancers: u32) -> Result<(), ScaleError> {
-    let unreadable = |source| ScaleError::Unreadable { path: configuration.to_path_buf(), source };
+    let unreadable = |source| ScaleError::Unreadable {
+        path: configuration.to_path_buf(),
+        source,
+    };
     let json = fs::read(configuration).map_err(unreadable)?;
     let config = Config::parse(&json).map_err(ScaleError::Configuration)?;
-    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let runtime = tokio::runtime::Builder::new_current_thread()
+        .enable_all()
+        .build()?;
     LocalSet::new().block_on(&runtime, async {
-        let running = (0..balancers).map(|number| start(&config, number)).collect::<Result<Vec<_>, _>>();
+        let running = (0..balancers)
+            .map(|number| start(&config, number))
+            .collect::<Result<Vec<_>, _>>();
         let _running = running.map_err(ScaleError::Configuration)?;
         std::future::pending().await
     })
--- a/scale/src/load.rs
+++ b/scale/src/load.rs
@@ -103,7 +103,9 @@
     stopped: &AtomicBool,
 ) {
     let mut random = StdRng::seed_from_u64(plan.seed);
-    let Ok(gaps) = Exp::new(plan.calls_per_second) else { return };
+    let Ok(gaps) = Exp::new(plan.calls_per_second) else {
+        return;
+    };
     let start = clock.now();
     let mut planned = Duration::ZERO;
     for pool in pools.iter().cycle() {
@@ -137,21 +139,48 @@
 
 impl LoadPlan {
     fn draw(&self, random: &mut StdRng) -> Call {
-        let kind = if random.random_bool(self.read_share) { CallKind::Read } else { CallKind::Order };
+        let kind = if random.random_bool(self.read_share) {
+            CallKind::Read
+        } else {
+            CallKind::Order
+        };
         let new = random.random_bool(self.new_connection_share);
-        let connection = if new { ConnectionUse::New } else { ConnectionUse::Idle };
-        let body = if kind == CallKind::Order { self.body.clone() } else { Bytes::new() };
-        Call { kind, connection, deadline: self.deadline, body }
+        let connection = if new {
+            ConnectionUse::New
+        } else {
+            ConnectionUse::Idle
+        };
+        let body = if kind == CallKind::Order {
+            self.body.clone()
+        } else {
+            Bytes::new()
+        };
+        Call {
+            kind,
+            connection,
+            deadline: self.deadline,
+            body,
+        }
     }
 }
 
-async fn carry_out(call: Call, pool: &Pool, clock: Clock, start: Duration, planned: Duration) -> CallRecord {
+async fn carry_out(
+    call: Call,
+    pool: &Pool,
+    clock: Clock,
+    start: Duration,
+    planned: Duration,
+) -> CallRecord {
     let due = start + planned;
     let sent = clock.now();
     let answer = pool.call(&call).await;
     let ended = clock.now();
     let (outcome, connection, stamp) = match &answer {
-        Ok(answer) => (outcome(answer.status), answer.connection, Stamp::read(&answer.body)),
+        Ok(answer) => (
+            outcome(answer.status),
+            answer.connection,
+            Stamp::read(&answer.body),
+        ),
         Err(_) => (CallOutcome::Unanswered, call.connection, None),
     };
     CallRecord {
--- a/scale/src/machine.rs
+++ b/scale/src/machine.rs
@@ -23,7 +23,10 @@
     /// This machine.
     pub fn current() -> Result<Machine, ScaleError> {
         let processors = std::thread::available_parallelism()?.get();
-        Ok(Machine { processors, memory_mb: total_memory_mb()? })
+        Ok(Machine {
+            processors,
+            memory_mb: total_memory_mb()?,
+        })
     }
 }
 
@@ -49,7 +52,10 @@
             }
         }
         let resident_kb = process.status().map_err(failed)?.vmrss.unwrap_or(0);
-        Ok(Usage { processor, resident_mb: resident_kb as f64 / KB })
+        Ok(Usage {
+            processor,
+            resident_mb: resident_kb as f64 / KB,
+        })
     }
 }
 
--- a/scale/src/process.rs
+++ b/scale/src/process.rs
@@ -24,12 +24,22 @@
 impl ChildProcess {
     /// Starts a command; its log is read and its last line kept.
     pub fn start(name: &str, command: &mut Command) -> Result<ChildProcess, ScaleError> {
-        let not_started = |source| ScaleError::NotStarted { name: name.to_string(), source };
-        command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(Stdio::piped());
+        let not_started = |source| ScaleError::NotStarted {
+            name: name.to_string(),
+            source,
+        };
+        command
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(Stdio::piped());
         let mut child = command.spawn().map_err(not_started)?;
         let last_log_line = follow_log(name, &mut child);
         tracing::info!(process = name, pid = child.id(), "process started");
-        Ok(ChildProcess { name: name.to_string(), child, last_log_line })
+        Ok(ChildProcess {
+            name: name.to_string(),
+            child,
+            last_log_line,
+        })
     }
 
     /// Its name.
@@ -44,7 +54,11 @@
             Some(status) => Err(ScaleError::Ended {
                 name: self.name.clone(),
                 status: status.to_string(),
-                log: self.last_log_line.lock().unwrap_or_else(PoisonError::into_inner).clone(),
+                log: self
+                    .last_log_line
+                    .lock()
+                    .unwrap_or_else(PoisonError::into_inner)
+                    .clone(),
             }),
         }
     }
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -149,23 +149,62 @@
         let calls = load.outcomes.calls.max(1) as f64;
         let percent = |count: u64| 100.0 * count as f64 / calls;
         let mut figures = vec![
-            Figure { name: "calls", value: load.outcomes.calls as f64 },
-            Figure { name: "served_percent", value: percent(load.outcomes.served) },
-            Figure { name: "rejected_percent", value: percent(load.outcomes.rejected) },
-            Figure { name: "latency_p50_us", value: load.latency.p50_us },
-            Figure { name: "latency_p99_us", value: load.latency.p99_us },
-            Figure { name: "send_lateness_p99_us", value: load.send_lateness.p99_us },
-            Figure { name: "processor_us_per_call", value: self.processor_us_per_call },
-            Figure { name: "resident_mb", value: self.resident_mb },
+            Figure {
+                name: "calls",
+                value: load.outcomes.calls as f64,
+            },
+            Figure {
+                name: "served_percent",
+                value: percent(load.outcomes.served),
+            },
+            Figure {
+                name: "rejected_percent",
+                value: percent(load.outcomes.rejected),
+            },
+            Figure {
+                name: "latency_p50_us",
+                value: load.latency.p50_us,
+            },
+            Figure {
+                name: "latency_p99_us",
+                value: load.latency.p99_us,
+            },
+            Figure {
+                name: "send_lateness_p99_us",
+                value: load.send_lateness.p99_us,
+            },
+            Figure {
+                name: "processor_us_per_call",
+                value: self.processor_us_per_call,
+            },
+            Figure {
+                name: "resident_mb",
+                value: self.resident_mb,
+            },
         ];
         if let Some(last) = self.attempts_per_call.last() {
-            figures.push(Figure { name: "attempts_at_bottom_per_call", value: *last });
+            figures.push(Figure {
+                name: "attempts_at_bottom_per_call",
+                value: *last,
+            });
         }
         if let Some(straight) = &self.straight {
-            figures.extend(added(ADDED, &load.outside_service, &straight.outside_service));
-            for (group, names) in [(READ_ON_IDLE, ADDED_TO_READS), (ORDER_ON_IDLE, ADDED_TO_ORDERS)] {
-                if let (Some(through), Some(straight)) = (load.group(group), straight.group(group)) {
-                    figures.extend(added(names, &through.outside_service, &straight.outside_service));
+            figures.extend(added(
+                ADDED,
+                &load.outside_service,
+                &straight.outside_service,
+            ));
+            for (group, names) in [
+                (READ_ON_IDLE, ADDED_TO_READS),
+                (ORDER_ON_IDLE, ADDED_TO_ORDERS),
+            ] {
+                if let (Some(through), Some(straight)) = (load.group(group), straight.group(group))
+                {
+                    figures.extend(added(
+                        names,
+                        &through.outside_service,
+                        &straight.outside_service,
+                    ));
                 }
             }
         }
@@ -180,15 +219,24 @@
 const ORDER_ON_IDLE: Group = (CallKind::Order, false);
 /// Names of the figures of added time: median, 99 in 100 and 999 in 1000.
 const ADDED: [&str; 3] = ["added_p50_us", "added_p99_us", "added_p999_us"];
-const ADDED_TO_READS: [&str; 3] =
-    ["added_get_idle_p50_us", "added_get_idle_p99_us", "added_get_idle_p999_us"];
-const ADDED_TO_ORDERS: [&str; 3] =
-    ["added_post_idle_p50_us", "added_post_idle_p99_us", "added_post_idle_p999_us"];
+const ADDED_TO_READS: [&str; 3] = [
+    "added_get_idle_p50_us",
+    "added_get_idle_p99_us",
+    "added_get_idle_p999_us",
+];
+const ADDED_TO_ORDERS: [&str; 3] = [
+    "added_post_idle_p50_us",
+    "added_post_idle_p99_us",
+    "added_post_idle_p999_us",
+];
 
 impl LoadFigures {
     /// The times of a group, if any of its calls were served.
     fn group(&self, (kind, new_connection): Group) -> Option<&GroupTimes> {
-        let mut groups = self.groups.iter().filter(|group| group.outside_service.count > 0);
+        let mut groups = self
+            .groups
+            .iter()
+            .filter(|group| group.outside_service.count > 0);
         groups.find(|group| group.class == kind.class() && group.new_connection == new_connection)
     }
 }
@@ -197,9 +245,18 @@
 fn added(names: [&'static str; 3], through: &Percentiles, straight: &Percentiles) -> [Figure; 3] {
     let [p50, p99, p999] = names;
     [
-        Figure { name: p50, value: through.p50_us - straight.p50_us },
-        Figure { name: p99, value: through.p99_us - straight.p99_us },
-        Figure { name: p999, value: through.p999_us - straight.p999_us },
+        Figure {
+            name: p50,
+            value: through.p50_us - straight.p50_us,
+        },
+        Figure {
+            name: p99,
+            value: through.p99_us - straight.p99_us,
+        },
+        Figure {
+            name: p999,
+            value: through.p999_us - straight.p999_us,
+        },
     ]
 }
 
@@ -256,29 +313,63 @@
     fn exchange_figures(&self) -> [Figure; 6] {
         let not_in_force = (self.changes - self.changes_in_force_at_all) as f64;
         [
-            Figure { name: "all_watch_after_seconds", value: self.all_watch_after_seconds },
-            Figure { name: "start_bytes_per_balancer", value: self.start_bytes_per_balancer },
-            Figure { name: "bytes_per_second", value: self.bytes_per_second },
-            Figure { name: "messages_per_second", value: self.messages_per_second },
-            Figure { name: "changes", value: self.changes as f64 },
-            Figure { name: "changes_not_in_force_at_all", value: not_in_force },
+            Figure {
+                name: "all_watch_after_seconds",
+                value: self.all_watch_after_seconds,
+            },
+            Figure {
+                name: "start_bytes_per_balancer",
+                value: self.start_bytes_per_balancer,
+            },
+            Figure {
+                name: "bytes_per_second",
+                value: self.bytes_per_second,
+            },
+            Figure {
+                name: "messages_per_second",
+                value: self.messages_per_second,
+            },
+            Figure {
+                name: "changes",
+                value: self.changes as f64,
+            },
+            Figure {
+                name: "changes_not_in_force_at_all",
+                value: not_in_force,
+            },
         ]
     }
 
     fn in_force_figures(&self) -> [Figure; 4] {
         let (widely, all) = (&self.in_force_at_99_percent, &self.in_force_at_all);
         [
-            Figure { name: "in_force_at_99_percent_p50_us", value: widely.p50_us },
-            Figure { name: "in_force_at_99_percent_max_us", value: widely.max_us },
-            Figure { name: "in_force_at_all_p50_us", value: all.p50_us },
-            Figure { name: "in_force_at_all_max_us", value: all.max_us },
+            Figure {
+                name: "in_force_at_99_percent_p50_us",
+                value: widely.p50_us,
+            },
+            Figure {
+                name: "in_force_at_99_percent_max_us",
+                value: widely.max_us,
+            },
+            Figure {
+                name: "in_force_at_all_p50_us",
+                value: all.p50_us,
+            },
+            Figure {
+                name: "in_force_at_all_max_us",
+                value: all.max_us,
+            },
         ]
     }
 }
 
 /// Names of the figures of [`BalancerUse`], for real and for hollow balancers.
 const USE: [&str; 3] = ["processor_percent", "start_processor_ms", "resident_mb"];
-const HOLLOW_USE: [&str; 3] = ["hollow_processor_percent", "hollow_start_processor_ms", "hollow_resident_mb"];
+const HOLLOW_USE: [&str; 3] = [
+    "hollow_processor_percent",
+    "hollow_start_processor_ms",
+    "hollow_resident_mb",
+];
 
 /// The means over these balancers; none where there are none.
 fn use_figures(names: [&'static str; 3], balancers: &[BalancerUse]) -> Vec<Figure> {
@@ -287,9 +378,18 @@
     }
     let [processor, start, resident] = names;
     vec![
-        Figure { name: processor, value: mean(balancers, |b| b.processor_percent) },
-        Figure { name: start, value: mean(balancers, |b| b.start_processor_ms) },
-        Figure { name: resident, value: mean(balancers, |b| b.resident_mb) },
+        Figure {
+            name: processor,
+            value: mean(balancers, |b| b.processor_percent),
+        },
+        Figure {
+            name: start,
+            value: mean(balancers, |b| b.start_processor_ms),
+        },
+        Figure {
+            name: resident,
+            value: mean(balancers, |b| b.resident_mb),
+        },
     ]
 }
 
@@ -301,7 +401,11 @@
     /// A point of calls with its spread.
     pub fn of_calls(size: S, repeats: Vec<CallsFigures>) -> Self {
         let figures: Vec<_> = repeats.iter().map(CallsFigures::figures).collect();
-        Point { size, spread: spreads(&figures), repeats }
+        Point {
+            size,
+            spread: spreads(&figures),
+            repeats,
+        }
     }
 }
 
@@ -309,6 +413,10 @@
     /// A point of control with its spread.
     pub fn of_control(size: S, repeats: Vec<ControlFigures>) -> Self {
         let figures: Vec<_> = repeats.iter().map(ControlFigures::figures).collect();
-        Point { size, spread: spreads(&figures), repeats }
+        Point {
+            size,
+            spread: spreads(&figures),
+            repeats,
+        }
     }
 }
--- a/scale/src/report/growth.rs
+++ b/scale/src/report/growth.rs
@@ -56,7 +56,10 @@
     let samples: Vec<Sample> = points.iter().flat_map(|point| samples(point)).collect();
     let line = Line::fit(&samples)?;
     let carried = |slope: f64| (line.start + slope * f64::from(DEEPEST - 1)).exp();
-    let ends = [line.slope - NORMAL_95 * line.slope_error, line.slope + NORMAL_95 * line.slope_error];
+    let ends = [
+        line.slope - NORMAL_95 * line.slope_error,
+        line.slope + NORMAL_95 * line.slope_error,
+    ];
     Some(Growth {
         leaf_failing_percent,
         calls_per_second,
@@ -75,8 +78,14 @@
 
 fn samples(point: &Point<CallsSize, CallsFigures>) -> impl Iterator<Item = Sample> + '_ {
     let hops = f64::from(point.size.depth.saturating_sub(1));
-    let attempts = point.repeats.iter().filter_map(|repeat| repeat.attempts_per_call.last());
-    attempts.filter(|a| **a > 0.0).map(move |attempts| Sample { hops, log_attempts: attempts.ln() })
+    let attempts = point
+        .repeats
+        .iter()
+        .filter_map(|repeat| repeat.attempts_per_call.last());
+    attempts.filter(|a| **a > 0.0).map(move |attempts| Sample {
+        hops,
+        log_attempts: attempts.ln(),
+    })
 }
 
 struct Line {
@@ -91,16 +100,26 @@
         let count = samples.len() as f64;
         let mean_hops = samples.iter().map(|s| s.hops).sum::<f64>() / count;
         let mean_log = samples.iter().map(|s| s.log_attempts).sum::<f64>() / count;
-        let spread = samples.iter().map(|s| (s.hops - mean_hops).powi(2)).sum::<f64>();
+        let spread = samples
+            .iter()
+            .map(|s| (s.hops - mean_hops).powi(2))
+            .sum::<f64>();
         if spread <= 0.0 || samples.len() < MIN_DEPTHS {
             return None;
         }
-        let common = samples.iter().map(|s| (s.hops - mean_hops) * (s.log_attempts - mean_log)).sum::<f64>();
+        let common = samples
+            .iter()
+            .map(|s| (s.hops - mean_hops) * (s.log_attempts - mean_log))
+            .sum::<f64>();
         let slope = common / spread;
         let start = mean_log - slope * mean_hops;
         let residual = |s: &Sample| (s.log_attempts - start - slope * s.hops).powi(2);
         let variance = samples.iter().map(residual).sum::<f64>() / (count - 2.0);
-        Some(Line { start, slope, slope_error: (variance / spread).sqrt() })
+        Some(Line {
+            start,
+            slope,
+            slope_error: (variance / spread).sqrt(),
+        })
     }
 }
 
--- a/scale/src/report/table.rs
+++ b/scale/src/report/table.rs
@@ -11,40 +11,81 @@
     pub fn table(&self) -> String {
         let mut rows: Vec<Row> = vec![HEADINGS.map(String::from)];
         for point in &self.calls {
-            rows.extend(point.spread.iter().map(|spread| row(calls_label(&point.size), spread)));
+            rows.extend(
+                point
+                    .spread
+                    .iter()
+                    .map(|spread| row(calls_label(&point.size), spread)),
+            );
         }
         for growth in &self.growth {
             rows.extend(growth_rows(growth));
         }
         for point in &self.control {
-            rows.extend(point.spread.iter().map(|spread| row(control_label(&point.size), spread)));
+            rows.extend(
+                point
+                    .spread
+                    .iter()
+                    .map(|spread| row(control_label(&point.size), spread)),
+            );
         }
         aligned(&rows)
     }
 }
 
 fn calls_label(size: &CallsSize) -> String {
-    format!("{} calls/s, depth {}, {}% failing", size.calls_per_second, size.depth, size.leaf_failing_percent)
+    format!(
+        "{} calls/s, depth {}, {}% failing",
+        size.calls_per_second, size.depth, size.leaf_failing_percent
+    )
 }
 
 /// The fitted law, with the ends of its 95% interval in place of a spread over repeats.
 fn growth_rows(growth: &Growth) -> [Row; 2] {
-    let label = format!("{} calls/s, {}% failing", growth.calls_per_second, growth.leaf_failing_percent);
+    let label = format!(
+        "{} calls/s, {}% failing",
+        growth.calls_per_second, growth.leaf_failing_percent
+    );
     let row = |name: &'static str, [least, most]: [f64; 2], median| {
-        row(label.clone(), &Spread { name, least, median, most })
+        row(
+            label.clone(),
+            &Spread {
+                name,
+                least,
+                median,
+                most,
+            },
+        )
     };
     [
-        row("attempts_factor_per_hop_95", growth.per_hop_95, growth.per_hop),
-        row("attempts_at_depth_25_95", growth.at_depth_25_95, growth.at_depth_25),
+        row(
+            "attempts_factor_per_hop_95",
+            growth.per_hop_95,
+            growth.per_hop,
+        ),
+        row(
+            "attempts_at_depth_25_95",
+            growth.at_depth_25_95,
+            growth.at_depth_25,
+        ),
     ]
 }
 
 fn control_label(size: &ControlSize) -> String {
-    format!("{} endpoints, {} changes/min", size.endpoints, size.changes_per_minute)
+    format!(
+        "{} endpoints, {} changes/min",
+        size.endpoints, size.changes_per_minute
+    )
 }
 
 fn row(label: String, spread: &Spread) -> Row {
-    [label, spread.name.to_string(), number(spread.least), number(spread.median), number(spread.most)]
+    [
+        label,
+        spread.name.to_string(),
+        number(spread.least),
+        number(spread.median),
+        number(spread.most),
+    ]
 }
 
 fn number(value: f64) -> String {
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -36,7 +36,10 @@
 
     /// A seed for one repeat, the same in every run.
     fn seed(&self, repeat: u32) -> u64 {
-        self.experiment.seed.wrapping_mul(1000).wrapping_add(u64::from(repeat))
+        self.experiment
+            .seed
+            .wrapping_mul(1000)
+            .wrapping_add(u64::from(repeat))
     }
 }
 
@@ -45,7 +48,11 @@
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut terminate = signal(SignalKind::terminate())?;
     let limit = Duration::from_secs_f64(experiment.planned_seconds() * OVERTIME_FACTOR) + OVERTIME;
-    let context = Context { experiment, deployment, workspace: Workspace::create()? };
+    let context = Context {
+        experiment,
+        deployment,
+        workspace: Workspace::create()?,
+    };
     tokio::select! {
         report = measure(context) => report,
         error = exceeds_memory() => Err(error),
@@ -101,25 +108,34 @@
         tokio::time::sleep(MEMORY_PAUSE).await;
         let used_mb = used_memory_mb();
         if used_mb > allowed_mb {
-            return ScaleError::TooMuchMemory { used_mb, allowed_mb };
+            return ScaleError::TooMuchMemory {
+                used_mb,
+                allowed_mb,
+            };
         }
     }
 }
 
 fn used_memory_mb() -> f64 {
     let own = std::process::id();
-    let Ok(processes) = all_processes() else { return 0.0 };
+    let Ok(processes) = all_processes() else {
+        return 0.0;
+    };
     let ours = processes.flatten().filter(|process| {
         process.pid() as u32 == own || process.stat().is_ok_and(|stat| stat.ppid as u32 == own)
     });
     // A process that has just ended uses nothing.
-    ours.filter_map(|process| Usage::of(process.pid() as u32).ok()).map(|usage| usage.resident_mb).sum()
+    ours.filter_map(|process| Usage::of(process.pid() as u32).ok())
+        .map(|usage| usage.resident_mb)
+        .sum()
 }
 
 /// The commit that is checked out, as git names it.
 fn commit() -> Option<String> {
-    let output =
-        Command::new("git").args(["describe", "--always", "--dirty", "--abbrev=12"]).output().ok()?;
+    let output = Command::new("git")
+        .args(["describe", "--always", "--dirty", "--abbrev=12"])
+        .output()
+        .ok()?;
     let name = String::from_utf8(output.stdout).ok()?;
     Some(name.trim().to_string()).filter(|name| output.status.success() && !name.is_empty())
 }
--- a/scale/src/run/calls.rs
+++ b/scale/src/run/calls.rs
@@ -58,7 +58,10 @@
     let plan = load_plan(context, section, size, seed);
     let straight = match section.straight {
         true => {
-            let plan = LoadPlan { seed: seed + STRAIGHT_SEED, ..plan.clone() };
+            let plan = LoadPlan {
+                seed: seed + STRAIGHT_SEED,
+                ..plan.clone()
+            };
             let records = send(plan, chain.straight.clone(), clock).await;
             Some(load_figures(&records, context.warmup()))
         }
@@ -74,7 +77,12 @@
     let (records, snapshots) = tokio::join!(send(plan, vec![pool], clock), snapshots);
     let (before, after) = snapshots?;
     chain.ensure_running()?;
-    Ok(figures(load_figures(&records, context.warmup()), straight, &before, &after))
+    Ok(figures(
+        load_figures(&records, context.warmup()),
+        straight,
+        &before,
+        &after,
+    ))
 }
 
 fn load_plan(context: &Context, section: &Calls, size: CallsSize, seed: u64) -> LoadPlan {
@@ -101,7 +109,9 @@
     CallsFigures {
         processor_us_per_call: processor.as_secs_f64() * 1e6 / calls,
         resident_mb: after.first.resident_mb,
-        attempts_per_call: attempts.map(|(after, before)| (after - before) as f64 / calls).collect(),
+        attempts_per_call: attempts
+            .map(|(after, before)| (after - before) as f64 / calls)
+            .collect(),
         through,
         straight,
     }
@@ -116,7 +126,14 @@
         clock: Clock,
         seed: u64,
     ) -> Result<Chain, ScaleError> {
-        let mut builder = ChainBuilder { context, section, size, clock, seed, started: Vec::new() };
+        let mut builder = ChainBuilder {
+            context,
+            section,
+            size,
+            clock,
+            seed,
+            started: Vec::new(),
+        };
         let (mut instances, mut discoveries, mut others) = (Vec::new(), Vec::new(), Vec::new());
         let mut counters = Vec::new();
         let mut straight = Vec::new();
@@ -128,22 +145,41 @@
             counters.insert(0, count);
             let discovery = Discovery::start(endpoints(&service), HISTORY)?;
             builder.balancers(tier, &discovery).await?;
-            straight = service.iter().map(|i| Arc::new(Pool::new(i.address(), seed))).collect();
+            straight = service
+                .iter()
+                .map(|i| Arc::new(Pool::new(i.address(), seed)))
+                .collect();
             instances.extend(service);
             discoveries.push(discovery);
         }
         let first = builder.started.remove(0);
-        Ok(Chain { first, others, counters, straight, _instances: instances, _discoveries: discoveries })
+        Ok(Chain {
+            first,
+            others,
+            counters,
+            straight,
+            _instances: instances,
+            _discoveries: discoveries,
+        })
     }
 
     fn snapshot(&self) -> Result<Snapshot, ScaleError> {
-        let attempts = self.counters.iter().map(|c| c.attempts.load(Ordering::Relaxed)).collect();
-        Ok(Snapshot { first: self.first.process.usage()?, attempts })
+        let attempts = self
+            .counters
+            .iter()
+            .map(|c| c.attempts.load(Ordering::Relaxed))
+            .collect();
+        Ok(Snapshot {
+            first: self.first.process.usage()?,
+            attempts,
+        })
     }
 
     fn ensure_running(&mut self) -> Result<(), ScaleError> {
         self.first.process.ensure_running()?;
-        self.others.iter_mut().try_for_each(|balancer| balancer.process.ensure_running())
+        self.others
+            .iter_mut()
+            .try_for_each(|balancer| balancer.process.ensure_running())
     }
 }
 
@@ -178,11 +214,20 @@
                 cores: self.section.cores as usize,
                 queue: self.section.queue as usize,
                 answer_time: Duration::from_secs_f64(self.section.answer_ms / 1000.0),
-                failing: if leaf { self.size.leaf_failing_percent / 100.0 } else { 0.0 },
+                failing: if leaf {
+                    self.size.leaf_failing_percent / 100.0
+                } else {
+                    0.0
+                },
                 answer_bytes: self.section.answer_bytes as usize,
                 next: next.map(|balancer| Arc::new(Pool::new(balancer.address, seed))),
             };
-            Ok(ServiceInstance::start(settings, counters.clone(), self.clock, seed)?)
+            Ok(ServiceInstance::start(
+                settings,
+                counters.clone(),
+                self.clock,
+                seed,
+            )?)
         };
         (0..self.section.instances).map(start).collect()
     }
@@ -204,7 +249,11 @@
                 membership: self.section.membership,
             };
             let (deployment, workspace) = (&self.context.deployment, &self.context.workspace);
-            self.started.push(BalancerProcess::start(deployment, workspace, &configuration)?);
+            self.started.push(BalancerProcess::start(
+                deployment,
+                workspace,
+                &configuration,
+            )?);
         }
         for balancer in &mut self.started {
             balancer.ready().await?;
@@ -219,26 +268,42 @@
 }
 
 fn endpoints(service: &[ServiceInstance]) -> Vec<Endpoint> {
-    service.iter().enumerate().map(|(number, instance)| Endpoint::new(number, instance.address())).collect()
+    service
+        .iter()
+        .enumerate()
+        .map(|(number, instance)| Endpoint::new(number, instance.address()))
+        .collect()
 }
 
 /// The figures of the calls that were planned after the warm-up.
 fn load_figures(records: &[CallRecord], warmup: Duration) -> LoadFigures {
-    let counted: Vec<&CallRecord> = records.iter().filter(|record| record.planned >= warmup).collect();
-    let served: Vec<&CallRecord> =
-        counted.iter().copied().filter(|record| record.outcome == CallOutcome::Served).collect();
+    let counted: Vec<&CallRecord> = records
+        .iter()
+        .filter(|record| record.planned >= warmup)
+        .collect();
+    let served: Vec<&CallRecord> = counted
+        .iter()
+        .copied()
+        .filter(|record| record.outcome == CallOutcome::Served)
+        .collect();
     LoadFigures {
         outcomes: outcomes(&counted),
         send_lateness: times(counted.iter().map(|record| record.lateness)).percentiles(),
         latency: times(served.iter().map(|record| record.latency)).percentiles(),
-        outside_service: times(served.iter().filter_map(|record| record.outside_service)).percentiles(),
+        outside_service: times(served.iter().filter_map(|record| record.outside_service))
+            .percentiles(),
         request_way: times(served.iter().filter_map(|record| record.request_way)).percentiles(),
         groups: groups(&served),
     }
 }
 
 fn outcomes(records: &[&CallRecord]) -> Outcomes {
-    let count = |outcome| records.iter().filter(|record| record.outcome == outcome).count() as u64;
+    let count = |outcome| {
+        records
+            .iter()
+            .filter(|record| record.outcome == outcome)
+            .count() as u64
+    };
     Outcomes {
         calls: records.len() as u64,
         served: count(CallOutcome::Served),
@@ -251,14 +316,19 @@
 fn groups(served: &[&CallRecord]) -> Vec<GroupTimes> {
     let kinds = [CallKind::Read, CallKind::Order];
     let uses = [ConnectionUse::Idle, ConnectionUse::New];
-    let pairs = kinds.iter().flat_map(|&kind| uses.iter().map(move |&connection| (kind, connection)));
+    let pairs = kinds
+        .iter()
+        .flat_map(|&kind| uses.iter().map(move |&connection| (kind, connection)));
     pairs
         .map(|(kind, connection)| {
-            let of_group = served.iter().filter(|r| r.kind == kind && r.connection == connection);
+            let of_group = served
+                .iter()
+                .filter(|r| r.kind == kind && r.connection == connection);
             GroupTimes {
                 class: kind.class(),
                 new_connection: connection == ConnectionUse::New,
-                outside_service: times(of_group.filter_map(|record| record.outside_service)).percentiles(),
+                outside_service: times(of_group.filter_map(|record| record.outside_service))
+                    .percentiles(),
             }
         })
         .collect()
--- a/scale/src/run/control.rs
+++ b/scale/src/run/control.rs
@@ -46,7 +46,9 @@
     let discovery = Discovery::start(endpoints, section.history as usize)?;
     let started = Instant::now();
     let mut balancers = Balancers::start(context, section, &discovery, seed).await?;
-    balancers.all_watch(&discovery, section.balancers() as usize).await?;
+    balancers
+        .all_watch(&discovery, section.balancers() as usize)
+        .await?;
     let all_watch_after = started.elapsed();
     let start_bytes = discovery.traffic().bytes();
     let churn = churn::run(&discovery.registry, size.changes_per_minute, seed);
@@ -69,7 +71,10 @@
         messages_per_second: window.messages as f64 / seconds / count,
         changes: changes.len() as u64,
         balancers: all as u64,
-        changes_in_force_at_all: changes.iter().filter(|c| c.acknowledged.len() >= all).count() as u64,
+        changes_in_force_at_all: changes
+            .iter()
+            .filter(|c| c.acknowledged.len() >= all)
+            .count() as u64,
         in_force_at_99_percent: in_force(&changes, widely).percentiles(),
         in_force_at_all: in_force(&changes, all).percentiles(),
     })
@@ -102,14 +107,22 @@
         let mut real = Vec::new();
         for index in 0..section.real_balancers {
             let configuration = configuration(format!("real-{index}"), index);
-            real.push(BalancerProcess::start(&context.deployment, &context.workspace, &configuration)?);
+            real.push(BalancerProcess::start(
+                &context.deployment,
+                &context.workspace,
+                &configuration,
+            )?);
         }
         let mut hollow = Vec::new();
         let mut next = section.real_balancers;
         for process in 0..section.hollow_processes {
             let share = share_of(section.hollow_balancers, section.hollow_processes, process);
             let configuration = configuration(format!("hollow-{process}"), next);
-            hollow.push(HollowProcess::start(&context.workspace, &configuration, share)?);
+            hollow.push(HollowProcess::start(
+                &context.workspace,
+                &configuration,
+                share,
+            )?);
             next += share;
         }
         for balancer in &mut real {
@@ -119,14 +132,21 @@
     }
 
     /// Waits until so many balancers watch.
-    async fn all_watch(&mut self, discovery: &Discovery, balancers: usize) -> Result<(), ScaleError> {
+    async fn all_watch(
+        &mut self,
+        discovery: &Discovery,
+        balancers: usize,
+    ) -> Result<(), ScaleError> {
         let started = Instant::now();
         while discovery.registry.watchers() < balancers {
             self.ensure_running()?;
             if started.elapsed() > WATCH_WITHIN {
                 let watching = discovery.registry.watchers();
                 let name = format!("all but {watching} of {balancers} balancers");
-                return Err(ScaleError::NotReady { name, seconds: WATCH_WITHIN.as_secs() });
+                return Err(ScaleError::NotReady {
+                    name,
+                    seconds: WATCH_WITHIN.as_secs(),
+                });
             }
             tokio::time::sleep(WATCH_PAUSE).await;
         }
@@ -134,14 +154,26 @@
     }
 
     fn ensure_running(&mut self) -> Result<(), ScaleError> {
-        self.real.iter_mut().try_for_each(|balancer| balancer.process.ensure_running())?;
-        self.hollow.iter_mut().try_for_each(|hollow| hollow.process.ensure_running())
+        self.real
+            .iter_mut()
+            .try_for_each(|balancer| balancer.process.ensure_running())?;
+        self.hollow
+            .iter_mut()
+            .try_for_each(|hollow| hollow.process.ensure_running())
     }
 
     fn usages(&self) -> Result<Usages, ScaleError> {
         Ok(Usages {
-            real: self.real.iter().map(|balancer| balancer.process.usage()).collect::<Result<_, _>>()?,
-            hollow: self.hollow.iter().map(|hollow| hollow.process.usage()).collect::<Result<_, _>>()?,
+            real: self
+                .real
+                .iter()
+                .map(|balancer| balancer.process.usage())
+                .collect::<Result<_, _>>()?,
+            hollow: self
+                .hollow
+                .iter()
+                .map(|hollow| hollow.process.usage())
+                .collect::<Result<_, _>>()?,
         })
     }
 }
@@ -181,14 +213,24 @@
     let after = balancers.usages()?;
     let ended = Instant::now();
     let length = ended - began;
-    let real = before.real.iter().zip(&after.real).map(|(b, a)| used(b, a, length, 1));
-    let hollow = before.hollow.iter().zip(&after.hollow).zip(&balancers.hollow);
+    let real = before
+        .real
+        .iter()
+        .zip(&after.real)
+        .map(|(b, a)| used(b, a, length, 1));
+    let hollow = before
+        .hollow
+        .iter()
+        .zip(&after.hollow)
+        .zip(&balancers.hollow);
     Ok(Window {
         began,
         ended,
         length,
         real: real.collect(),
-        hollow: hollow.map(|((b, a), process)| used(b, a, length, process.balancers)).collect(),
+        hollow: hollow
+            .map(|((b, a), process)| used(b, a, length, process.balancers))
+            .collect(),
         bytes: discovery.traffic().bytes() - bytes,
         messages: discovery.traffic().messages() - messages,
     })
@@ -197,7 +239,10 @@
 /// What one of the balancers of a process used.
 fn used(before: &Usage, after: &Usage, length: Duration, balancers: u32) -> BalancerUse {
     let balancers = f64::from(balancers);
-    let processor = after.processor.saturating_sub(before.processor).as_secs_f64();
+    let processor = after
+        .processor
+        .saturating_sub(before.processor)
+        .as_secs_f64();
     BalancerUse {
         processor_percent: 100.0 * processor / length.as_secs_f64() / balancers,
         start_processor_ms: before.processor.as_secs_f64() * 1000.0 / balancers,
@@ -210,8 +255,11 @@
     let deadline = Instant::now() + SETTLE;
     loop {
         let mut changes = discovery.registry.published();
-        changes.retain(|change| change.published >= window.began && change.published < window.ended);
-        let done = changes.iter().all(|change| change.acknowledged.len() >= balancers);
+        changes
+            .retain(|change| change.published >= window.began && change.published < window.ended);
+        let done = changes
+            .iter()
+            .all(|change| change.acknowledged.len() >= balancers);
         if done || Instant::now() >= deadline {
             return changes;
         }
--- a/scale/src/server.rs
+++ b/scale/src/server.rs
@@ -49,7 +49,11 @@
         let address = listener.local_addr()?;
         let traffic = Arc::new(Traffic::default());
         let task = tokio::spawn(accept(listener, traffic.clone(), session));
-        Ok(Server { address, traffic, task: task.abort_handle() })
+        Ok(Server {
+            address,
+            traffic,
+            task: task.abort_handle(),
+        })
     }
 }
 
@@ -61,7 +65,9 @@
 {
     let mut connections = JoinSet::new();
     loop {
-        let Ok((stream, _)) = listener.accept().await else { continue };
+        let Ok((stream, _)) = listener.accept().await else {
+            continue;
+        };
         // Without this a small answer waits for the other side's acknowledgement.
         let _ = stream.set_nodelay(true);
         let stream = Counted::new(stream, traffic.clone());
--- a/scale/src/service.rs
+++ b/scale/src/service.rs
@@ -65,7 +65,14 @@
     ) -> io::Result<ServiceInstance> {
         let cores = Semaphore::new(settings.cores);
         let random = Mutex::new(StdRng::seed_from_u64(seed));
-        let state = Arc::new(State { settings, counters, clock, cores, open: AtomicUsize::new(0), random });
+        let state = Arc::new(State {
+            settings,
+            counters,
+            clock,
+            cores,
+            open: AtomicUsize::new(0),
+            random,
+        });
         let server = Server::start(move || {
             let state = state.clone();
             service_fn(move |request| {
@@ -119,7 +126,9 @@
         };
         let deadline = Duration::try_from_secs_f64(micros / 1e6).ok()?;
         // Balancers may leave the class out, and then the call counts as one that must not run twice.
-        let kind = text(REQUEST_KIND).and_then(CallKind::of_class).unwrap_or(CallKind::Order);
+        let kind = text(REQUEST_KIND)
+            .and_then(CallKind::of_class)
+            .unwrap_or(CallKind::Order);
         Some(CallHead { kind, deadline })
     }
 }
@@ -145,12 +154,19 @@
         }
         drop(place);
         let left = head.deadline.saturating_sub(self.clock.now() - received);
-        let call =
-            Call { kind: head.kind, connection: ConnectionUse::Idle, deadline: left, body: body.to_bytes() };
+        let call = Call {
+            kind: head.kind,
+            connection: ConnectionUse::Idle,
+            deadline: left,
+            body: body.to_bytes(),
+        };
         if !self.next_succeeds(&call).await {
             return answer(StatusCode::INTERNAL_SERVER_ERROR, "");
         }
-        let stamp = Stamp { received, answered: self.clock.now() };
+        let stamp = Stamp {
+            received,
+            answered: self.clock.now(),
+        };
         answer(StatusCode::OK, stamp.body(self.settings.answer_bytes))
     }
 
@@ -163,7 +179,9 @@
     fn decline(&self) -> Answer {
         self.counters.declined.fetch_add(1, Ordering::Relaxed);
         let mut declined = answer(StatusCode::SERVICE_UNAVAILABLE, "");
-        declined.headers_mut().insert(DECLINED, HeaderValue::from_static("1"));
+        declined
+            .headers_mut()
+            .insert(DECLINED, HeaderValue::from_static("1"));
         declined
     }
 
@@ -183,7 +201,9 @@
         let failed = random.random_bool(self.settings.failing);
         let mean = self.settings.answer_time.as_secs_f64();
         let busy = match Exp::new(1.0 / mean) {
-            Ok(distribution) if mean > 0.0 => Duration::from_secs_f64(distribution.sample(&mut *random)),
+            Ok(distribution) if mean > 0.0 => {
+                Duration::from_secs_f64(distribution.sample(&mut *random))
+            }
             _ => Duration::ZERO,
         };
         (busy, failed)
@@ -192,7 +212,10 @@
     async fn next_succeeds(&self, call: &Call) -> bool {
         match &self.settings.next {
             None => true,
-            Some(next) => next.call(call).await.is_ok_and(|answer| answer.status == StatusCode::OK),
+            Some(next) => next
+                .call(call)
+                .await
+                .is_ok_and(|answer| answer.status == StatusCode::OK),
         }
     }
 }
--- a/scale/src/stamp.rs
+++ b/scale/src/stamp.rs
@@ -11,7 +11,9 @@
 impl Clock {
     /// A clock that starts now.
     pub fn start() -> Clock {
-        Clock { started: Instant::now() }
+        Clock {
+            started: Instant::now(),
+        }
     }
 
     /// Time since the start.
--- a/settings/src/lib.rs
+++ b/settings/src/lib.rs
@@ -148,10 +148,11 @@
 pub fn deployment(json: &[u8]) -> Result<Deployment, String> {
     let mut json = serde_json::Deserializer::from_slice(json);
     // The path names the key of a value of the wrong type; the message alone does not.
-    let s: Setup = serde_path_to_error::deserialize(&mut json).map_err(|e| match e.path().to_string() {
-        path if path == "." => e.inner().to_string(),
-        path => format!("{path}: {}", e.inner()),
-    })?;
+    let s: Setup =
+        serde_path_to_error::deserialize(&mut json).map_err(|e| match e.path().to_string() {
+            path if path == "." => e.inner().to_string(),
+            path => format!("{path}: {}", e.inner()),
+        })?;
     json.end().map_err(|e| e.to_string())?;
     let ask_for_list = match s.membership_mode.as_str() {
         "pushed" => false,
@@ -164,14 +165,25 @@
         stage: s.stage,
         zone: s.zone,
         classes: s.classes.iter().map(class).collect::<Result<_, _>>()?,
-        tenants: s.tenants.iter().map(|t| Tenant { share: t.share, quota_per_s: t.quota_per_s }).collect(),
+        tenants: s
+            .tenants
+            .iter()
+            .map(|t| Tenant {
+                share: t.share,
+                quota_per_s: t.quota_per_s,
+            })
+            .collect(),
         attempts_cap: s.permissions.attempts_cap,
         cancel: s.permissions.cancel,
         ask_for_list,
         ask_within: s.invariants.ask_within,
         idle_close: s.permissions.idle_close,
         connect_timeout: s.permissions.dial_timeout,
-        max_retry_after: if s.permissions.retry_after { s.permissions.max_retry_after } else { 0.0 },
+        max_retry_after: if s.permissions.retry_after {
+            s.permissions.max_retry_after
+        } else {
+            0.0
+        },
         cold_from: s.invariants.cold_from,
         ramp_time: s.invariants.ramp_time,
         tip_multiple: s.invariants.tip_multiple,
@@ -211,13 +223,23 @@
                 "cell" => DedupScope::Cell,
                 other => return Err(format!("classes.dedup_scope: unknown scope {other:?}")),
             };
-            Effect::Guarded { scope, window: c.repeat_window }
+            Effect::Guarded {
+                scope,
+                window: c.repeat_window,
+            }
         }
         other => return Err(format!("classes.effect: unknown effect {other:?}")),
     };
     let (runs_in, kinds_only) = (c.runs_in.clone(), c.kinds_only.clone());
     let (objective, deadline, late_worth) = (c.objective, c.deadline, c.late_worth);
-    Ok(Class { objective, deadline, effect, late_worth, runs_in, kinds_only })
+    Ok(Class {
+        objective,
+        deadline,
+        effect,
+        late_worth,
+        runs_in,
+        kinds_only,
+    })
 }
 
 #[cfg(test)]
--- a/simhost/src/main.rs
+++ b/simhost/src/main.rs
@@ -23,12 +23,18 @@
         let mut target = None;
         self.answering = None;
         for (i, record) in batch.records.iter().enumerate() {
-            self.record(batch, record, &mut target).map_err(|e| format!("record {i}: {e}"))?;
+            self.record(batch, record, &mut target)
+                .map_err(|e| format!("record {i}: {e}"))?;
         }
         Ok(self.reply.finish(batch.number))
     }
 
-    fn record(&mut self, batch: &Batch, record: &Record, target: &mut Option<u16>) -> Result<(), String> {
+    fn record(
+        &mut self,
+        batch: &Batch,
+        record: &Record,
+        target: &mut Option<u16>,
+    ) -> Result<(), String> {
         let now = batch.now;
         let instance = || target.ok_or("no instance was named before this record".to_string());
         match record {
@@ -58,7 +64,9 @@
     }
 
     fn event(&mut self, id: u16, now: f64, event: Event) {
-        let Some(balancer) = self.balancers.get_mut(&id) else { return };
+        let Some(balancer) = self.balancers.get_mut(&id) else {
+            return;
+        };
         balancer.handle(now, event, &mut self.actions);
         if self.actions.is_empty() {
             return;
@@ -77,9 +85,13 @@
     let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
     let mut host = Host::default();
     for number in 0.. {
-        let Some(frame) = wire::read_frame(&mut input, number).map_err(|e| e.to_string())? else { break };
+        let Some(frame) = wire::read_frame(&mut input, number).map_err(|e| e.to_string())? else {
+            break;
+        };
         let batch = wire::decode(&frame, number).map_err(|e| e.to_string())?;
-        let reply = host.batch(&batch).map_err(|e| format!("frame {number}, {e}"))?;
+        let reply = host
+            .batch(&batch)
+            .map_err(|e| format!("frame {number}, {e}"))?;
         output
             .write_all(&reply)
             .and_then(|()| output.flush())
--- a/soak/src/balancer.rs
+++ b/soak/src/balancer.rs
@@ -116,12 +116,22 @@
         let control = OpenOptions::new().write(true).open(control)?;
         let (address, ops) = (free_address()?, free_address()?);
         let (child, starts) = (None, 0);
-        Ok(Balancer { number, address, ops, fleet: fleet.clone(), folder, control, child, starts })
+        Ok(Balancer {
+            number,
+            address,
+            ops,
+            fleet: fleet.clone(),
+            folder,
+            control,
+            child,
+            starts,
+        })
     }
 
     /// Sets how likely a fault is, in millionths, or how far the wall clock is off, in milliseconds.
     pub fn fault(&self, fault: Fault, word: i64) -> io::Result<()> {
-        self.control.write_all_at(&word.to_le_bytes(), fault.offset())
+        self.control
+            .write_all_at(&word.to_le_bytes(), fault.offset())
     }
 
     /// No call fails from now on; the wall clock stays as it is.
@@ -186,7 +196,11 @@
         let old = self.child.take();
         let started = Instant::now();
         self.start(seed)?;
-        while !self.ask("STATUS").await.is_ok_and(|status| status.starts_with("YES")) {
+        while !self
+            .ask("STATUS")
+            .await
+            .is_ok_and(|status| status.starts_with("YES"))
+        {
             if let Some(how) = self.ended() {
                 (self.child, self.ops) = (old, old_ops);
                 return Err(UpgradeError::Ended(how));
@@ -210,7 +224,10 @@
     /// Starts its process.
     pub fn start(&mut self, seed: u64) -> io::Result<()> {
         self.starts += 1;
-        let log = OpenOptions::new().create(true).append(true).open(self.folder.join("log"))?;
+        let log = OpenOptions::new()
+            .create(true)
+            .append(true)
+            .open(self.folder.join("log"))?;
         let mut marker = log.try_clone()?;
         writeln!(marker, "--- start {}", self.starts)?;
         let mut command = Command::new(&self.fleet.program);
@@ -247,20 +264,28 @@
     async fn is_ready(&self) -> bool {
         let asked = async {
             let mut stream = TcpStream::connect(self.address).await?;
-            stream.write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").await?;
+            stream
+                .write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
+                .await?;
             let mut answer = String::new();
             stream.read_to_string(&mut answer).await?;
             Ok::<_, io::Error>(answer.starts_with("HTTP/1.1 200"))
         };
-        timeout(Duration::from_secs(1), asked).await.is_ok_and(|ready| ready.unwrap_or(false))
+        timeout(Duration::from_secs(1), asked)
+            .await
+            .is_ok_and(|ready| ready.unwrap_or(false))
     }
 
     /// Sends its process a signal.
     pub fn signal(&self, signal: Signal) {
-        let Some(pid) = self.child.as_ref().and_then(Child::id) else { return };
+        let Some(pid) = self.child.as_ref().and_then(Child::id) else {
+            return;
+        };
         // The process was started here and not waited for yet, so that the id is still its own.
         let name = signal.name();
-        let _ = std::process::Command::new("kill").args([name, &pid.to_string()]).status();
+        let _ = std::process::Command::new("kill")
+            .args([name, &pid.to_string()])
+            .status();
     }
 
     /// Waits until its process has ended, for so long at most. Tells the exit code; none if it was killed or still runs.
@@ -299,7 +324,9 @@
             stream.read_to_string(&mut answer).await?;
             Ok::<_, io::Error>(answer)
         };
-        Ok(timeout(DOOR_WAIT, asked).await.map_err(|_| DoorError::NoAnswer)??)
+        Ok(timeout(DOOR_WAIT, asked)
+            .await
+            .map_err(|_| DoorError::NoAnswer)??)
     }
 
     /// The violations that it has counted itself.
@@ -361,5 +388,9 @@
 /// Finds a file that the workspace's build has made, beside this program.
 pub fn built(name: &str) -> Option<PathBuf> {
     let own = std::env::current_exe().ok()?;
-    own.ancestors().skip(1).take(2).map(|folder: &Path| folder.join(name)).find(|path| path.is_file())
+    own.ancestors()
+        .skip(1)
+        .take(2)
+        .map(|folder: &Path| folder.join(name))
+        .find(|path| path.is_file())
 }
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -49,8 +49,11 @@
 }
 
 /// Classes as the settings of a run name them.
-pub const CLASSES: [(&str, Effect); 3] =
-    [("read", Effect::Free), ("order", Effect::Guarded), ("pay", Effect::SingleShot)];
+pub const CLASSES: [(&str, Effect); 3] = [
+    ("read", Effect::Free),
+    ("order", Effect::Guarded),
+    ("pay", Effect::SingleShot),
+];
 
 /// What clients share.
 pub struct Crowd {
@@ -96,13 +99,24 @@
     /// A client with this number, unique in the run.
     pub fn new(crowd: Arc<Crowd>, habit: Habit, number: u64, seed: u64) -> Client {
         let random = StdRng::seed_from_u64(seed ^ number.wrapping_mul(0x9e37_79b9_7f4a_7c15));
-        Client { crowd, habit, number, random, sent: 0, connection: None }
+        Client {
+            crowd,
+            habit,
+            number,
+            random,
+            sent: 0,
+            connection: None,
+        }
     }
 
     /// Sends requests until the crowd ends.
     pub async fn run(mut self) {
         while !self.crowd.ends.load(Ordering::Relaxed) {
-            let factor = if self.crowd.burst.load(Ordering::Relaxed) { BURST } else { 1.0 };
+            let factor = if self.crowd.burst.load(Ordering::Relaxed) {
+                BURST
+            } else {
+                1.0
+            };
             let pause = -(1.0 - self.random.random::<f64>()).ln() / (self.crowd.rate * factor);
             sleep(Duration::from_secs_f64(pause.min(3.0))).await;
             if self.habit == Habit::Fresh {
@@ -129,7 +143,11 @@
             let stream = TcpStream::connect(self.crowd.address).await.ok()?;
             let _ = stream.set_nodelay(true);
             let (read, writer) = stream.into_split();
-            self.connection = Some(Connection { reader: Reader::new(read), writer, used: false });
+            self.connection = Some(Connection {
+                reader: Reader::new(read),
+                writer,
+                used: false,
+            });
         }
         Some(())
     }
@@ -137,7 +155,12 @@
     fn prepare(&mut self, plain: bool) -> Prepared {
         self.sent += 1;
         let large = self.habit == Habit::Large;
-        let id = format!("c{}-{}{}", self.number, self.sent, if large { LARGE } else { "" });
+        let id = format!(
+            "c{}-{}{}",
+            self.number,
+            self.sent,
+            if large { LARGE } else { "" }
+        );
         let (class, effect) = CLASSES[self.random.random_range(0..CLASSES.len())];
         let deadline = Duration::from_millis(self.random.random_range(DEADLINES_MS));
         let (method, key, body) = match effect {
@@ -145,15 +168,25 @@
             Effect::Guarded => ("POST", format!("Idempotency-Key: k-{id}\r\n"), BODY),
             Effect::SingleShot => ("POST", String::new(), BODY),
         };
-        let body = if large { body.repeat(LARGE_REPEATS) } else { body.to_string() };
-        let length =
-            if body.is_empty() { String::new() } else { format!("Content-Length: {}\r\n", body.len()) };
+        let body = if large {
+            body.repeat(LARGE_REPEATS)
+        } else {
+            body.to_string()
+        };
+        let length = if body.is_empty() {
+            String::new()
+        } else {
+            format!("Content-Length: {}\r\n", body.len())
+        };
         let text = format!(
             "{method} /api HTTP/1.1\r\nHost: x\r\nReq-Id: {id}\r\nReq-Kind: {class}\r\nReq-Owner: club\r\n\
              Req-Deadline: {}m\r\n{key}{length}\r\n{body}",
             deadline.as_millis()
         );
-        let new_connection = self.connection.as_ref().is_some_and(|connection| !connection.used);
+        let new_connection = self
+            .connection
+            .as_ref()
+            .is_some_and(|connection| !connection.used);
         let start = RequestStart {
             effect,
             balancer: self.crowd.balancer,
@@ -162,14 +195,24 @@
             new_connection,
             plain,
         };
-        Prepared { id, text: text.into_bytes(), start }
+        Prepared {
+            id,
+            text: text.into_bytes(),
+            start,
+        }
     }
 
     /// One request and its answer.
     async fn exchange(&mut self) {
         let request = self.prepare(true);
-        let pieces = if self.habit == Habit::Slow { self.random.random_range(2..6) } else { 1 };
-        let Some(connection) = self.connection.as_mut() else { return };
+        let pieces = if self.habit == Habit::Slow {
+            self.random.random_range(2..6)
+        } else {
+            1
+        };
+        let Some(connection) = self.connection.as_mut() else {
+            return;
+        };
         self.crowd.oracle.request(&request.id, request.start);
         let written = write_pieces(&mut connection.writer, &request.text, pieces).await;
         self.crowd.oracle.sent(&request.id);
@@ -185,13 +228,20 @@
 
     /// Waits for the answer to a request that has been sent.
     async fn receive(&mut self, request: &Prepared) {
-        let Some(connection) = self.connection.as_mut() else { return };
-        let answer = timeout(request.start.answer_within + BEYOND, connection.reader.message()).await;
+        let Some(connection) = self.connection.as_mut() else {
+            return;
+        };
+        let answer = timeout(
+            request.start.answer_within + BEYOND,
+            connection.reader.message(),
+        )
+        .await;
         let (end, keep) = match answer {
             Err(_) => (ClientEnd::NoAnswer, false),
             Ok(Ok(answer)) => {
-                let keep =
-                    answer.header("connection").is_none_or(|value| !value.eq_ignore_ascii_case("close"));
+                let keep = answer
+                    .header("connection")
+                    .is_none_or(|value| !value.eq_ignore_ascii_case("close"));
                 (self.judge(&request.id, &answer), keep)
             }
             Ok(Err(ReadError::CutOff | ReadError::Unreadable)) => (ClientEnd::BrokenOff, false),
@@ -207,7 +257,9 @@
         let status = answer.status().unwrap_or(0);
         if status == 200 && answer.body != answer_body(id).as_bytes() {
             let body = String::from_utf8_lossy(&answer.body);
-            self.crowd.oracle.violated(Rule::WrongAnswer, format!("{id} was answered {body:?}"));
+            self.crowd
+                .oracle
+                .violated(Rule::WrongAnswer, format!("{id} was answered {body:?}"));
         }
         ClientEnd::Answered(status)
     }
@@ -217,7 +269,9 @@
         let request = self.prepare(true);
         let stays = Duration::from_millis(self.random.random_range(0..120));
         let resets = self.random.random::<bool>();
-        let Some(mut connection) = self.connection.take() else { return };
+        let Some(mut connection) = self.connection.take() else {
+            return;
+        };
         self.crowd.oracle.request(&request.id, request.start);
         if connection.writer.write_all(&request.text).await.is_err() {
             return self.crowd.oracle.ended(&request.id, ClientEnd::Left);
@@ -244,9 +298,16 @@
             longest = longest.max(request.start.deadline);
             request.start.answer_within = longest;
         }
-        let text: Vec<u8> = requests.iter().flat_map(|request| request.text.clone()).collect();
-        let Some(connection) = self.connection.as_mut() else { return };
-        requests.iter().for_each(|request| self.crowd.oracle.request(&request.id, request.start));
+        let text: Vec<u8> = requests
+            .iter()
+            .flat_map(|request| request.text.clone())
+            .collect();
+        let Some(connection) = self.connection.as_mut() else {
+            return;
+        };
+        requests
+            .iter()
+            .for_each(|request| self.crowd.oracle.request(&request.id, request.start));
         let written = connection.writer.write_all(&text).await.is_ok();
         connection.used = true;
         for request in &requests {
@@ -279,7 +340,9 @@
             Habit::Babbles => (0..200).map(|_| self.random.random::<u8>()).collect(),
             _ => Vec::new(),
         };
-        let Some(mut connection) = self.connection.take() else { return };
+        let Some(mut connection) = self.connection.take() else {
+            return;
+        };
         if connection.writer.write_all(&text).await.is_err() {
             return;
         }
--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -140,7 +140,12 @@
             silent_until: now,
             told: vec![(now, 1); balancers],
         };
-        Arc::new(Discovery { mode, state: Mutex::new(state), version: watch::Sender::new(1), oracle })
+        Arc::new(Discovery {
+            mode,
+            state: Mutex::new(state),
+            version: watch::Sender::new(1),
+            oracle,
+        })
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
@@ -148,7 +153,11 @@
     }
 
     /// Opens an agent for a balancer; it answers for as long as the runtime lasts.
-    pub async fn open_agent(self: &Arc<Self>, balancer: usize, seed: u64) -> io::Result<SocketAddr> {
+    pub async fn open_agent(
+        self: &Arc<Self>,
+        balancer: usize,
+        seed: u64,
+    ) -> io::Result<SocketAddr> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
         let discovery = self.clone();
@@ -178,7 +187,12 @@
     /// Spoils answers like this from now on.
     pub fn spoil(&self, faults: AnswerFaults) {
         let mut state = self.state();
-        let AnswerFaults { malformed, ends, pieces, whole } = faults;
+        let AnswerFaults {
+            malformed,
+            ends,
+            pieces,
+            whole,
+        } = faults;
         (state.malformed, state.ends, state.pieces, state.whole) = (malformed, ends, pieces, whole);
     }
 
@@ -222,9 +236,14 @@
     /// The whole list, as a further process of this balancer is given it while the first one goes by what it knows.
     pub fn snapshot_beside(&self, balancer: usize) -> String {
         let state = self.state();
-        let active = state.entries.iter().enumerate().filter(|(_, entry)| entry.state == "active");
+        let active = state
+            .entries
+            .iter()
+            .enumerate()
+            .filter(|(_, entry)| entry.state == "active");
         for (upstream, _) in active {
-            self.oracle.told(balancer, upstream, Listed::Active, Instant::now());
+            self.oracle
+                .told(balancer, upstream, Listed::Active, Instant::now());
         }
         state.listing(None)
     }
@@ -275,14 +294,21 @@
                     answered = None;
                 }
                 Deed::Malformed => {
-                    let _ =
-                        write.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\n{\"version\": ").await;
+                    let _ = write
+                        .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 12\r\n\r\n{\"version\": ")
+                        .await;
                     return;
                 }
                 Deed::List { full, pieces } => {
                     let body = self.listing(if full { None } else { since }, balancer);
-                    let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-                    if write_pieces(&mut write, text.as_bytes(), pieces).await.is_err() {
+                    let text = format!(
+                        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+                        body.len()
+                    );
+                    if write_pieces(&mut write, text.as_bytes(), pieces)
+                        .await
+                        .is_err()
+                    {
                         return;
                     }
                     answered = Some(Instant::now());
@@ -300,7 +326,13 @@
         state.listing(since)
     }
 
-    async fn decide(&self, since: Option<u64>, wait: Duration, goes_on: bool, random: &mut StdRng) -> Deed {
+    async fn decide(
+        &self,
+        since: Option<u64>,
+        wait: Duration,
+        goes_on: bool,
+        random: &mut StdRng,
+    ) -> Deed {
         let began = Instant::now();
         if !(goes_on && since.is_some()) {
             if let Some(deed) = self.queue().await {
@@ -310,7 +342,12 @@
         let (malformed, ends, pieces, whole) = {
             let state = self.state();
             let mut falls = |likely: f64| random.random::<f64>() < likely;
-            (falls(state.malformed), falls(state.ends), falls(state.pieces), falls(state.whole))
+            (
+                falls(state.malformed),
+                falls(state.ends),
+                falls(state.pieces),
+                falls(state.whole),
+            )
         };
         let news = since.is_none() || self.newer(since.unwrap_or(0), wait, began).await;
         if self.mode == Mode::Push {
@@ -329,7 +366,10 @@
             Condition::Refusing => Deed::Refuse,
             Condition::Up if malformed => Deed::Malformed,
             Condition::Up if ends => Deed::End,
-            Condition::Up => Deed::List { full: since.is_none() || news && whole && !goes_on, pieces },
+            Condition::Up => Deed::List {
+                full: since.is_none() || news && whole && !goes_on,
+                pieces,
+            },
         }
     }
 
@@ -432,7 +472,11 @@
     /// A balancer knows all that is listed now.
     fn tell(&self, oracle: &Oracle, balancer: usize, at: Instant) {
         for (upstream, entry) in self.entries.iter().enumerate() {
-            let listed = if entry.state == "active" { Listed::Active } else { Listed::Closed };
+            let listed = if entry.state == "active" {
+                Listed::Active
+            } else {
+                Listed::Closed
+            };
             oracle.told(balancer, upstream, listed, at.max(entry.changed));
         }
     }
@@ -446,7 +490,9 @@
 fn parameter(call: &Message, name: &str) -> Option<u64> {
     let path = call.start.split(' ').nth(1)?;
     let (_, query) = path.split_once('?')?;
-    let value = query.split('&').find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
+    let value = query
+        .split('&')
+        .find_map(|pair| pair.strip_prefix(name)?.strip_prefix('='));
     value?.parse().ok()
 }
 
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -90,8 +90,12 @@
     let program = program.ok_or_else(|| missing("herondock"))?;
     let library = built("libfaultshim.so").ok_or_else(|| missing("libfaultshim.so"))?;
     let folder = arguments.logs.clone();
-    let folder = folder.unwrap_or_else(|| std::env::temp_dir().join(format!("soak-{}", std::process::id())));
-    let runtime = tokio::runtime::Builder::new_multi_thread().worker_threads(3).enable_all().build()?;
+    let folder =
+        folder.unwrap_or_else(|| std::env::temp_dir().join(format!("soak-{}", std::process::id())));
+    let runtime = tokio::runtime::Builder::new_multi_thread()
+        .worker_threads(3)
+        .enable_all()
+        .build()?;
     let mut clean = true;
     for seed in arguments.seed..arguments.seed + arguments.seeds {
         let options = Options {
@@ -119,13 +123,21 @@
         .plan
         .iter()
         .map(|p| {
-            format!("{:?} {:.1}-{:.1}", p.trouble, p.from.as_secs_f64(), (p.from + p.lasts).as_secs_f64())
+            format!(
+                "{:?} {:.1}-{:.1}",
+                p.trouble,
+                p.from.as_secs_f64(),
+                (p.from + p.lasts).as_secs_f64()
+            )
         })
         .collect();
     println!("seed {seed}, {mode:?}: {}", troubles.join(", "));
     println!("  requests: {:?}", verdict.tally);
     let mut rules: BTreeMap<_, usize> = BTreeMap::new();
-    verdict.violations.iter().for_each(|violation| *rules.entry(violation.rule).or_default() += 1);
+    verdict
+        .violations
+        .iter()
+        .for_each(|violation| *rules.entry(violation.rule).or_default() += 1);
     println!("  violations: {rules:?}");
     let mut shown: BTreeMap<_, usize> = BTreeMap::new();
     for violation in &verdict.violations {
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -78,7 +78,9 @@
 
     /// The kind with this name, as in [`std::fmt::Debug`], in lower case.
     pub fn named(name: &str) -> Option<Trouble> {
-        Trouble::ALL.into_iter().find(|kind| format!("{kind:?}").to_lowercase() == name.to_lowercase())
+        Trouble::ALL
+            .into_iter()
+            .find(|kind| format!("{kind:?}").to_lowercase() == name.to_lowercase())
     }
 }
 
@@ -99,9 +101,16 @@
 /// once more.
 pub fn plan(seed: u64, length: Duration, only: &[Trouble], intensity: usize) -> Vec<Planned> {
     let mut random = StdRng::seed_from_u64(seed);
-    let kinds = if only.is_empty() { &Trouble::ALL[..] } else { only };
-    let count =
-        if only.is_empty() { random.random_range(5..10) * intensity } else { only.len() * (intensity + 1) };
+    let kinds = if only.is_empty() {
+        &Trouble::ALL[..]
+    } else {
+        only
+    };
+    let count = if only.is_empty() {
+        random.random_range(5..10) * intensity
+    } else {
+        only.len() * (intensity + 1)
+    };
     let seconds = length.as_secs_f64();
     let mut planned: Vec<Planned> = (0..count)
         .map(|number| {
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -110,15 +110,23 @@
     pub async fn start(&self, balancer: &mut Balancer) {
         let number = balancer.number;
         let known = self.discovery.snapshot(number);
-        let started = balancer.configure(self.agent(number), &known).and_then(|()| balancer.start(self.seed));
+        let started = balancer
+            .configure(self.agent(number), &known)
+            .and_then(|()| balancer.start(self.seed));
         self.discovery.balancer_started(number);
         if let Err(error) = started {
-            self.oracle.violated(Rule::Crash, format!("balancer {number} cannot be started: {error}"));
+            self.oracle.violated(
+                Rule::Crash,
+                format!("balancer {number} cannot be started: {error}"),
+            );
             return;
         }
         if balancer.ready().await.is_none() {
             let how = balancer.ended().unwrap_or("it runs".to_string());
-            self.oracle.violated(Rule::NotReady, format!("balancer {number} is not ready: {how}"));
+            self.oracle.violated(
+                Rule::NotReady,
+                format!("balancer {number} is not ready: {how}"),
+            );
         }
         self.crowds[number].refuses.store(false, Ordering::Relaxed);
     }
@@ -143,7 +151,12 @@
     let ends = world.crowds[0].ends.clone();
     let settles = tokio::spawn(settle(world.clone()));
     let clients = start_clients(&world, options.seed);
-    let planned = plan(options.seed, options.length, &options.only, options.intensity);
+    let planned = plan(
+        options.seed,
+        options.length,
+        &options.only,
+        options.intensity,
+    );
     let troubles: Vec<_> = planned
         .iter()
         .map(|&planned| {
@@ -165,7 +178,11 @@
     end_balancers(&world).await;
     settles.abort();
     let (violations, tally) = world.oracle.check();
-    Ok(Verdict { plan: planned, violations, tally })
+    Ok(Verdict {
+        plan: planned,
+        violations,
+        tally,
+    })
 }
 
 async fn build(options: &Options) -> io::Result<World> {
@@ -201,17 +218,29 @@
     }));
     let mut upstreams = Vec::new();
     for number in 0..options.upstreams {
-        let behaviour = Behaviour { answer_ms: random.random_range(5.0..60.0), ..Behaviour::default() };
+        let behaviour = Behaviour {
+            answer_ms: random.random_range(5.0..60.0),
+            ..Behaviour::default()
+        };
         upstreams.push(Upstream::start(number, random.random(), behaviour, oracle.clone()).await?);
     }
     let addresses: Vec<SocketAddr> = upstreams.iter().map(|upstream| upstream.address).collect();
     let work = QUEUE_OF_ALL / options.balancers as u32;
-    let discovery = Discovery::new(options.mode, &addresses, options.balancers, work, oracle.clone());
+    let discovery = Discovery::new(
+        options.mode,
+        &addresses,
+        options.balancers,
+        work,
+        oracle.clone(),
+    );
     let ends = Arc::new(AtomicBool::new(false));
     let (mut balancers, mut crowds, mut agents) = (Vec::new(), Vec::new(), Vec::new());
     for number in 0..options.balancers {
         let seed = random.random();
-        agents.push([discovery.open_agent(number, seed).await?, discovery.open_agent(number, !seed).await?]);
+        agents.push([
+            discovery.open_agent(number, seed).await?,
+            discovery.open_agent(number, !seed).await?,
+        ]);
         let balancer = Balancer::new(number, &fleet)?;
         crowds.push(Arc::new(Crowd {
             address: balancer.address,
@@ -265,11 +294,16 @@
         let mut balancer = balancer.lock().await;
         let number = balancer.number;
         if let Some(how) = balancer.ended() {
-            world.oracle.violated(Rule::Crash, format!("balancer {number} ended by itself: {how}"));
+            world.oracle.violated(
+                Rule::Crash,
+                format!("balancer {number} ended by itself: {how}"),
+            );
             continue;
         }
         for broken in balancer.violations().await {
-            world.oracle.violated(Rule::OwnCheck, format!("balancer {number}: {broken}"));
+            world
+                .oracle
+                .violated(Rule::OwnCheck, format!("balancer {number}: {broken}"));
         }
         balancer.signal(Signal::Terminate);
     }
--- a/soak/src/trouble.rs
+++ b/soak/src/trouble.rs
@@ -32,7 +32,11 @@
 /// Plays one trouble, from its beginning to its end.
 pub async fn play(world: Arc<World>, planned: Planned) {
     let random = StdRng::seed_from_u64(planned.seed);
-    let mut scene = Scene { world, lasts: planned.lasts, random };
+    let mut scene = Scene {
+        world,
+        lasts: planned.lasts,
+        random,
+    };
     match planned.trouble {
         Trouble::Restart => scene.restart().await,
         Trouble::Kill => scene.kill().await,
@@ -44,12 +48,24 @@
         Trouble::DiscoveryDown => scene.discovery_down().await,
         Trouble::SilentWatches => scene.world.discovery.silence_watches(),
         Trouble::SpoiltLists => scene.spoilt_lists().await,
-        Trouble::ShortTransfers => scene.faults(&[Fault::ShortRead, Fault::ShortWrite], 0.02).await,
+        Trouble::ShortTransfers => {
+            scene
+                .faults(&[Fault::ShortRead, Fault::ShortWrite], 0.02)
+                .await
+        }
         Trouble::Interrupted => {
-            let calls = [Fault::InterruptedRead, Fault::InterruptedWrite, Fault::InterruptedWait];
+            let calls = [
+                Fault::InterruptedRead,
+                Fault::InterruptedWrite,
+                Fault::InterruptedWait,
+            ];
             scene.faults(&calls, 0.02).await;
         }
-        Trouble::FailingSockets => scene.faults(&[Fault::Accept, Fault::Connect, Fault::Socket], 0.05).await,
+        Trouble::FailingSockets => {
+            scene
+                .faults(&[Fault::Accept, Fault::Connect, Fault::Socket], 0.05)
+                .await
+        }
         Trouble::BrokenReads => scene.faults(&[Fault::BrokenRead], 0.005).await,
         Trouble::ClockStep => scene.clock_step().await,
         Trouble::ClockOff => scene.clock_off().await,
@@ -77,7 +93,9 @@
     }
 
     fn some_balancers(&mut self) -> Vec<usize> {
-        let count = self.random.random_range(1..=self.world.balancers.len().div_ceil(2));
+        let count = self
+            .random
+            .random_range(1..=self.world.balancers.len().div_ceil(2));
         (0..count).map(|_| self.any_balancer()).collect()
     }
 
@@ -99,7 +117,9 @@
         let chosen = self.some_balancers();
         let set = |burst| {
             for &number in &chosen {
-                self.world.crowds[number].burst.store(burst, Ordering::Relaxed);
+                self.world.crowds[number]
+                    .burst
+                    .store(burst, Ordering::Relaxed);
             }
         };
         set(true);
@@ -157,7 +177,9 @@
         while Instant::now() < until {
             let number = self.any_upstream();
             let world = self.world.clone();
-            let Ok(_only) = world.releases[number].try_lock() else { continue };
+            let Ok(_only) = world.releases[number].try_lock() else {
+                continue;
+            };
             world.discovery.change(number, "leaving", None);
             world.upstreams[number].drain(self.random.random::<f64>() < 0.5);
             sleep(Duration::from_millis(self.random.random_range(500..9000))).await;
@@ -172,7 +194,9 @@
     async fn crash(&mut self) {
         let number = self.any_upstream();
         let world = self.world.clone();
-        let Ok(_only) = world.releases[number].try_lock() else { return };
+        let Ok(_only) = world.releases[number].try_lock() else {
+            return;
+        };
         world.upstreams[number].stop();
         sleep(Duration::from_millis(self.random.random_range(50..800))).await;
         self.come_back(number).await;
@@ -184,13 +208,20 @@
             return;
         }
         self.world.oracle.upstream_started(number);
-        self.world.discovery.change(number, "active", Some(unix_ms()));
+        self.world
+            .discovery
+            .change(number, "active", Some(unix_ms()));
     }
 
     async fn bad_upstreams(&mut self) {
-        let count = self.random.random_range(1..=self.world.upstreams.len().div_ceil(2));
+        let count = self
+            .random
+            .random_range(1..=self.world.upstreams.len().div_ceil(2));
         let chosen: Vec<usize> = (0..count).map(|_| self.any_upstream()).collect();
-        let before: Vec<Behaviour> = chosen.iter().map(|&n| self.world.upstreams[n].behaviour()).collect();
+        let before: Vec<Behaviour> = chosen
+            .iter()
+            .map(|&n| self.world.upstreams[n].behaviour())
+            .collect();
         for &number in &chosen {
             let mut likely = |most: f64| self.random.random_range(0.0..most);
             self.world.upstreams[number].behave(Behaviour {
@@ -229,8 +260,16 @@
     async fn spoilt_lists(&mut self) {
         let ask = self.world.discovery_mode == Mode::Ask;
         let faults = AnswerFaults {
-            malformed: if ask { self.random.random_range(0.0..0.1) } else { 0.0 },
-            ends: if ask { self.random.random_range(0.0..0.1) } else { 0.0 },
+            malformed: if ask {
+                self.random.random_range(0.0..0.1)
+            } else {
+                0.0
+            },
+            ends: if ask {
+                self.random.random_range(0.0..0.1)
+            } else {
+                0.0
+            },
             pieces: self.random.random_range(0.0..0.5),
             whole: 0.5,
         };
@@ -264,10 +303,20 @@
         let until = Instant::now() + self.lasts;
         while Instant::now() < until {
             let offset = self.any_offset_ms();
-            note(self.world.balancers[number].lock().await.fault(Fault::ClockOffset, offset));
+            note(
+                self.world.balancers[number]
+                    .lock()
+                    .await
+                    .fault(Fault::ClockOffset, offset),
+            );
             sleep(Duration::from_millis(self.random.random_range(300..2000))).await;
         }
-        note(self.world.balancers[number].lock().await.fault(Fault::ClockOffset, 0));
+        note(
+            self.world.balancers[number]
+                .lock()
+                .await
+                .fault(Fault::ClockOffset, 0),
+        );
     }
 
     async fn clock_off(&mut self) {
@@ -291,8 +340,14 @@
         let number = self.any_balancer();
         {
             let balancer = self.world.balancers[number].lock().await;
-            note(balancer.fault(Fault::DiskWrite, millionths(self.random.random_range(0.0..0.6))));
-            note(balancer.fault(Fault::DiskRead, millionths(self.random.random_range(0.0..0.6))));
+            note(balancer.fault(
+                Fault::DiskWrite,
+                millionths(self.random.random_range(0.0..0.6)),
+            ));
+            note(balancer.fault(
+                Fault::DiskRead,
+                millionths(self.random.random_range(0.0..0.6)),
+            ));
         }
         self.orders_at(number).await;
         if self.random.random::<bool>() {
@@ -311,15 +366,27 @@
         let upstream = self.any_upstream();
         let name = upstream_name(upstream);
         let world = self.world.clone();
-        let Ok(_only) = world.orders[number].try_lock() else { return };
+        let Ok(_only) = world.orders[number].try_lock() else {
+            return;
+        };
         let until = Instant::now() + self.lasts;
         while Instant::now() < until {
             if self.order(number, &format!("SUSPEND {name}")).await {
-                self.world.oracle.told(number, SUSPENSIONS + upstream, Listed::Closed, Instant::now());
+                self.world.oracle.told(
+                    number,
+                    SUSPENSIONS + upstream,
+                    Listed::Closed,
+                    Instant::now(),
+                );
             }
             sleep(Duration::from_millis(self.random.random_range(200..1500))).await;
             // Whether or not it is answered, the call may have been carried out.
-            self.world.oracle.told(number, SUSPENSIONS + upstream, Listed::Active, Instant::now());
+            self.world.oracle.told(
+                number,
+                SUSPENSIONS + upstream,
+                Listed::Active,
+                Instant::now(),
+            );
             self.order(number, &format!("RESTORE {name}")).await;
             sleep(Duration::from_millis(self.random.random_range(100..800))).await;
         }
@@ -327,7 +394,10 @@
 
     async fn order(&self, number: usize, call: &str) -> bool {
         let balancer = self.world.balancers[number].lock().await;
-        balancer.ask(call).await.is_ok_and(|answer| answer.starts_with("YES"))
+        balancer
+            .ask(call)
+            .await
+            .is_ok_and(|answer| answer.starts_with("YES"))
     }
 }
 
@@ -342,10 +412,15 @@
         balancer.signal(Signal::Terminate);
         sleep(STILL_COMING).await;
         self.crowds[number].refuses.store(true, Ordering::Relaxed);
-        let code = balancer.exited(KILLED_AFTER.saturating_sub(told.elapsed())).await;
+        let code = balancer
+            .exited(KILLED_AFTER.saturating_sub(told.elapsed()))
+            .await;
         let ended = Instant::now();
         if code != Some(0) {
-            let what = format!("balancer {number} ended with {code:?} {:?} after SIGTERM", told.elapsed());
+            let what = format!(
+                "balancer {number} ended with {code:?} {:?} after SIGTERM",
+                told.elapsed()
+            );
             self.oracle.violated(Rule::Crash, what);
             balancer.kill().await;
         }
@@ -360,8 +435,14 @@
             return;
         }
         let known = self.discovery.snapshot_beside(number);
-        if let Err(error) = balancer.upgrade(self.agent(number), &known, self.seed).await {
-            self.oracle.violated(Rule::Crash, format!("balancer {number} is not upgraded: {error}"));
+        if let Err(error) = balancer
+            .upgrade(self.agent(number), &known, self.seed)
+            .await
+        {
+            self.oracle.violated(
+                Rule::Crash,
+                format!("balancer {number} is not upgraded: {error}"),
+            );
         }
     }
 
@@ -386,5 +467,7 @@
 }
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+    SystemTime::now()
+        .duration_since(UNIX_EPOCH)
+        .map_or(0, |since| since.as_millis() as u64)
 }
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -90,12 +90,21 @@
             connections: AtomicU64::new(0),
         });
         let task = tokio::spawn(accept(listener, state.clone()));
-        Ok(Upstream { number, address, state, task: Mutex::new(Some(task.abort_handle())) })
+        Ok(Upstream {
+            number,
+            address,
+            state,
+            task: Mutex::new(Some(task.abort_handle())),
+        })
     }
 
     /// Behaves like this from now on.
     pub fn behave(&self, behaviour: Behaviour) {
-        *self.state.behaviour.lock().unwrap_or_else(PoisonError::into_inner) = behaviour;
+        *self
+            .state
+            .behaviour
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner) = behaviour;
     }
 
     /// How it behaves.
@@ -111,7 +120,12 @@
     /// Its process dies: connections are reset, and new ones are refused until [`Upstream::restart`].
     pub fn stop(&self) {
         self.state.generation.fetch_add(1, Ordering::Relaxed);
-        if let Some(task) = self.task.lock().unwrap_or_else(PoisonError::into_inner).take() {
+        if let Some(task) = self
+            .task
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
+            .take()
+        {
             task.abort();
         }
     }
@@ -136,7 +150,10 @@
 
 /// What an upstream does with one request.
 enum Deed {
-    Answer { status: &'static str, end: AttemptEnd },
+    Answer {
+        status: &'static str,
+        end: AttemptEnd,
+    },
     Reset,
     Hang,
     Cut,
@@ -147,7 +164,10 @@
 
 impl State {
     fn behaviour(&self) -> Behaviour {
-        *self.behaviour.lock().unwrap_or_else(PoisonError::into_inner)
+        *self
+            .behaviour
+            .lock()
+            .unwrap_or_else(PoisonError::into_inner)
     }
 
     fn deed(&self, random: &mut StdRng) -> Deed {
@@ -164,9 +184,15 @@
             chance < 0.0
         };
         if falls(b.error) {
-            Deed::Answer { status: "500 Internal Server Error", end: AttemptEnd::Failed }
+            Deed::Answer {
+                status: "500 Internal Server Error",
+                end: AttemptEnd::Failed,
+            }
         } else if falls(b.decline) {
-            Deed::Answer { status: "503 Service Unavailable\r\nSrv-Declined: 1", end: AttemptEnd::Declined }
+            Deed::Answer {
+                status: "503 Service Unavailable\r\nSrv-Declined: 1",
+                end: AttemptEnd::Declined,
+            }
         } else if falls(b.reset) {
             Deed::Reset
         } else if falls(b.hang) {
@@ -180,7 +206,10 @@
         } else if falls(b.endless) {
             Deed::Endless
         } else {
-            Deed::Answer { status: "200 OK", end: AttemptEnd::Served }
+            Deed::Answer {
+                status: "200 OK",
+                end: AttemptEnd::Served,
+            }
         }
     }
 }
@@ -209,21 +238,30 @@
     let (read, mut write) = stream.into_split();
     let mut reader = Reader::new(read);
     loop {
-        let Ok(begun) = reader.begun().await else { return };
+        let Ok(begun) = reader.begun().await else {
+            return;
+        };
         if random.random::<f64>() < state.behaviour().reset_early {
             return reset(reader, write);
         }
-        let Ok(request) = reader.message().await else { return };
+        let Ok(request) = reader.message().await else {
+            return;
+        };
         if state.generation.load(Ordering::Relaxed) != generation {
             return reset(reader, write);
         }
-        let Some(id) = request.header("req-id").map(str::to_string) else { return };
-        let told = request.span_ms("req-deadline").map(|ms| Duration::from_secs_f64(ms / 1000.0));
+        let Some(id) = request.header("req-id").map(str::to_string) else {
+            return;
+        };
+        let told = request
+            .span_ms("req-deadline")
+            .map(|ms| Duration::from_secs_f64(ms / 1000.0));
         let number = state.oracle.attempt(&id, state.number, begun, told);
         let Some(number) = number else {
-            state
-                .oracle
-                .violated(crate::oracle::Rule::WrongAnswer, format!("a request that no client sent: {id}"));
+            state.oracle.violated(
+                crate::oracle::Rule::WrongAnswer,
+                format!("a request that no client sent: {id}"),
+            );
             return;
         };
         state.oracle.attempt_whole(&id, number);
@@ -264,12 +302,22 @@
     let busy = -behaviour.answer_ms * (1.0 - random.random::<f64>()).ln();
     sleep(Duration::from_secs_f64(busy.min(2000.0) / 1000.0)).await;
     let body = answer_body(id);
-    let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let whole = format!(
+        "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
+        body.len()
+    );
     let ended = |end| state.oracle.attempt_ended(id, number, end);
     match state.deed(random) {
         Deed::Answer { status, end } => {
-            let body = if end == AttemptEnd::Served { body } else { String::new() };
-            let text = format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+            let body = if end == AttemptEnd::Served {
+                body
+            } else {
+                String::new()
+            };
+            let text = format!(
+                "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
+                body.len()
+            );
             ended(end);
             sent(write.write_all(text.as_bytes()).await)
         }
--- a/soak/src/wire.rs
+++ b/soak/src/wire.rs
@@ -24,7 +24,10 @@
 impl Message {
     /// A header's value.
     pub fn header(&self, name: &str) -> Option<&str> {
-        self.headers.iter().find(|(known, _)| known == name).map(|(_, value)| value.as_str())
+        self.headers
+            .iter()
+            .find(|(known, _)| known == name)
+            .map(|(_, value)| value.as_str())
     }
 
     /// The status of an answer.
@@ -69,7 +72,11 @@
 impl Reader {
     /// Nothing has been read yet.
     pub fn new(stream: OwnedReadHalf) -> Reader {
-        Reader { stream, buffer: Vec::new(), first_byte: None }
+        Reader {
+            stream,
+            buffer: Vec::new(),
+            first_byte: None,
+        }
     }
 
     /// Both sides of the connection again.
@@ -117,14 +124,22 @@
             .filter_map(|line| line.split_once(':'))
             .map(|(name, value)| (name.to_ascii_lowercase(), value.trim().to_string()))
             .collect();
-        let mut message = Message { start, headers, body: Vec::new(), first_byte };
+        let mut message = Message {
+            start,
+            headers,
+            body: Vec::new(),
+            first_byte,
+        };
         message.body = self.body(&message).await?;
         self.first_byte = (!self.buffer.is_empty()).then(Instant::now);
         Ok(message)
     }
 
     async fn body(&mut self, message: &Message) -> Result<Vec<u8>, ReadError> {
-        if message.header("transfer-encoding").is_some_and(|coding| coding.eq_ignore_ascii_case("chunked")) {
+        if message
+            .header("transfer-encoding")
+            .is_some_and(|coding| coding.eq_ignore_ascii_case("chunked"))
+        {
             return self.chunks().await;
         }
         let length = match message.header("content-length") {
@@ -194,5 +209,7 @@
 }
 
 fn find(bytes: &[u8], wanted: &[u8]) -> Option<usize> {
-    bytes.windows(wanted.len()).position(|window| window == wanted)
+    bytes
+        .windows(wanted.len())
+        .position(|window| window == wanted)
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -161,36 +161,90 @@
 impl Settings {
     /// Checks every field; the first one at fault is named.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        let need = |ok: bool, field, must| if ok { Ok(()) } else { Err(SettingsError { field, must }) };
+        let need = |ok: bool, field, must| {
+            if ok {
+                Ok(())
+            } else {
+                Err(SettingsError { field, must })
+            }
+        };
         // Far beyond any use, and small enough that products of two stay finite.
         let span = |v: f64| (0.0..=1e15).contains(&v);
         need(self.balancers >= 1, "balancers", "at least 1")?;
         need(!self.classes.is_empty(), "classes", "at least one")?;
         need(self.attempts_cap >= 1, "attempts_cap", "at least 1")?;
         for c in &self.classes {
-            need(span(c.objective) && c.objective > 0.0, "classes.objective", "a time above 0")?;
-            need(span(c.deadline) && c.deadline > 0.0, "classes.deadline", "a time above 0")?;
-            need(span(c.late_worth), "classes.late_worth", "a number of at least 0")?;
-            need(c.runs_in.as_ref().is_none_or(|l| !l.is_empty()), "classes.runs_in", "absent or not empty")?;
+            need(
+                span(c.objective) && c.objective > 0.0,
+                "classes.objective",
+                "a time above 0",
+            )?;
+            need(
+                span(c.deadline) && c.deadline > 0.0,
+                "classes.deadline",
+                "a time above 0",
+            )?;
+            need(
+                span(c.late_worth),
+                "classes.late_worth",
+                "a number of at least 0",
+            )?;
+            need(
+                c.runs_in.as_ref().is_none_or(|l| !l.is_empty()),
+                "classes.runs_in",
+                "absent or not empty",
+            )?;
             let kinds = c.kinds_only.as_ref();
-            need(kinds.is_none_or(|l| !l.is_empty()), "classes.kinds_only", "absent or not empty")?;
+            need(
+                kinds.is_none_or(|l| !l.is_empty()),
+                "classes.kinds_only",
+                "absent or not empty",
+            )?;
             if let Effect::Guarded { window, .. } = c.effect {
                 need(span(window), "classes.window", "a time of at least 0")?;
             }
         }
         for t in &self.tenants {
             need(span(t.share), "tenants.share", "a number of at least 0")?;
-            need(span(t.quota_per_s), "tenants.quota_per_s", "a rate of at least 0")?;
+            need(
+                span(t.quota_per_s),
+                "tenants.quota_per_s",
+                "a rate of at least 0",
+            )?;
         }
-        need(span(self.ask_within) && self.ask_within > 0.0, "ask_within", "a time above 0")?;
+        need(
+            span(self.ask_within) && self.ask_within > 0.0,
+            "ask_within",
+            "a time above 0",
+        )?;
         need(span(self.idle_close), "idle_close", "a time of at least 0")?;
-        need(span(self.connect_timeout), "connect_timeout", "a time of at least 0")?;
-        need(span(self.max_retry_after), "max_retry_after", "a time of at least 0")?;
-        need(span(self.cold_from) && self.cold_from <= 1.0, "cold_from", "between 0 and 1")?;
+        need(
+            span(self.connect_timeout),
+            "connect_timeout",
+            "a time of at least 0",
+        )?;
+        need(
+            span(self.max_retry_after),
+            "max_retry_after",
+            "a time of at least 0",
+        )?;
+        need(
+            span(self.cold_from) && self.cold_from <= 1.0,
+            "cold_from",
+            "between 0 and 1",
+        )?;
         need(span(self.ramp_time), "ramp_time", "a time of at least 0")?;
-        need(span(self.tip_multiple), "tip_multiple", "a number of at least 0")?;
+        need(
+            span(self.tip_multiple),
+            "tip_multiple",
+            "a number of at least 0",
+        )?;
         need(span(self.tip_window), "tip_window", "a time of at least 0")?;
-        need(span(self.cross_zone_price), "cross_zone_price", "a number of at least 0")
+        need(
+            span(self.cross_zone_price),
+            "cross_zone_price",
+            "a number of at least 0",
+        )
     }
 }
 
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -19,8 +19,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::{cmp::Ordering, sync::Arc};
 use {
-    admission::*, capacity::*, endpoints::*, health::*, latency::*, picker::*, requests::*, start_times::*,
-    subscription::*,
+    admission::*, capacity::*, endpoints::*, health::*, latency::*, picker::*, requests::*,
+    start_times::*, subscription::*,
 };
 
 const TIMER_CYCLE: u32 = 0;
@@ -48,8 +48,19 @@
         let mut endpoints = Endpoints::new(Arc::clone(&settings));
         endpoints.resize_subset(admission.capacity.admitted_mean);
         let (rng, pending) = (Pcg64Mcg::seed_from_u64(seed), BTreeMap::new());
-        let (retries, subscription, started, late) = (RETRY_BURST, Subscription::default(), false, false);
-        Ok(Balancer { settings, rng, admission, endpoints, pending, retries, started, subscription, late })
+        let (retries, subscription, started, late) =
+            (RETRY_BURST, Subscription::default(), false, false);
+        Ok(Balancer {
+            settings,
+            rng,
+            admission,
+            endpoints,
+            pending,
+            retries,
+            started,
+            subscription,
+            late,
+        })
     }
 
     /// Whether staff have left an upstream out.
@@ -60,9 +71,14 @@
     /// How many upstreams are listed, and how many of them calls avoid now, by hand or by choice.
     pub fn upstreams(&self, now: Millis) -> (usize, usize) {
         let Endpoints { by_id, slots, .. } = &self.endpoints;
-        let listed = by_id.values().filter(|&&i| slots[i].member.availability != Availability::Gone);
-        let avoided = |i: usize| self.suspends(slots[i].member.id) || self.endpoints.is_avoided(i, now);
-        listed.fold((0, 0), |(count, out), &i| (count + 1, out + usize::from(avoided(i))))
+        let listed = by_id
+            .values()
+            .filter(|&&i| slots[i].member.availability != Availability::Gone);
+        let avoided =
+            |i: usize| self.suspends(slots[i].member.id) || self.endpoints.is_avoided(i, now);
+        listed.fold((0, 0), |(count, out), &i| {
+            (count + 1, out + usize::from(avoided(i)))
+        })
     }
 
     /// Takes one event and appends what is to be done. `now` must not go back.
@@ -71,7 +87,10 @@
         if !std::mem::replace(&mut self.started, true) {
             // Replicas started together must not recompute in step.
             let after = CYCLE * (0.5 + 0.5 * unit(&mut self.rng));
-            actions.push(Action::SetTimer { after, token: TIMER_CYCLE });
+            actions.push(Action::SetTimer {
+                after,
+                token: TIMER_CYCLE,
+            });
             actions.extend(self.settings.ask_for_list.then_some(Action::Subscribe));
         }
         match event {
@@ -80,7 +99,9 @@
             Event::Whole { request, deadline } => self.complete(now, request, deadline),
             Event::Spent(id) => {
                 let spent = self.pending.get_mut(&id);
-                spent.into_iter().for_each(|pending| pending.sends = self.settings.attempts_cap);
+                spent
+                    .into_iter()
+                    .for_each(|pending| pending.sends = self.settings.attempts_cap);
             }
             Event::Streaming { request, attempt } => self.response_started(now, request, attempt),
             Event::Outcome { .. } => self.attempt_ended(now, event, actions),
@@ -120,28 +141,48 @@
     fn subscribe_again(&mut self, failure: CallFailure, now: Millis, actions: &mut Vec<Action>) {
         if self.settings.ask_for_list {
             let known = self.endpoints.ready > 0;
-            let after = self.subscription.pause(failure, known, now, &self.settings, &mut self.rng);
-            actions.push(Action::SetTimer { after, token: TIMER_ASK });
+            let after = self
+                .subscription
+                .pause(failure, known, now, &self.settings, &mut self.rng);
+            actions.push(Action::SetTimer {
+                after,
+                token: TIMER_ASK,
+            });
         }
     }
 
     fn record_load(&mut self, now: Millis) {
         self.admission.load = self.endpoints.admissible_load(now);
-        self.admission.capacity.record_endpoints(self.admission.load.endpoints);
+        self.admission
+            .capacity
+            .record_endpoints(self.admission.load.endpoints);
     }
 
     fn end_cycle(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.record_overdue(now);
-        self.admission.capacity.record_latency(self.endpoints.latency.mean);
+        self.admission
+            .capacity
+            .record_latency(self.endpoints.latency.mean);
         self.record_load(now);
         self.admission.end_cycle(now);
         let late = self.admission.capacity.success < SUCCESS_WANTED;
         if std::mem::replace(&mut self.late, late) != late {
-            let state = if late { "late or failed: capacity is cut" } else { "in time again" };
-            actions.push(Action::Log(format!("answers of tier {} {state}", self.settings.stage)));
+            let state = if late {
+                "late or failed: capacity is cut"
+            } else {
+                "in time again"
+            };
+            actions.push(Action::Log(format!(
+                "answers of tier {} {state}",
+                self.settings.stage
+            )));
         }
-        self.endpoints.resize_subset(self.admission.capacity.admitted_mean);
-        actions.push(Action::SetTimer { after: CYCLE, token: TIMER_CYCLE });
+        self.endpoints
+            .resize_subset(self.admission.capacity.admitted_mean);
+        actions.push(Action::SetTimer {
+            after: CYCLE,
+            token: TIMER_CYCLE,
+        });
     }
 }
 
--- a/src/policy/admission.rs
+++ b/src/policy/admission.rs
@@ -16,10 +16,17 @@
     let share = |of: f64, total: f64, other: f64| if total > 0.0 { of / total } else { other };
     let total: f64 = weights.iter().sum();
     let even = 1.0 / weights.len() as f64;
-    let defaults: Vec<f64> = weights.iter().map(|&weight| capacity * share(weight, total, even)).collect();
+    let defaults: Vec<f64> = weights
+        .iter()
+        .map(|&weight| capacity * share(weight, total, even))
+        .collect();
     let reserved = |(&demand, &default): (&f64, &f64)| demand.max(default * reservation);
     let wanted: Vec<f64> = demands.iter().zip(&defaults).map(reserved).collect();
-    let gaps: Vec<f64> = defaults.iter().zip(&wanted).map(|(default, wanted)| default - wanted).collect();
+    let gaps: Vec<f64> = defaults
+        .iter()
+        .zip(&wanted)
+        .map(|(default, wanted)| default - wanted)
+        .collect();
     let deficit: f64 = gaps.iter().filter(|&&gap| gap < 0.0).map(|gap| -gap).sum();
     let surplus: f64 = gaps.iter().filter(|&&gap| gap > 0.0).sum();
     let limit = |i: usize| match gaps[i] {
@@ -55,14 +62,37 @@
 
 impl Admission {
     pub(super) fn new(settings: &Settings, now: Millis) -> Self {
-        let unnamed = [Tenant { share: 1.0, quota_per_s: 0.0 }];
-        let listed: &[Tenant] = if settings.tenants.is_empty() { &unnamed } else { &settings.tenants };
+        let unnamed = [Tenant {
+            share: 1.0,
+            quota_per_s: 0.0,
+        }];
+        let listed: &[Tenant] = if settings.tenants.is_empty() {
+            &unnamed
+        } else {
+            &settings.tenants
+        };
         // One further entry for tenants that the settings do not list, however many they are.
-        let least = listed.iter().map(|tenant| tenant.share).fold(f64::INFINITY, f64::min);
+        let least = listed
+            .iter()
+            .map(|tenant| tenant.share)
+            .fold(f64::INFINITY, f64::min);
         let weights = listed.iter().map(|tenant| tenant.share).chain([least]);
-        let tenants = weights.map(|weight| TenantState { weight, ..TenantState::default() }).collect();
-        let capacity = Capacity::new(settings, listed.iter().map(|tenant| tenant.quota_per_s).sum());
-        Admission { tenants, capacity, cycle_start: now, ..Admission::default() }
+        let tenants = weights
+            .map(|weight| TenantState {
+                weight,
+                ..TenantState::default()
+            })
+            .collect();
+        let capacity = Capacity::new(
+            settings,
+            listed.iter().map(|tenant| tenant.quota_per_s).sum(),
+        );
+        Admission {
+            tenants,
+            capacity,
+            cycle_start: now,
+            ..Admission::default()
+        }
     }
 
     /// Counts the request as demand and decides whether it passes.
@@ -95,20 +125,33 @@
         let per_cycle = |count: f64| if elapsed > 0.0 { count / elapsed } else { 0.0 };
         let gain = elapsed * DEMAND_GAIN;
         for tenant in self.tenants.iter_mut().filter(|tenant| tenant.seen) {
-            tenant.demand += gain * (per_cycle(std::mem::take(&mut tenant.requests)) - tenant.demand);
+            tenant.demand +=
+                gain * (per_cycle(std::mem::take(&mut tenant.requests)) - tenant.demand);
         }
         let admitted = per_cycle(std::mem::take(&mut self.cycle_admitted));
         self.capacity.admitted_mean += gain * (admitted - self.capacity.admitted_mean);
         if elapsed >= 0.5 {
-            self.capacity.end_cycle(admitted, std::mem::take(&mut self.rejected_within_limit));
+            self.capacity
+                .end_cycle(admitted, std::mem::take(&mut self.rejected_within_limit));
         }
         let capacity = self.capacity.per_cycle;
-        let mut seen: Vec<&mut TenantState> = self.tenants.iter_mut().filter(|tenant| tenant.seen).collect();
+        let mut seen: Vec<&mut TenantState> = self
+            .tenants
+            .iter_mut()
+            .filter(|tenant| tenant.seen)
+            .collect();
         // Tiny counts: a limit at the mean rejects half the cycles of a steady tenant, so one deviation more.
-        let demands: Vec<f64> = seen.iter().map(|tenant| tenant.demand + tenant.demand.sqrt()).collect();
+        let demands: Vec<f64> = seen
+            .iter()
+            .map(|tenant| tenant.demand + tenant.demand.sqrt())
+            .collect();
         let weights: Vec<f64> = seen.iter().map(|tenant| tenant.weight).collect();
-        for (tenant, limit) in seen.iter_mut().zip(limits(capacity, &demands, &weights, RESERVATION)) {
-            tenant.admitted = (tenant.admitted - tenant.limit * elapsed).clamp(-BURST_CYCLES * limit, limit);
+        for (tenant, limit) in
+            seen.iter_mut()
+                .zip(limits(capacity, &demands, &weights, RESERVATION))
+        {
+            tenant.admitted =
+                (tenant.admitted - tenant.limit * elapsed).clamp(-BURST_CYCLES * limit, limit);
             tenant.limit = limit;
         }
         self.admitted = (self.admitted - capacity * elapsed).clamp(0.0, capacity);
