--- a/src/policy/capacity.rs
+++ b/src/policy/capacity.rs
@@ -60,7 +60,11 @@
         let replicas = f64::from(settings.balancers);
         let quota = quota_per_s / replicas;
         // Tiers below start with more room: a rejection there wastes the work done above.
-        let multiple = if settings.stage == 0 { 1.0 } else { INITIAL_MULTIPLE_BELOW };
+        let multiple = if settings.stage == 0 {
+            1.0
+        } else {
+            INITIAL_MULTIPLE_BELOW
+        };
         let stated = multiple * quota * CYCLE / 1000.0;
         let first_tier = settings.stage == 0 && stated > 0.0;
         let objective = mean_objective(settings);
@@ -69,22 +73,47 @@
         let per_cycle = if stated > 0.0 { stated } else { 1000.0 };
         let quota = (quota * CYCLE / 1000.0).max(0.1);
         let replicas = if first_tier { replicas } else { 1.0 };
-        let ratios = Capacity { success: 1.0, quota_multiple: 1.0, ..Capacity::default() };
-        let rates = Capacity { per_cycle, quota, admitted_mean: stated, admitted_peak: stated, ..ratios };
-        Capacity { unloaded, on_time, first_tier, replicas, ..rates }
+        let ratios = Capacity {
+            success: 1.0,
+            quota_multiple: 1.0,
+            ..Capacity::default()
+        };
+        let rates = Capacity {
+            per_cycle,
+            quota,
+            admitted_mean: stated,
+            admitted_peak: stated,
+            ..ratios
+        };
+        Capacity {
+            unloaded,
+            on_time,
+            first_tier,
+            replicas,
+            ..rates
+        }
     }
 
     /// Requests in flight at which tenants above their limits are rejected, and at which all are. More than
     /// capacity takes in the unloaded latency wait somewhere, long before late responses tell of it.
     pub(super) fn inflight_limits(&self) -> (f64, f64) {
         let stated = self.quota * self.endpoint_share() * self.quota_multiple;
-        let rate = if self.first_tier { self.per_cycle.min(stated) } else { self.per_cycle };
+        let rate = if self.first_tier {
+            self.per_cycle.min(stated)
+        } else {
+            self.per_cycle
+        };
         // One replica keeps endpoints level; many load them by chance, and all hold as much as they may.
         let blend = |alone: f64, shared: f64| shared + (alone - shared) / self.replicas;
-        let limit = |latency: Millis| (rate / CYCLE * latency + blend(INFLIGHT_SPARE, 0.0)).max(INFLIGHT_MIN);
+        let limit = |latency: Millis| {
+            (rate / CYCLE * latency + blend(INFLIGHT_SPARE, 0.0)).max(INFLIGHT_MIN)
+        };
         let hard_alone = (self.unloaded * INFLIGHT_HARD).max(self.on_time);
         let hard = blend(hard_alone, self.unloaded * INFLIGHT_HARD_SHARED);
-        (limit(self.unloaded * blend(INFLIGHT_FULL, 1.0)), limit(hard))
+        (
+            limit(self.unloaded * blend(INFLIGHT_FULL, 1.0)),
+            limit(hard),
+        )
     }
 
     /// Whether the own zone is full for this replica: others idle where clients come unevenly.
@@ -107,8 +136,13 @@
     /// Capacity goes at once with the endpoints that take requests.
     pub(super) fn record_endpoints(&mut self, endpoints: f64) {
         if endpoints > 0.0 {
-            let change = if self.endpoints > 0.0 { endpoints / self.endpoints } else { 1.0 };
-            (self.per_cycle, self.admitted_peak) = (self.per_cycle * change, self.admitted_peak * change);
+            let change = if self.endpoints > 0.0 {
+                endpoints / self.endpoints
+            } else {
+                1.0
+            };
+            (self.per_cycle, self.admitted_peak) =
+                (self.per_cycle * change, self.admitted_peak * change);
             (self.endpoints, self.endpoints_max) = (endpoints, self.endpoints_max.max(endpoints));
         }
     }
@@ -132,7 +166,10 @@
             // More is lent than can be carried: back to that, so that limits decide who is rejected.
             self.per_cycle = self.per_cycle.min(admitted);
         }
-        self.per_cycle = self.per_cycle.min(self.admitted_peak * CAPACITY_HEADROOM + 1.0).max(self.floor());
+        self.per_cycle = self
+            .per_cycle
+            .min(self.admitted_peak * CAPACITY_HEADROOM + 1.0)
+            .max(self.floor());
     }
 
     fn adapt(&mut self, admitted: f64) {
--- a/src/policy/endpoints.rs
+++ b/src/policy/endpoints.rs
@@ -30,14 +30,35 @@
 impl Endpoint {
     fn new(member: Member, started: Millis, now: Millis, rng: &mut Pcg64Mcg) -> Self {
         // Hundreds of replicas must not each send their first request at once: start in random phase.
-        let times = Endpoint { idle_since: now, awaited_since: now, tokens_at: now, ..Default::default() };
-        Endpoint { member, started, slowness: 1.0, tokens: unit(rng), ..times }
+        let times = Endpoint {
+            idle_since: now,
+            awaited_since: now,
+            tokens_at: now,
+            ..Default::default()
+        };
+        Endpoint {
+            member,
+            started,
+            slowness: 1.0,
+            tokens: unit(rng),
+            ..times
+        }
     }
 
     /// Restarted under its old id: in slow start again, and its history is forgotten.
     fn restart(&mut self, member: Member, started: Millis, now: Millis, rng: &mut Pcg64Mcg) {
-        let Endpoint { inflight, not_awaited, classes, .. } = std::mem::take(self);
-        *self = Endpoint { inflight, not_awaited, classes, ..Endpoint::new(member, started, now, rng) };
+        let Endpoint {
+            inflight,
+            not_awaited,
+            classes,
+            ..
+        } = std::mem::take(self);
+        *self = Endpoint {
+            inflight,
+            not_awaited,
+            classes,
+            ..Endpoint::new(member, started, now, rng)
+        };
     }
 
     pub(super) fn awaited(&self) -> u32 {
@@ -45,12 +66,20 @@
     }
 
     pub(super) fn start_awaiting(&mut self, now: Millis) {
-        self.awaited_since = if self.awaited() == 0 { now } else { self.awaited_since };
+        self.awaited_since = if self.awaited() == 0 {
+            now
+        } else {
+            self.awaited_since
+        };
     }
 
     pub(super) fn record_send(&mut self, attempt: &Attempt, now: Millis) {
         self.classes.push(attempt.class);
-        self.connections = if attempt.idle_step == 0 { self.inflight } else { self.connections };
+        self.connections = if attempt.idle_step == 0 {
+            self.inflight
+        } else {
+            self.connections
+        };
         self.start_awaiting(now);
         self.inflight += 1;
         self.not_awaited += u32::from(!attempt.awaited);
@@ -64,10 +93,17 @@
     pub(super) fn record_end(&mut self, attempt: &Attempt, ending: Ending, now: Millis) {
         use Ending::{Cancelled, ConnectFailed, Reset, Timeout};
         let closed = matches!(ending, Timeout | Reset | Cancelled | ConnectFailed);
-        self.idle_since = if self.inflight >= self.connections { now } else { self.idle_since };
+        self.idle_since = if self.inflight >= self.connections {
+            now
+        } else {
+            self.idle_since
+        };
         self.connections = self.connections.saturating_sub(u32::from(closed));
         self.inflight = self.inflight.saturating_sub(1);
-        self.classes.iter().position(|&class| class == attempt.class).map(|at| self.classes.swap_remove(at));
+        self.classes
+            .iter()
+            .position(|&class| class == attempt.class)
+            .map(|at| self.classes.swap_remove(at));
         self.last_used = now;
     }
 }
@@ -104,48 +140,75 @@
 
 impl Endpoints {
     pub(super) fn new(settings: Arc<Settings>) -> Self {
-        Endpoints { latency: LatencyModel::new(&settings), settings, ..Endpoints::default() }
+        Endpoints {
+            latency: LatencyModel::new(&settings),
+            settings,
+            ..Endpoints::default()
+        }
     }
 
     pub(super) fn apply(&mut self, update: Membership, now: Millis, rng: &mut Pcg64Mcg) {
         use Membership::{Cached, Delta, Full};
         let complete = !matches!(update, Delta(_));
-        let (Full(members) | Cached(members) | Delta(members)) = update else { return };
+        let (Full(members) | Cached(members) | Delta(members)) = update else {
+            return;
+        };
         let listed: BTreeSet<UpstreamId> = members.iter().map(|member| member.id).collect();
-        for endpoint in self.slots.iter_mut().filter(|slot| complete && !listed.contains(&slot.member.id)) {
+        for endpoint in self
+            .slots
+            .iter_mut()
+            .filter(|slot| complete && !listed.contains(&slot.member.id))
+        {
             endpoint.member.availability = Availability::Gone;
         }
         for member in members {
             let started = self.start_times.record(&member, now);
             self.slow_start_ends = self.slow_start_ends.max(started + self.settings.ramp_time);
-            match self.by_id.get(&member.id).map(|&index| &mut self.slots[index]) {
-                Some(known) if known.member.since != member.since => known.restart(member, started, now, rng),
+            match self
+                .by_id
+                .get(&member.id)
+                .map(|&index| &mut self.slots[index])
+            {
+                Some(known) if known.member.since != member.since => {
+                    known.restart(member, started, now, rng)
+                }
                 Some(known) => known.member = member,
                 None if member.availability == Availability::Gone => {}
                 None => {
                     let index = self.free.pop().unwrap_or(self.slots.len());
                     self.by_id.insert(member.id, index);
-                    self.slots.resize_with(self.slots.len().max(index + 1), Endpoint::default);
+                    self.slots
+                        .resize_with(self.slots.len().max(index + 1), Endpoint::default);
                     self.slots[index] = Endpoint::new(member, started, now, rng);
                 }
             }
         }
         (0..self.slots.len()).for_each(|index| self.forget_if_gone(index));
-        self.start_times.end_update(now, |id| self.by_id.contains_key(id));
+        self.start_times
+            .end_update(now, |id| self.by_id.contains_key(id));
         self.choose_subset();
     }
 
     /// Discovery has confirmed what is listed.
     pub(super) fn confirm(&mut self) {
-        self.slots.iter_mut().for_each(|endpoint| endpoint.may_drain = false);
+        self.slots
+            .iter_mut()
+            .for_each(|endpoint| endpoint.may_drain = false);
     }
 
     /// Takes an endpoint back into use that staff had left out, listed or not.
-    pub(super) fn restore(&mut self, id: UpstreamId, since: Millis, now: Millis, rng: &mut Pcg64Mcg) {
+    pub(super) fn restore(
+        &mut self,
+        id: UpstreamId,
+        since: Millis,
+        now: Millis,
+        rng: &mut Pcg64Mcg,
+    ) {
         // Another process may have carried it out, whose clock was off.
         let since = since.min(now);
         self.suspended.remove(&id);
-        self.restored.retain(|_, &mut at| now - at < self.settings.ramp_time);
+        self.restored
+            .retain(|_, &mut at| now - at < self.settings.ramp_time);
         self.restored.insert(id, since);
         self.slow_start_ends = self.slow_start_ends.max(since + self.settings.ramp_time);
         if let Some(endpoint) = self.by_id.get(&id).map(|&index| &mut self.slots[index]) {
@@ -162,8 +225,17 @@
 
     /// Frees the slot of an endpoint that is gone once nothing is in flight to it.
     pub(super) fn forget_if_gone(&mut self, index: usize) {
-        let Endpoint { member: Member { id, availability, .. }, inflight, .. } = &self.slots[index];
-        if *availability == Availability::Gone && *inflight == 0 && self.by_id.get(id) == Some(&index) {
+        let Endpoint {
+            member: Member {
+                id, availability, ..
+            },
+            inflight,
+            ..
+        } = &self.slots[index];
+        if *availability == Availability::Gone
+            && *inflight == 0
+            && self.by_id.get(id) == Some(&index)
+        {
             self.by_id.remove(id);
             self.free.push(index);
         }
@@ -173,12 +245,18 @@
     pub(super) fn admissible_load(&self, now: Millis) -> AdmissibleLoad {
         let mut load = AdmissibleLoad::default();
         let open = self.by_id.values().filter(|&&index| self.is_open(index));
-        for &index in open.filter(|&&i| now >= self.slots[i].ejected_until && !self.is_overloaded(i, now)) {
+        for &index in
+            open.filter(|&&i| now >= self.slots[i].ejected_until && !self.is_overloaded(i, now))
+        {
             let endpoint = &self.slots[index];
             let awaited = f64::from(endpoint.awaited());
             load.endpoints += self.warmth(index, now);
             load.inflight += awaited;
-            load.local_inflight += if endpoint.member.zone == self.settings.zone { awaited } else { 0.0 };
+            load.local_inflight += if endpoint.member.zone == self.settings.zone {
+                awaited
+            } else {
+                0.0
+            };
         }
         load
     }
@@ -192,6 +270,7 @@
         if since <= 0.0 || age >= settings.ramp_time {
             return 1.0;
         }
-        (settings.cold_from + (1.0 - settings.cold_from) * age.max(0.0) / settings.ramp_time).min(1.0)
+        (settings.cold_from + (1.0 - settings.cold_from) * age.max(0.0) / settings.ramp_time)
+            .min(1.0)
     }
 }
--- a/src/policy/health.rs
+++ b/src/policy/health.rs
@@ -49,13 +49,20 @@
     }
 
     pub(super) fn record(&mut self, step: usize, ending: Ending, duration: Millis) {
-        if matches!(ending, Ending::Cancelled | Ending::ConnectFailed | Ending::Moot) {
+        if matches!(
+            ending,
+            Ending::Cancelled | Ending::ConnectFailed | Ending::Moot
+        ) {
             return;
         }
         // What broke later was carried: its connection had not been dropped on the way.
         let reset = ending == Ending::Reset && duration < RESET_AT_ONCE;
         let lost = f64::from(u8::from(reset || ending == Ending::Timeout));
-        let gain = if reset && step > 0 { RESET_GAIN } else { LOSS_GAIN };
+        let gain = if reset && step > 0 {
+            RESET_GAIN
+        } else {
+            LOSS_GAIN
+        };
         self.0[step] += gain * (lost - self.0[step]);
     }
 }
@@ -64,9 +71,13 @@
     /// Whether an endpoint that owes responses gave none for `factor` times what they are expected to take.
     pub(super) fn is_overdue(&self, index: usize, factor: f64, now: Millis) -> bool {
         let endpoint = &self.slots[index];
-        let means = endpoint.classes.iter().map(|&class| self.latency.classes[class].mean);
+        let means = endpoint
+            .classes
+            .iter()
+            .map(|&class| self.latency.classes[class].mean);
         let expected = means.fold(self.latency.mean, f64::max);
-        endpoint.awaited() > 0 && now - endpoint.awaited_since > (factor * expected).max(OVERDUE_MIN)
+        endpoint.awaited() > 0
+            && now - endpoint.awaited_since > (factor * expected).max(OVERDUE_MIN)
     }
 
     /// Each replica sees only its own few wait. Still used below the first tier: rejections waste work.
@@ -85,16 +96,38 @@
 
 impl Balancer {
     pub(super) fn attempt_ended(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
-        let Event::Outcome { request: id, attempt: number, ending, duration, closed } = event else { return };
-        let Some(pending) = self.pending.get_mut(&id) else { return };
-        let Some(at) = pending.attempts.iter().position(|attempt| attempt.number == number) else { return };
+        let Event::Outcome {
+            request: id,
+            attempt: number,
+            ending,
+            duration,
+            closed,
+        } = event
+        else {
+            return;
+        };
+        let Some(pending) = self.pending.get_mut(&id) else {
+            return;
+        };
+        let Some(at) = pending
+            .attempts
+            .iter()
+            .position(|attempt| attempt.number == number)
+        else {
+            return;
+        };
         let attempt = pending.attempts.swap_remove(at);
         let (index, is_last) = (attempt.endpoint, pending.attempts.is_empty());
         let endpoint = &mut self.endpoints.slots[index];
-        endpoint.not_awaited = endpoint.not_awaited.saturating_sub(u32::from(!attempt.awaited));
+        endpoint.not_awaited = endpoint
+            .not_awaited
+            .saturating_sub(u32::from(!attempt.awaited));
         // Where upstreams also shed work that they had begun, 'full' proves nothing.
-        let never_ran = ending.never_ran() && !(ending == Ending::Full && self.settings.late_shedding);
-        pending.first_run.take_if(|run| never_ran && is_last && run.attempt == number);
+        let never_ran =
+            ending.never_ran() && !(ending == Ending::Full && self.settings.late_shedding);
+        pending
+            .first_run
+            .take_if(|run| never_ran && is_last && run.attempt == number);
         pending.closed |= closed;
         let closed = pending.closed;
         let own_fault = self.record_outcome(&attempt, ending, duration, now);
@@ -103,16 +136,25 @@
         }
         self.endpoints.forget_if_gone(index);
         let ratio = match ending {
-            Ending::Ok => Some(latency_ratio(duration, self.settings.classes[attempt.class].objective)),
+            Ending::Ok => Some(latency_ratio(
+                duration,
+                self.settings.classes[attempt.class].objective,
+            )),
             Ending::Cancelled | Ending::Moot => None,
             // Blame the server or the connection, not the whole tier, for failures that are its own.
             _ if own_fault || self.endpoints.idle_losses.is_stale(attempt.idle_step) => None,
             _ => Some(LATENCY_RATIO_MAX),
         };
-        ratio.into_iter().for_each(|ratio| self.admission.capacity.record_response(ratio));
+        ratio
+            .into_iter()
+            .for_each(|ratio| self.admission.capacity.record_response(ratio));
         if closed && is_last {
             self.pending.remove(&id);
-        } else if is_last && ending != Ending::Ok && self.retries >= 1.0 && self.send(now, id, actions) {
+        } else if is_last
+            && ending != Ending::Ok
+            && self.retries >= 1.0
+            && self.send(now, id, actions)
+        {
             self.retries -= 1.0;
         } else if is_last {
             self.give_up(id, actions);
@@ -120,21 +162,42 @@
     }
 
     /// Tells whether a failure is the endpoint's own fault, and ejects it if so.
-    fn record_outcome(&mut self, attempt: &Attempt, ending: Ending, took: Millis, now: Millis) -> bool {
+    fn record_outcome(
+        &mut self,
+        attempt: &Attempt,
+        ending: Ending,
+        took: Millis,
+        now: Millis,
+    ) -> bool {
         let endpoints = &mut self.endpoints;
         let index = attempt.endpoint;
-        let hung = ending == Ending::Timeout && endpoints.is_overdue(index, UNRESPONSIVE_FACTOR, now);
-        let ejected = endpoints.by_id.values().filter(|&&i| now < endpoints.slots[i].ejected_until).count();
-        endpoints.idle_losses.record(attempt.idle_step, ending, took);
+        let hung =
+            ending == Ending::Timeout && endpoints.is_overdue(index, UNRESPONSIVE_FACTOR, now);
+        let ejected = endpoints
+            .by_id
+            .values()
+            .filter(|&&i| now < endpoints.slots[i].ejected_until)
+            .count();
+        endpoints
+            .idle_losses
+            .record(attempt.idle_step, ending, took);
         let endpoint = &mut endpoints.slots[index];
         endpoint.record_end(attempt, ending, now);
         if matches!(ending, Ending::Cancelled | Ending::Moot) {
             return false;
         }
         let failed = ending != Ending::Ok;
-        endpoint.awaited_since = if ending == Ending::Timeout { endpoint.awaited_since } else { now };
+        endpoint.awaited_since = if ending == Ending::Timeout {
+            endpoint.awaited_since
+        } else {
+            now
+        };
         let expected = endpoints.latency.classes[attempt.class].mean;
-        let slow = if failed { took.max(2.0 * expected) } else { took };
+        let slow = if failed {
+            took.max(2.0 * expected)
+        } else {
+            took
+        };
         endpoint.slowness += SLOWNESS_GAIN * (slow / expected.max(1.0) - endpoint.slowness);
         if !failed {
             endpoints.latency.record_response(attempt.class, took);
--- a/src/policy/latency.rs
+++ b/src/policy/latency.rs
@@ -27,17 +27,31 @@
     pub(super) fn new(settings: &Settings) -> Self {
         let share = 1.0 / settings.classes.len() as f64;
         let aims = settings.classes.iter().map(|class| class.objective);
-        let classes = aims.map(|aim| ExpectedLatency { mean: aim / 4.0, deviation: aim / 8.0, share });
-        LatencyModel { classes: classes.collect(), mean: mean_objective(settings) / 4.0 }
+        let classes = aims.map(|aim| ExpectedLatency {
+            mean: aim / 4.0,
+            deviation: aim / 8.0,
+            share,
+        });
+        LatencyModel {
+            classes: classes.collect(),
+            mean: mean_objective(settings) / 4.0,
+        }
     }
 
     pub(super) fn record_response(&mut self, class: usize, duration: Millis) {
-        self.classes.iter_mut().for_each(|expected| expected.share -= MIX_GAIN * expected.share);
+        self.classes
+            .iter_mut()
+            .for_each(|expected| expected.share -= MIX_GAIN * expected.share);
         let expected = &mut self.classes[class];
         expected.share += MIX_GAIN;
-        expected.deviation += LATENCY_GAIN * ((duration - expected.mean).abs() - expected.deviation);
+        expected.deviation +=
+            LATENCY_GAIN * ((duration - expected.mean).abs() - expected.deviation);
         expected.mean += LATENCY_GAIN * (duration - expected.mean);
-        self.mean = self.classes.iter().map(|expected| expected.share * expected.mean).sum();
+        self.mean = self
+            .classes
+            .iter()
+            .map(|expected| expected.share * expected.mean)
+            .sum();
     }
 }
 
@@ -47,5 +61,10 @@
 }
 
 pub(super) fn mean_objective(settings: &Settings) -> Millis {
-    settings.classes.iter().map(|class| class.objective).sum::<f64>() / settings.classes.len() as f64
+    settings
+        .classes
+        .iter()
+        .map(|class| class.objective)
+        .sum::<f64>()
+        / settings.classes.len() as f64
 }
--- a/src/policy/picker.rs
+++ b/src/policy/picker.rs
@@ -33,8 +33,14 @@
 
 /// Whether requests of a class may go to a member at all.
 fn admits(class: &Class, member: &Member) -> bool {
-    class.runs_in.as_ref().is_none_or(|zones| zones.contains(&member.zone))
-        && class.kinds_only.as_ref().is_none_or(|kinds| kinds.contains(&member.kind))
+    class
+        .runs_in
+        .as_ref()
+        .is_none_or(|zones| zones.contains(&member.zone))
+        && class
+            .kinds_only
+            .as_ref()
+            .is_none_or(|kinds| kinds.contains(&member.kind))
 }
 
 /// A stable spread of ids over a ring, the same at every balancer.
@@ -45,30 +51,49 @@
 }
 
 fn aperture(ring: &[usize], size: usize, settings: &Settings) -> Vec<usize> {
-    let start = ring.len() * (settings.index % settings.balancers) as usize / settings.balancers as usize;
-    (0..ring.len().min(size)).map(|offset| ring[(start + offset) % ring.len()]).collect()
+    let start =
+        ring.len() * (settings.index % settings.balancers) as usize / settings.balancers as usize;
+    (0..ring.len().min(size))
+        .map(|offset| ring[(start + offset) % ring.len()])
+        .collect()
 }
 
 impl Endpoints {
     pub(super) fn choose_subset(&mut self) {
-        let mut ring: Vec<usize> = self.by_id.values().copied().filter(|&i| self.is_open(i)).collect();
+        let mut ring: Vec<usize> = self
+            .by_id
+            .values()
+            .copied()
+            .filter(|&i| self.is_open(i))
+            .collect();
         // Groups stand together on it, so that a guarded request finds others of its group in the subset.
         ring.sort_by_key(|&index| {
             let member = &self.slots[index].member;
-            (ring_position(UpstreamId(member.group.into())), ring_position(member.id), member.id)
+            (
+                ring_position(UpstreamId(member.group.into())),
+                ring_position(member.id),
+                member.id,
+            )
         });
         self.ready = ring.len();
         self.ready_max = self.ready_max.max(self.ready);
         let settings = &self.settings;
         let is_local = |&index: &usize| self.slots[index].member.zone == settings.zone;
-        let zones: BTreeSet<u16> = ring.iter().map(|&index| self.slots[index].member.zone).collect();
+        let zones: BTreeSet<u16> = ring
+            .iter()
+            .map(|&index| self.slots[index].member.zone)
+            .collect();
         let local = ring.iter().filter(|index| is_local(index)).count() as f64;
         let shares = f64::from(settings.balancers).min(zones.len() as f64);
         self.local_share = local / (ring.len() as f64).max(1.0) * shares;
         let zoned = settings.cross_zone_price >= CROSSING_CHEAP;
         let candidates = settings.classes.iter().map(|class| {
-            let allowed = ring.iter().copied().filter(|&index| admits(class, &self.slots[index].member));
-            let (local, remote): (Vec<_>, Vec<_>) = allowed.partition(|index| !zoned || is_local(index));
+            let allowed = ring
+                .iter()
+                .copied()
+                .filter(|&index| admits(class, &self.slots[index].member));
+            let (local, remote): (Vec<_>, Vec<_>) =
+                allowed.partition(|index| !zoned || is_local(index));
             [local, remote].map(|ring| aperture(&ring, self.subset_size, settings))
         });
         self.candidates = candidates.collect();
@@ -76,7 +101,8 @@
 
     /// The subset follows the traffic that keeps its connections open; small changes are not worth new ones.
     pub(super) fn resize_subset(&mut self, requests_per_cycle: f64) {
-        let per_rate = (self.latency.mean * SUBSET_SPREAD).min(self.settings.idle_close / REQUESTS_PER_IDLE);
+        let per_rate =
+            (self.latency.mean * SUBSET_SPREAD).min(self.settings.idle_close / REQUESTS_PER_IDLE);
         let wanted = ((requests_per_cycle / CYCLE * per_rate).min(1e6) as usize).max(SUBSET_MIN);
         if wanted * 4 < self.subset_size * 3 || wanted * 3 > self.subset_size * 4 {
             self.subset_size = wanted;
@@ -85,13 +111,24 @@
     }
 
     /// Picks from the own zone's endpoints, or from the others if `remote`.
-    pub(super) fn pick(&mut self, remote: bool, request: &PickRequest, rng: &mut Pcg64Mcg) -> Option<usize> {
+    pub(super) fn pick(
+        &mut self,
+        remote: bool,
+        request: &PickRequest,
+        rng: &mut Pcg64Mcg,
+    ) -> Option<usize> {
         let zones = usize::from(remote);
-        let count @ 1.. = self.candidates[request.class][zones].len() else { return None };
+        let count @ 1.. = self.candidates[request.class][zones].len() else {
+            return None;
+        };
         let start = below(rng, count);
         let at = |this: &Self, k: usize| this.candidates[request.class][zones][k % count];
         // What slow start allows lapses: thin traffic would hardly ever draw such an endpoint in time.
-        let searched = if request.now < self.slow_start_ends { count } else { 0 };
+        let searched = if request.now < self.slow_start_ends {
+            count
+        } else {
+            0
+        };
         for k in start..start + searched {
             let index = at(self, k);
             let unused = self.slots[index].inflight == 0 && self.warmth(index, request.now) < 1.0;
@@ -110,7 +147,8 @@
             }
         }
         let mut rest = start + DRAWS..start + DRAWS + count;
-        first.or_else(|| rest.find_map(|k| Some(at(self, k)).filter(|&i| self.may_send(i, request))))
+        first
+            .or_else(|| rest.find_map(|k| Some(at(self, k)).filter(|&i| self.may_send(i, request))))
     }
 
     /// Whether an endpoint may be sent this attempt now, also within its slow start.
@@ -122,13 +160,15 @@
             Some((DedupScope::Cell, first_run)) => member.group == first_run.group,
             _ => true,
         };
-        let excluded = request.avoid == Some(index) || !discards_repeat || self.is_overloaded(index, now);
+        let excluded =
+            request.avoid == Some(index) || !discards_repeat || self.is_overloaded(index, now);
         let avoided = excluded || (!request.last_resort && self.is_avoided(index, now));
         let warmth = self.warmth(index, now);
         if avoided || warmth >= 1.0 {
             return !avoided;
         }
-        let rate = request.even_rate * (SLOW_START_MARGIN * self.settings.tip_multiple * warmth).min(1.0);
+        let rate =
+            request.even_rate * (SLOW_START_MARGIN * self.settings.tip_multiple * warmth).min(1.0);
         let endpoint = &mut self.slots[index];
         endpoint.tokens += rate * (now - endpoint.tokens_at);
         endpoint.tokens_at = now;
--- a/src/policy/start_times.rs
+++ b/src/policy/start_times.rs
@@ -27,7 +27,10 @@
     /// When a listed endpoint started; zero: long ago.
     pub(super) fn record(&mut self, member: &Member, now: Millis) -> Millis {
         let reported = member.since;
-        let known = self.by_id.get(&member.id).filter(|start| start.reported == reported);
+        let known = self
+            .by_id
+            .get(&member.id)
+            .filter(|start| start.reported == reported);
         let started = match known {
             Some(start) => start.started,
             None if reported <= 0.0 => 0.0,
@@ -36,13 +39,21 @@
             None if self.follows => reported.max(now - REPORT_DELAY),
             None => reported,
         };
-        self.by_id.insert(member.id, Start { reported, started, seen: now });
+        self.by_id.insert(
+            member.id,
+            Start {
+                reported,
+                started,
+                seen: now,
+            },
+        );
         started
     }
 
     /// A whole list, or what changed in one, has been recorded.
     pub(super) fn end_update(&mut self, now: Millis, is_listed: impl Fn(&UpstreamId) -> bool) {
         self.follows = true;
-        self.by_id.retain(|id, start| now - start.seen < KEPT || is_listed(id));
+        self.by_id
+            .retain(|id, start| now - start.seen < KEPT || is_listed(id));
     }
 }
--- a/src/policy/subscription.rs
+++ b/src/policy/subscription.rs
@@ -59,8 +59,16 @@
             CallFailure::Refused if known => {
                 let moved = self.moved.is_some_and(|at| now - at < settings.ask_within);
                 let stale = !moved && self.is_stale(settings, now);
-                let first = if stale { REFUSED_PAUSE_STALE } else { REFUSED_PAUSE };
-                let most = if moved { REFUSED_PAUSE } else { settings.ask_within * REFUSED_PAUSE_SHARE };
+                let first = if stale {
+                    REFUSED_PAUSE_STALE
+                } else {
+                    REFUSED_PAUSE
+                };
+                let most = if moved {
+                    REFUSED_PAUSE
+                } else {
+                    settings.ask_within * REFUSED_PAUSE_SHARE
+                };
                 (first, most, REFUSED_JITTER)
             }
             _ => (RETRY_PAUSE, settings.ask_within / 3.0, RETRY_JITTER),
@@ -70,6 +78,9 @@
 
     /// Whether discovery has not confirmed the list for so long that endpoints may have begun to drain since.
     pub(super) fn is_stale(&self, settings: &Settings, now: Millis) -> bool {
-        settings.ask_for_list && self.confirmed.is_none_or(|at| now - at >= settings.ask_within)
+        settings.ask_for_list
+            && self
+                .confirmed
+                .is_none_or(|at| now - at >= settings.ask_within)
     }
 }
--- a/tests/classes.rs
+++ b/tests/classes.rs
@@ -8,7 +8,11 @@
 
 /// A tier in which a light class with a short objective shares upstreams with a heavy one, both of which may be repeated.
 fn tier(quota_per_s: f64) -> World {
-    let class = |objective, deadline| Class { objective, deadline, ..class(Effect::Free) };
+    let class = |objective, deadline| Class {
+        objective,
+        deadline,
+        ..class(Effect::Free)
+    };
     let settings = Settings {
         classes: vec![class(300.0, 900.0), class(5000.0, 10_000.0)],
         tenants: tenants(&[1.0], quota_per_s),
@@ -28,7 +32,10 @@
     takes: impl Fn(usize, usize) -> Option<f64>,
 ) -> [(usize, usize); 2] {
     let (mut due, mut tried, mut attempts) = (Vec::new(), std::collections::BTreeMap::new(), 0);
-    let (until, first) = (w.now + span, w.seen.last_key_value().map_or(0, |(id, _)| id.0 + 1));
+    let (until, first) = (
+        w.now + span,
+        w.seen.last_key_value().map_or(0, |(id, _)| id.0 + 1),
+    );
     let mut next = w.now;
     while w.now < until {
         let id = w.seen.last_key_value().map_or(0, |(id, _)| id.0 + 1);
@@ -43,8 +50,14 @@
                     due.extend(takes(s.class, attempts).map(|took| (s.sends[n].1 + took, id, n)));
                 }
             }
-            let soonest = due.iter().enumerate().min_by(|a, b| a.1 .0.total_cmp(&b.1 .0)).map(|(i, _)| i);
-            let Some(i) = soonest.filter(|&i| due[i].0 <= next) else { break };
+            let soonest = due
+                .iter()
+                .enumerate()
+                .min_by(|a, b| a.1 .0.total_cmp(&b.1 .0))
+                .map(|(i, _)| i);
+            let Some(i) = soonest.filter(|&i| due[i].0 <= next) else {
+                break;
+            };
             let (at, id, n) = due.swap_remove(i);
             w.pass((at - w.now).max(0.0));
             if w.seen[&RequestId(id)].ended[n].is_none() {
@@ -56,10 +69,14 @@
     [LIGHT, HEAVY].map(|class| {
         // Those that had time enough.
         let all = w.seen.range(RequestId(first)..).map(|(_, s)| s);
-        let all = all
-            .filter(|s| s.class == class && s.deadline - w.settings.classes[class].deadline < until - 3000.0);
+        let all = all.filter(|s| {
+            s.class == class && s.deadline - w.settings.classes[class].deadline < until - 3000.0
+        });
         let (came, served) = all.fold((0, 0), |(came, served), s| {
-            (came + 1, served + usize::from(s.ended.contains(&Some(Ending::Ok))))
+            (
+                came + 1,
+                served + usize::from(s.ended.contains(&Some(Ending::Ok))),
+            )
         });
         (came, served)
     })
--- a/tests/common/mod.rs
+++ b/tests/common/mod.rs
@@ -15,11 +15,22 @@
 }
 
 pub fn class(effect: Effect) -> Class {
-    Class { objective: 500.0, deadline: 2000.0, effect, ..Class::default() }
+    Class {
+        objective: 500.0,
+        deadline: 2000.0,
+        effect,
+        ..Class::default()
+    }
 }
 
 pub fn tenants(shares: &[f64], quota_per_s: f64) -> Vec<Tenant> {
-    shares.iter().map(|&share| Tenant { share, quota_per_s: quota_per_s * share }).collect()
+    shares
+        .iter()
+        .map(|&share| Tenant {
+            share,
+            quota_per_s: quota_per_s * share,
+        })
+        .collect()
 }
 
 /// A request's life as the checker saw it.
@@ -79,12 +90,15 @@
         let (members, whole) = match &news {
             Membership::Full(m) | Membership::Cached(m) => (m.clone(), true),
             Membership::Delta(m) => (m.clone(), false),
-            Membership::Failed | Membership::Refused | Membership::Unchanged | Membership::Moved => {
-                (Vec::new(), false)
-            }
+            Membership::Failed
+            | Membership::Refused
+            | Membership::Unchanged
+            | Membership::Moved => (Vec::new(), false),
         };
         if whole {
-            self.listed.values_mut().for_each(|m| m.availability = Availability::Gone);
+            self.listed
+                .values_mut()
+                .for_each(|m| m.availability = Availability::Gone);
         }
         self.listed.extend(members.into_iter().map(|m| (m.id, m)));
         self.event(Event::Membership(news));
@@ -97,16 +111,31 @@
 
     pub fn restore(&mut self, id: u64) {
         self.suspended.remove(&UpstreamId(id));
-        self.event(Event::Restore { upstream: UpstreamId(id), since: self.now });
+        self.event(Event::Restore {
+            upstream: UpstreamId(id),
+            since: self.now,
+        });
     }
 
     pub fn request(&mut self, id: u32, class: usize, tenant: usize) -> Vec<Action> {
         let deadline = self.now + self.settings.classes[class].deadline;
         let id = RequestId(id);
         let (sends, until, ended) = (Vec::new(), Vec::new(), Vec::new());
-        let fresh = Seen { class, deadline, sends, until, ended, answered: false };
+        let fresh = Seen {
+            class,
+            deadline,
+            sends,
+            until,
+            ended,
+            answered: false,
+        };
         self.seen.insert(id, fresh);
-        self.event(Event::Request(Request { id, class, tenant, deadline }))
+        self.event(Event::Request(Request {
+            id,
+            class,
+            tenant,
+            deadline,
+        }))
     }
 
     pub fn outcome(&mut self, id: u32, attempt: usize, ending: Ending) -> Vec<Action> {
@@ -116,11 +145,20 @@
         seen.answered |= ending == Ending::Ok;
         let duration = self.now - seen.sends[attempt].1;
         let closed = seen.answered;
-        self.event(Event::Outcome { request, attempt: attempt as u32, ending, duration, closed })
+        self.event(Event::Outcome {
+            request,
+            attempt: attempt as u32,
+            ending,
+            duration,
+            closed,
+        })
     }
 
     pub fn gone(&mut self, id: u32) -> Vec<Action> {
-        self.seen.get_mut(&RequestId(id)).expect("a known request").answered = true;
+        self.seen
+            .get_mut(&RequestId(id))
+            .expect("a known request")
+            .answered = true;
         self.event(Event::ClientGone(RequestId(id)))
     }
 
@@ -157,7 +195,9 @@
     /// Puts the answer to the newest attempt of a request on its way.
     fn answer(&mut self, id: u32, server: &dyn Fn(UpstreamId) -> Option<(Ending, f64)>) {
         let seen = &self.seen[&RequestId(id)];
-        let Some(&(upstream, _)) = seen.sends.last() else { return };
+        let Some(&(upstream, _)) = seen.sends.last() else {
+            return;
+        };
         let attempt = seen.sends.len() - 1;
         if seen.ended[attempt].is_none() {
             if let Some((ending, after)) = server(upstream) {
@@ -173,7 +213,8 @@
         for s in self.seen.values() {
             let late: Vec<_> = s.sends.iter().filter(|(_, at)| *at >= from).collect();
             requests += usize::from(!late.is_empty());
-            late.iter().for_each(|(id, _)| *to.entry(*id).or_insert(0) += 1);
+            late.iter()
+                .for_each(|(id, _)| *to.entry(*id).or_insert(0) += 1);
         }
         (requests, to)
     }
@@ -186,11 +227,16 @@
                 let out = (0..s.ended.len()).filter(|&n| s.ended[n].is_none());
                 out.min_by(|&a, &b| s.until[a].total_cmp(&s.until[b]))
             };
-            let late = self.seen.iter().filter_map(|(id, s)| Some((id, s, next_out(s)?)));
+            let late = self
+                .seen
+                .iter()
+                .filter_map(|(id, s)| Some((id, s, next_out(s)?)));
             let due = late.map(|(id, s, n)| (s.until[n].max(self.now), Some(*id), n as u32));
             let timers = self.timers.iter().map(|&(at, token)| (at, None, token));
             let next = due.chain(timers).min_by(|a, b| a.0.total_cmp(&b.0));
-            let Some((at, request, token)) = next.filter(|n| n.0 <= until) else { break };
+            let Some((at, request, token)) = next.filter(|n| n.0 <= until) else {
+                break;
+            };
             self.now = at;
             match request {
                 Some(id) => {
@@ -202,7 +248,11 @@
                     );
                 }
                 None => {
-                    let i = self.timers.iter().position(|t| *t == (at, token)).expect("the timer");
+                    let i = self
+                        .timers
+                        .iter()
+                        .position(|t| *t == (at, token))
+                        .expect("the timer");
                     self.timers.remove(i);
                     self.event(Event::Timer(token));
                 }
@@ -229,9 +279,17 @@
         let now = self.now;
         let may = |w: &Self, s: &Seen| s.ended.iter().position(|e| !w.proves(*e));
         match action {
-            Action::Send { request, upstream, timeout } => {
+            Action::Send {
+                request,
+                upstream,
+                timeout,
+            } => {
                 let m = &self.listed[upstream];
-                assert_eq!(m.availability, Availability::Ready, "{request:?} sent to {m:?}");
+                assert_eq!(
+                    m.availability,
+                    Availability::Ready,
+                    "{request:?} sent to {m:?}"
+                );
                 assert!(
                     !self.suspended.contains(upstream),
                     "{request:?} sent to {m:?}, which staff left out"
@@ -272,7 +330,11 @@
                 }
                 let s = self.seen.get_mut(request).expect("a known request");
                 assert!(*timeout >= 0.0, "{request:?} times out at once");
-                s.until.push(if *timeout > 0.0 { s.deadline.min(now + timeout) } else { s.deadline });
+                s.until.push(if *timeout > 0.0 {
+                    s.deadline.min(now + timeout)
+                } else {
+                    s.deadline
+                });
                 s.sends.push((*upstream, now));
                 s.ended.push(None);
             }
@@ -281,15 +343,24 @@
                 assert!(!s.answered, "{request:?} answered twice");
                 if matches!(action, Action::Refuse { .. }) {
                     let harmless = match self.settings.classes[s.class].effect {
-                        Effect::Free | Effect::Guarded { scope: DedupScope::All, .. } => true,
+                        Effect::Free
+                        | Effect::Guarded {
+                            scope: DedupScope::All,
+                            ..
+                        } => true,
                         _ => may(self, s).is_none(),
                     };
                     assert!(harmless, "{request:?} refused though it may have run");
                 }
-                self.seen.get_mut(request).expect("a known request").answered = true;
+                self.seen
+                    .get_mut(request)
+                    .expect("a known request")
+                    .answered = true;
             }
             Action::Cancel { request, attempt } => {
-                assert!(self.settings.cancel && (*attempt as usize) < self.seen[request].sends.len());
+                assert!(
+                    self.settings.cancel && (*attempt as usize) < self.seen[request].sends.len()
+                );
             }
             Action::SetTimer { after, token } => self.timers.push((now + after, *token)),
             Action::Subscribe => assert!(self.settings.ask_for_list, "the list is pushed"),
--- a/tests/limits.rs
+++ b/tests/limits.rs
@@ -6,7 +6,10 @@
 /// The post prints whole numbers, rounded loosely: it has A at 3 in cycle 3, where its demand was 3.
 fn near(got: &[f64], want: &[f64]) {
     for (g, w) in got.iter().zip(want) {
-        assert!((g - w).abs() <= 0.75, "limits {got:?}, the table has {want:?}");
+        assert!(
+            (g - w).abs() <= 0.75,
+            "limits {got:?}, the table has {want:?}"
+        );
     }
 }
 
@@ -24,13 +27,29 @@
 #[test]
 fn edges() {
     assert_eq!(limits(0.0, &[3.0, 0.0], &[1.0, 1.0], 0.1), [0.0, 0.0]);
-    assert_eq!(limits(12.0, &[50.0], &[1.0], 0.1), [12.0], "one tenant has it all and no one to borrow from");
+    assert_eq!(
+        limits(12.0, &[50.0], &[1.0], 0.1),
+        [12.0],
+        "one tenant has it all and no one to borrow from"
+    );
     assert_eq!(limits(12.0, &[0.0], &[1.0], 0.1), [12.0]);
-    assert_eq!(limits(30.0, &[90.0, 40.0, 70.0], &[1.0; 3], 0.1), [10.0; 3], "all over: the defaults");
-    assert_eq!(limits(10.0, &[5.0, 5.0], &[0.0, 0.0], 0.1), [5.0, 5.0], "shares of an empty total");
+    assert_eq!(
+        limits(30.0, &[90.0, 40.0, 70.0], &[1.0; 3], 0.1),
+        [10.0; 3],
+        "all over: the defaults"
+    );
+    assert_eq!(
+        limits(10.0, &[5.0, 5.0], &[0.0, 0.0], 0.1),
+        [5.0, 5.0],
+        "shares of an empty total"
+    );
     assert!(limits(10.0, &[], &[], 0.1).is_empty());
     let unequal = limits(100.0, &[500.0, 5.0], &[3.0, 1.0], 0.1);
-    assert_eq!(unequal, [95.0, 5.0], "stated shares set the defaults; what is unused is lent");
+    assert_eq!(
+        unequal,
+        [95.0, 5.0],
+        "stated shares set the defaults; what is unused is lent"
+    );
 }
 
 #[test]
@@ -48,6 +67,9 @@
             "{capacity} {demands:?} {weights:?}: {got:?}"
         );
         let sum: f64 = got.iter().sum();
-        assert!(sum <= capacity * (1.0 + 1e-9) + 1e-9, "{capacity} {demands:?} {weights:?}: {got:?}");
+        assert!(
+            sum <= capacity * (1.0 + 1e-9) + 1e-9,
+            "{capacity} {demands:?} {weights:?}: {got:?}"
+        );
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -12,10 +12,15 @@
 
 fn storm(seed: u64) -> Vec<Action> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let guarded = |scope| Effect::Guarded { scope, window: 700.0 };
+    let guarded = |scope| Effect::Guarded {
+        scope,
+        window: 700.0,
+    };
     // Where late answers earn nothing, requests end before the window does: half of the storms let them last.
-    let class =
-        |effect| Class { late_worth: if seed.is_multiple_of(2) { 0.5 } else { 0.0 }, ..class(effect) };
+    let class = |effect| Class {
+        late_worth: if seed.is_multiple_of(2) { 0.5 } else { 0.0 },
+        ..class(effect)
+    };
     let settings = Settings {
         classes: vec![
             class(Effect::Free),
@@ -23,12 +28,26 @@
             class(guarded(DedupScope::Cell)),
             class(guarded(DedupScope::All)),
             class(guarded(DedupScope::Zone)),
-            Class { runs_in: Some(vec![1]), ..class(Effect::SingleShot) },
-            Class { kinds_only: Some(vec![0, 2]), ..class(Effect::Free) },
-            Class { runs_in: Some(vec![0]), kinds_only: Some(vec![1]), ..class(guarded(DedupScope::All)) },
+            Class {
+                runs_in: Some(vec![1]),
+                ..class(Effect::SingleShot)
+            },
+            Class {
+                kinds_only: Some(vec![0, 2]),
+                ..class(Effect::Free)
+            },
+            Class {
+                runs_in: Some(vec![0]),
+                kinds_only: Some(vec![1]),
+                ..class(guarded(DedupScope::All))
+            },
         ],
         late_shedding: seed % 4 < 2,
-        tenants: if seed.is_multiple_of(2) { Vec::new() } else { tenants(&[0.5, 0.3, 0.2], 40.0) },
+        tenants: if seed.is_multiple_of(2) {
+            Vec::new()
+        } else {
+            tenants(&[0.5, 0.3, 0.2], 40.0)
+        },
         attempts_cap: 1 + rng.next_u32() % 4,
         cancel: !seed.is_multiple_of(5),
         ask_for_list: seed % 8 < 4,
@@ -37,7 +56,11 @@
         cross_zone_price: 0.2,
         ..Settings::default()
     };
-    let zoned = |id: u64| Member { zone: (id % 2) as u16, kind: (id % 3) as u8, ..member(id) };
+    let zoned = |id: u64| Member {
+        zone: (id % 2) as u16,
+        kind: (id % 3) as u8,
+        ..member(id)
+    };
     let mut world = World::new(settings, seed, (1..9).map(zoned).collect());
     let mut since = 0.0;
     for id in 0..1500u32 {
@@ -47,10 +70,17 @@
                 since += 1000.0;
                 let id = 1 + u64::from(rng.next_u32() % 12);
                 let ready = Availability::Ready;
-                let availability =
-                    pick(&mut rng, &[ready, ready, Availability::Draining, Availability::Gone]);
-                if availability != Availability::Gone || world.listed.contains_key(&UpstreamId(id)) {
-                    world.list(Membership::Delta(vec![Member { availability, since, ..zoned(id) }]));
+                let availability = pick(
+                    &mut rng,
+                    &[ready, ready, Availability::Draining, Availability::Gone],
+                );
+                if availability != Availability::Gone || world.listed.contains_key(&UpstreamId(id))
+                {
+                    world.list(Membership::Delta(vec![Member {
+                        availability,
+                        since,
+                        ..zoned(id)
+                    }]));
                 }
             }
             1 if id.is_multiple_of(7) => world.list(Membership::Full((1..7).map(zoned).collect())),
@@ -78,7 +108,11 @@
         ];
         for _ in 0..rng.next_u32() % 4 {
             let open = |s: &Seen| s.ended.iter().position(Option::is_none);
-            let out: Vec<_> = world.seen.iter().filter_map(|(id, s)| Some((id.0, open(s)?))).collect();
+            let out: Vec<_> = world
+                .seen
+                .iter()
+                .filter_map(|(id, s)| Some((id.0, open(s)?)))
+                .collect();
             if let Some(&(id, attempt)) = out.get(rng.next_u32() as usize % out.len().max(1)) {
                 match rng.next_u32() % 12 {
                     0 => drop(world.gone(id)),
@@ -88,7 +122,10 @@
         }
     }
     world.pass(10_000.0);
-    assert!(world.seen.values().all(|s| s.answered), "every request has its final answer");
+    assert!(
+        world.seen.values().all(|s| s.answered),
+        "every request has its final answer"
+    );
     world.log
 }
 
@@ -96,9 +133,15 @@
 fn random_storms_keep_the_rules() {
     let mut sends = 0;
     for seed in 0..16 {
-        sends += storm(seed).iter().filter(|a| matches!(a, Action::Send { .. })).count();
+        sends += storm(seed)
+            .iter()
+            .filter(|a| matches!(a, Action::Send { .. }))
+            .count();
     }
-    assert!(sends > 4000, "the storms sent {sends} attempts only: too few to prove anything");
+    assert!(
+        sends > 4000,
+        "the storms sent {sends} attempts only: too few to prove anything"
+    );
 }
 
 #[test]
@@ -109,33 +152,82 @@
 
 fn one_class(effect: Effect) -> Settings {
     // Late answers are worth something, so that requests last until their deadline.
-    let class = Class { late_worth: 0.5, ..class(effect) };
-    Settings { classes: vec![class], ..Settings::default() }
+    let class = Class {
+        late_worth: 0.5,
+        ..class(effect)
+    };
+    Settings {
+        classes: vec![class],
+        ..Settings::default()
+    }
 }
 
 #[test]
 fn a_single_shot_goes_on_after_proof_that_it_never_ran_and_stops_otherwise() {
-    let mut world = World::new(one_class(Effect::SingleShot), 1, (1..5).map(member).collect());
+    let mut world = World::new(
+        one_class(Effect::SingleShot),
+        1,
+        (1..5).map(member).collect(),
+    );
     world.request(1, 0, 0);
-    assert!(matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Send { .. }]), "never ran: sent again");
-    assert!(matches!(world.outcome(1, 1, Ending::Full)[..], [Action::Send { .. }]));
-    assert!(matches!(world.outcome(1, 2, Ending::Full)[..], [Action::Refuse { .. }]), "attempts are spent");
+    assert!(
+        matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Send { .. }]),
+        "never ran: sent again"
+    );
+    assert!(matches!(
+        world.outcome(1, 1, Ending::Full)[..],
+        [Action::Send { .. }]
+    ));
+    assert!(
+        matches!(
+            world.outcome(1, 2, Ending::Full)[..],
+            [Action::Refuse { .. }]
+        ),
+        "attempts are spent"
+    );
     world.request(2, 0, 0);
-    assert!(matches!(world.outcome(2, 0, Ending::Reset)[..], [Action::Fail { .. }]), "it may have run");
+    assert!(
+        matches!(
+            world.outcome(2, 0, Ending::Reset)[..],
+            [Action::Fail { .. }]
+        ),
+        "it may have run"
+    );
 }
 
 #[test]
 fn full_is_no_proof_where_upstreams_shed_work_that_they_had_begun() {
-    let settings = Settings { late_shedding: true, ..one_class(Effect::SingleShot) };
+    let settings = Settings {
+        late_shedding: true,
+        ..one_class(Effect::SingleShot)
+    };
     let mut world = World::new(settings, 1, (1..5).map(member).collect());
     world.request(1, 0, 0);
-    assert!(matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Fail { .. }]), "it may have run");
+    assert!(
+        matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Fail { .. }]),
+        "it may have run"
+    );
     world.request(2, 0, 0);
-    assert!(matches!(world.outcome(2, 0, Ending::ConnectFailed)[..], [Action::Send { .. }]), "it never ran");
+    assert!(
+        matches!(
+            world.outcome(2, 0, Ending::ConnectFailed)[..],
+            [Action::Send { .. }]
+        ),
+        "it never ran"
+    );
 
-    let guarded = Effect::Guarded { scope: DedupScope::Cell, window: 700.0 };
-    let settings = Settings { late_shedding: true, ..one_class(guarded) };
-    let groups = |id| Member { group: (id % 2) as u16, ..member(id) };
+    let guarded = Effect::Guarded {
+        scope: DedupScope::Cell,
+        window: 700.0,
+    };
+    let settings = Settings {
+        late_shedding: true,
+        ..one_class(guarded)
+    };
+    let groups = |id| Member {
+        group: (id % 2) as u16,
+        ..member(id)
+    };
     let mut world = World::new(settings, 1, (1..9).map(groups).collect());
     for id in 0..40 {
         world.request(id, 0, 0);
@@ -151,23 +243,42 @@
 /// Guards against repeats that wait for a connection and arrive when upstreams no longer discard them.
 #[test]
 fn a_guarded_request_is_not_repeated_where_connecting_could_outlast_its_window() {
-    let guarded = Effect::Guarded { scope: DedupScope::All, window: 700.0 };
+    let guarded = Effect::Guarded {
+        scope: DedupScope::All,
+        window: 700.0,
+    };
     for (after, repeated) in [(550.0, true), (620.0, false)] {
-        let settings = Settings { connect_timeout: 100.0, ..one_class(guarded) };
+        let settings = Settings {
+            connect_timeout: 100.0,
+            ..one_class(guarded)
+        };
         let mut world = World::new(settings, 1, (1..5).map(member).collect());
         world.request(1, 0, 0);
         world.pass(after);
         let actions = world.outcome(1, 0, Ending::Reset);
-        let sent = actions.iter().any(|action| matches!(action, Action::Send { .. }));
+        let sent = actions
+            .iter()
+            .any(|action| matches!(action, Action::Send { .. }));
         assert_eq!(sent, repeated, "{after} ms after the first attempt");
     }
 }
 
 #[test]
 fn a_class_goes_only_where_it_is_placed_and_is_refused_when_nothing_there_is_ready() {
-    let placed = Class { runs_in: Some(vec![1]), kinds_only: Some(vec![2]), ..class(Effect::Free) };
-    let settings = Settings { classes: vec![placed], ..Settings::default() };
-    let far = |id| Member { zone: (id % 2) as u16, kind: (id % 3) as u8, ..member(id) };
+    let placed = Class {
+        runs_in: Some(vec![1]),
+        kinds_only: Some(vec![2]),
+        ..class(Effect::Free)
+    };
+    let settings = Settings {
+        classes: vec![placed],
+        ..Settings::default()
+    };
+    let far = |id| Member {
+        zone: (id % 2) as u16,
+        kind: (id % 3) as u8,
+        ..member(id)
+    };
     // Of sixty, ten are open to the class: drawing among all would miss them often.
     let mut world = World::new(settings, 1, (1..=60).map(far).collect());
     for id in 0..200 {
@@ -175,31 +286,62 @@
             matches!(world.request(id, 0, 0)[..], [.., Action::Send { .. }]),
             "request {id} finds a place"
         );
-        world.outcome(id, 0, if id % 9 == 0 { Ending::ConnectFailed } else { Ending::Ok });
+        world.outcome(
+            id,
+            0,
+            if id % 9 == 0 {
+                Ending::ConnectFailed
+            } else {
+                Ending::Ok
+            },
+        );
         if world.seen[&RequestId(id)].ended.last() == Some(&None) {
             world.outcome(id, 1, Ending::Ok);
         }
     }
     let elsewhere = |id: &u64| !(id % 2 == 1 && id % 3 == 2);
-    world.list(Membership::Full((1..=60).filter(elsewhere).map(far).collect()));
-    assert!(matches!(world.request(999, 0, 0)[..], [Action::Refuse { .. }]), "never anywhere else");
+    world.list(Membership::Full(
+        (1..=60).filter(elsewhere).map(far).collect(),
+    ));
+    assert!(
+        matches!(world.request(999, 0, 0)[..], [Action::Refuse { .. }]),
+        "never anywhere else"
+    );
 }
 
 #[test]
 fn bad_settings_name_their_field() {
     let field = |change: &dyn Fn(&mut Settings)| {
-        let mut s = Settings { tenants: tenants(&[1.0], 10.0), ..Settings::default() };
+        let mut s = Settings {
+            tenants: tenants(&[1.0], 10.0),
+            ..Settings::default()
+        };
         change(&mut s);
         Balancer::new(s, 1, 0.0).err().map(|e| e.field)
     };
     assert_eq!(field(&|_| {}), None);
     assert_eq!(field(&|s| s.balancers = 0), Some("balancers"));
     assert_eq!(field(&|s| s.classes.clear()), Some("classes"));
-    assert_eq!(field(&|s| s.classes[0].objective = f64::NAN), Some("classes.objective"));
-    assert_eq!(field(&|s| s.classes[0].deadline = -1.0), Some("classes.deadline"));
-    assert_eq!(field(&|s| s.classes[0].runs_in = Some(Vec::new())), Some("classes.runs_in"));
-    assert_eq!(field(&|s| s.classes[0].kinds_only = Some(Vec::new())), Some("classes.kinds_only"));
-    assert_eq!(field(&|s| s.tenants[0].quota_per_s = 1e300), Some("tenants.quota_per_s"));
+    assert_eq!(
+        field(&|s| s.classes[0].objective = f64::NAN),
+        Some("classes.objective")
+    );
+    assert_eq!(
+        field(&|s| s.classes[0].deadline = -1.0),
+        Some("classes.deadline")
+    );
+    assert_eq!(
+        field(&|s| s.classes[0].runs_in = Some(Vec::new())),
+        Some("classes.runs_in")
+    );
+    assert_eq!(
+        field(&|s| s.classes[0].kinds_only = Some(Vec::new())),
+        Some("classes.kinds_only")
+    );
+    assert_eq!(
+        field(&|s| s.tenants[0].quota_per_s = 1e300),
+        Some("tenants.quota_per_s")
+    );
     assert_eq!(field(&|s| s.ramp_time = f64::INFINITY), Some("ramp_time"));
     assert_eq!(field(&|s| s.ask_within = 0.0), Some("ask_within"));
 }
@@ -210,23 +352,43 @@
     type Change = &'static dyn Fn(&mut Settings);
     let changes: [(&str, Change); 12] = [
         ("no tenants", &|s| s.tenants.clear()),
-        ("tenants without a share or a quota", &|s| s.tenants = tenants(&[0.0, 0.0], 0.0)),
-        ("an objective over the deadline", &|s| s.classes[0].objective = 60_000.0),
-        ("an objective of almost nothing", &|s| s.classes[0].objective = 0.001),
+        ("tenants without a share or a quota", &|s| {
+            s.tenants = tenants(&[0.0, 0.0], 0.0)
+        }),
+        ("an objective over the deadline", &|s| {
+            s.classes[0].objective = 60_000.0
+        }),
+        ("an objective of almost nothing", &|s| {
+            s.classes[0].objective = 0.001
+        }),
         ("worth that lasts", &|s| s.classes[0].late_worth = 1.0),
-        ("a number beyond the copies stated", &|s| (s.index, s.balancers) = (700, 3)),
-        ("a zone of its own", &|s| (s.zone, s.cross_zone_price) = (9, 1.0)),
-        ("nothing cold, no window", &|s| (s.cold_from, s.ramp_time, s.tip_window) = (1.0, 0.0, 0.0)),
-        ("all cold", &|s| (s.cold_from, s.ramp_time, s.tip_window) = (0.0, 1e15, 1e15)),
+        ("a number beyond the copies stated", &|s| {
+            (s.index, s.balancers) = (700, 3)
+        }),
+        ("a zone of its own", &|s| {
+            (s.zone, s.cross_zone_price) = (9, 1.0)
+        }),
+        ("nothing cold, no window", &|s| {
+            (s.cold_from, s.ramp_time, s.tip_window) = (1.0, 0.0, 0.0)
+        }),
+        ("all cold", &|s| {
+            (s.cold_from, s.ramp_time, s.tip_window) = (0.0, 1e15, 1e15)
+        }),
         ("one attempt", &|s| s.attempts_cap = 1),
         ("connections that never rest", &|s| s.idle_close = 0.0),
         ("a lower tier", &|s| s.stage = 7),
     ];
     for (what, change) in changes {
-        let mut settings = Settings { tenants: tenants(&[0.7, 0.3], 90.0), ..one_class(Effect::Free) };
+        let mut settings = Settings {
+            tenants: tenants(&[0.7, 0.3], 90.0),
+            ..one_class(Effect::Free)
+        };
         settings.cross_zone_price = 0.01;
         change(&mut settings);
-        let in_zones = |id| Member { zone: (id % 3) as u16, ..member(id) };
+        let in_zones = |id| Member {
+            zone: (id % 3) as u16,
+            ..member(id)
+        };
         let mut w = World::new(settings, 5, (1..=9).map(in_zones).collect());
         w.traffic(5000.0, 40.0, &[0, 1, 5], &|_| Some((Ending::Ok, 20.0)));
         let (sent, _) = w.sent_since(0.0);
@@ -236,25 +398,51 @@
 
 #[test]
 fn a_guarded_request_is_repeated_within_its_group_and_window_only() {
-    let guarded = Effect::Guarded { scope: DedupScope::Cell, window: 700.0 };
-    let members = |group| (1..5).map(|id| Member { group, ..member(id) }).collect::<Vec<_>>();
+    let guarded = Effect::Guarded {
+        scope: DedupScope::Cell,
+        window: 700.0,
+    };
+    let members = |group| {
+        (1..5)
+            .map(|id| Member {
+                group,
+                ..member(id)
+            })
+            .collect::<Vec<_>>()
+    };
     let mut world = World::new(one_class(guarded), 1, members(4));
     world.request(1, 0, 0);
     world.pass(600.0);
-    assert!(matches!(world.outcome(1, 0, Ending::Error)[..], [Action::Send { .. }]), "they remember it");
+    assert!(
+        matches!(
+            world.outcome(1, 0, Ending::Error)[..],
+            [Action::Send { .. }]
+        ),
+        "they remember it"
+    );
     world.request(2, 0, 0);
     world.pass(701.0);
     assert!(
-        matches!(world.outcome(2, 0, Ending::Error)[..], [Action::Fail { .. }]),
+        matches!(
+            world.outcome(2, 0, Ending::Error)[..],
+            [Action::Fail { .. }]
+        ),
         "they have forgotten it"
     );
-    let strangers = (1..5).map(|id| Member { group: id as u16, ..member(id) }).collect();
+    let strangers = (1..5)
+        .map(|id| Member {
+            group: id as u16,
+            ..member(id)
+        })
+        .collect();
     let mut world = World::new(one_class(guarded), 1, strangers);
     world.request(1, 0, 0);
     let again = world.outcome(1, 0, Ending::Error);
     let to = |a: &Action| matches!(a, Action::Send { upstream, .. } if *upstream == world.seen[&RequestId(1)].sends[0].0);
     assert!(
-        again.iter().all(|a| matches!(a, Action::Fail { .. }) || to(a)),
+        again
+            .iter()
+            .all(|a| matches!(a, Action::Fail { .. }) || to(a)),
         "no other has its key: {again:?}"
     );
 }
@@ -262,15 +450,27 @@
 #[test]
 fn an_upstream_that_drains_or_is_gone_gets_nothing_from_then_on() {
     let mut world = World::new(Settings::default(), 1, (1..4).map(member).collect());
-    let gone = |id, availability| Member { availability, ..member(id) };
-    world.list(Membership::Delta(vec![gone(1, Availability::Draining), gone(2, Availability::Gone)]));
+    let gone = |id, availability| Member {
+        availability,
+        ..member(id)
+    };
+    world.list(Membership::Delta(vec![
+        gone(1, Availability::Draining),
+        gone(2, Availability::Gone),
+    ]));
     for id in 0..50 {
         world.request(id, 0, 0);
         world.outcome(id, 0, Ending::Ok);
     }
-    assert!(world.seen.values().all(|s| s.sends.iter().all(|(to, _)| *to == UpstreamId(3))));
+    assert!(world
+        .seen
+        .values()
+        .all(|s| s.sends.iter().all(|(to, _)| *to == UpstreamId(3))));
     world.list(Membership::Full(Vec::new()));
-    assert!(matches!(world.request(99, 0, 0)[..], [Action::Refuse { .. }]), "what a full list lacks is gone");
+    assert!(
+        matches!(world.request(99, 0, 0)[..], [Action::Refuse { .. }]),
+        "what a full list lacks is gone"
+    );
 }
 
 /// Staff take a machine out: the list may drop it, name it again or call it ready, and it still gets nothing.
@@ -284,15 +484,30 @@
             world.outcome(id, 0, Ending::Ok);
             world.pass(100.0);
         }
-        world.sent_since(start).1.get(&UpstreamId(1)).copied().unwrap_or(0)
+        world
+            .sent_since(start)
+            .1
+            .get(&UpstreamId(1))
+            .copied()
+            .unwrap_or(0)
     };
     assert!(sent(&mut world, 0) > 0, "it is in use before");
     world.suspend(1);
     world.suspend(1);
-    assert_eq!((sent(&mut world, 100), world.balancer.upstreams(world.now)), (0, (3, 1)));
+    assert_eq!(
+        (sent(&mut world, 100), world.balancer.upstreams(world.now)),
+        (0, (3, 1))
+    );
     world.list(Membership::Full((2..4).map(member).collect()));
-    assert_eq!(world.balancer.upstreams(world.now), (2, 0), "what is not listed is not counted");
-    world.list(Membership::Delta(vec![Member { since: world.now, ..member(1) }]));
+    assert_eq!(
+        world.balancer.upstreams(world.now),
+        (2, 0),
+        "what is not listed is not counted"
+    );
+    world.list(Membership::Delta(vec![Member {
+        since: world.now,
+        ..member(1)
+    }]));
     assert_eq!(sent(&mut world, 200), 0, "gone and back");
     world.list(Membership::Full((1..4).map(member).collect()));
     assert_eq!(sent(&mut world, 300), 0, "a whole new list");
@@ -305,59 +520,132 @@
 fn where_all_upstreams_are_suspended_calls_are_refused_at_once() {
     let mut world = World::new(Settings::default(), 1, (1..4).map(member).collect());
     (1..4).for_each(|id| world.suspend(id));
-    assert!(matches!(world.request(1, 0, 0)[..], [Action::Refuse { .. }]));
+    assert!(matches!(
+        world.request(1, 0, 0)[..],
+        [Action::Refuse { .. }]
+    ));
 }
 
 #[test]
 fn no_ready_upstream_is_a_refusal_at_once() {
     let mut world = World::new(Settings::default(), 1, Vec::new());
-    assert!(matches!(world.request(1, 0, 0)[..], [Action::Refuse { .. }]));
-    world.list(Membership::Full(vec![Member { availability: Availability::Draining, ..member(1) }]));
-    assert!(matches!(world.request(2, 0, 0)[..], [Action::Refuse { .. }]));
+    assert!(matches!(
+        world.request(1, 0, 0)[..],
+        [Action::Refuse { .. }]
+    ));
+    world.list(Membership::Full(vec![Member {
+        availability: Availability::Draining,
+        ..member(1)
+    }]));
+    assert!(matches!(
+        world.request(2, 0, 0)[..],
+        [Action::Refuse { .. }]
+    ));
 }
 
 #[test]
 fn a_killed_instance_starts_from_nothing_but_its_cached_list() {
-    let settings = Settings { ask_for_list: true, ..Settings::default() };
+    let settings = Settings {
+        ask_for_list: true,
+        ..Settings::default()
+    };
     let mut world = World::new(settings.clone(), 5, vec![member(1)]);
     world.request(1, 0, 0);
     let mut again = World::new(settings, 6, vec![member(1)]);
-    assert!(again.log.contains(&Action::Subscribe), "it asks for the list at once");
-    let late =
-        Event::Outcome { request: RequestId(1), attempt: 0, ending: Ending::Ok, duration: 5.0, closed: true };
-    assert!(again.event(late).is_empty(), "outcomes of a former life are ignored");
+    assert!(
+        again.log.contains(&Action::Subscribe),
+        "it asks for the list at once"
+    );
+    let late = Event::Outcome {
+        request: RequestId(1),
+        attempt: 0,
+        ending: Ending::Ok,
+        duration: 5.0,
+        closed: true,
+    };
+    assert!(
+        again.event(late).is_empty(),
+        "outcomes of a former life are ignored"
+    );
     assert!(matches!(again.request(2, 0, 0)[..], [Action::Send { .. }]));
 }
 
 #[test]
 fn unknown_classes_tenants_requests_and_timers_do_no_harm() {
     let mut world = World::new(Settings::default(), 1, vec![member(1)]);
-    let stranger = Request { id: RequestId(9), class: 7, tenant: 7, deadline: 900.0 };
+    let stranger = Request {
+        id: RequestId(9),
+        class: 7,
+        tenant: 7,
+        deadline: 900.0,
+    };
     let mut actions = Vec::new();
-    world.balancer.handle(0.0, Event::Request(stranger), &mut actions);
-    assert!(matches!(actions[..], [Action::Refuse { .. }]), "an unknown class is refused: nothing has run");
+    world
+        .balancer
+        .handle(0.0, Event::Request(stranger), &mut actions);
+    assert!(
+        matches!(actions[..], [Action::Refuse { .. }]),
+        "an unknown class is refused: nothing has run"
+    );
     assert!(world.event(Event::ClientGone(RequestId(77))).is_empty());
     assert!(world.event(Event::Timer(12345)).is_empty());
-    assert!(world.event(Event::Streaming { request: RequestId(77), attempt: 3 }).is_empty());
-    assert!(matches!(world.request(1, 0, 999)[..], [Action::Send { .. }]), "an unlisted tenant is served");
+    assert!(world
+        .event(Event::Streaming {
+            request: RequestId(77),
+            attempt: 3
+        })
+        .is_empty());
+    assert!(
+        matches!(world.request(1, 0, 999)[..], [Action::Send { .. }]),
+        "an unlisted tenant is served"
+    );
 }
 
 /// The module must not panic, whatever the host hands it.
 #[test]
 fn odd_numbers_for_times_do_no_harm() {
-    let odd = [f64::NAN, f64::INFINITY, f64::NEG_INFINITY, -5.0, 0.0, 1e300, 40.0];
+    let odd = [
+        f64::NAN,
+        f64::INFINITY,
+        f64::NEG_INFINITY,
+        -5.0,
+        0.0,
+        1e300,
+        40.0,
+    ];
     let mut balancer = Balancer::new(one_class(Effect::Free), 3, 0.0).expect("settings");
     let mut actions = Vec::new();
     for (n, &now) in odd.iter().cycle().take(500).enumerate() {
         let (id, value) = (RequestId(n as u32), odd[n / 7 % 7]);
-        let list = (1..5).map(|id| Member { since: value, ..member(id) }).collect();
+        let list = (1..5)
+            .map(|id| Member {
+                since: value,
+                ..member(id)
+            })
+            .collect();
         balancer.handle(now, Event::Membership(Membership::Full(list)), &mut actions);
-        let request = Request { id, class: 0, tenant: n % 3, deadline: value };
+        let request = Request {
+            id,
+            class: 0,
+            tenant: n % 3,
+            deadline: value,
+        };
         balancer.handle(now, Event::Request(request), &mut actions);
-        let (attempt, ending) =
-            (n as u32 % 2, if n.is_multiple_of(3) { Ending::Timeout } else { Ending::Ok });
-        let outcome =
-            Event::Outcome { request: id, attempt, ending, duration: value, closed: n.is_multiple_of(2) };
+        let (attempt, ending) = (
+            n as u32 % 2,
+            if n.is_multiple_of(3) {
+                Ending::Timeout
+            } else {
+                Ending::Ok
+            },
+        );
+        let outcome = Event::Outcome {
+            request: id,
+            attempt,
+            ending,
+            duration: value,
+            closed: n.is_multiple_of(2),
+        };
         balancer.handle(now, outcome.clone(), &mut actions);
         balancer.handle(now, outcome, &mut actions);
         balancer.handle(now, Event::Timer(0), &mut actions);
@@ -366,12 +654,19 @@
         Action::Send { timeout, .. } => Some(*timeout),
         _ => None,
     });
-    assert!(spans.clone().count() > 0 && !spans.clone().any(f64::is_nan), "{:?}", spans.collect::<Vec<_>>());
+    assert!(
+        spans.clone().count() > 0 && !spans.clone().any(f64::is_nan),
+        "{:?}",
+        spans.collect::<Vec<_>>()
+    );
 }
 
 #[test]
 fn the_list_is_asked_for_again_with_backoff_well_within_ask_within() {
-    let settings = Settings { ask_for_list: true, ..Settings::default() };
+    let settings = Settings {
+        ask_for_list: true,
+        ..Settings::default()
+    };
     let mut world = World::new(settings.clone(), 3, vec![member(1)]);
     let mut waits = Vec::new();
     for _ in 0..12 {
@@ -386,7 +681,10 @@
         waits.push(after);
     }
     assert!(waits[11] > 4.0 * waits[0], "the pauses grow: {waits:?}");
-    assert!(waits.iter().all(|&w| w < settings.ask_within / 2.0), "never counts as told: {waits:?}");
+    assert!(
+        waits.iter().all(|&w| w < settings.ask_within / 2.0),
+        "never counts as told: {waits:?}"
+    );
 }
 
 /// Hundreds of replicas lost discovery at once, whose calls it then refused. If they call again as soon as after other failures,
@@ -394,7 +692,11 @@
 #[test]
 fn replicas_that_discovery_refused_together_come_back_spread_over_seconds() {
     const REPLICAS: usize = 300;
-    let settings = Settings { ask_for_list: true, ask_within: 3000.0, ..Settings::default() };
+    let settings = Settings {
+        ask_for_list: true,
+        ask_within: 3000.0,
+        ..Settings::default()
+    };
     let mut calls = Vec::new();
     for seed in 0..REPLICAS as u64 {
         let mut world = World::new(settings.clone(), seed, vec![member(1)]);
@@ -408,7 +710,10 @@
     }
     let busiest = (0..45).map(|tenth| {
         let from = f64::from(tenth) * 100.0;
-        calls.iter().filter(|&&at| (from..from + 1000.0).contains(&at)).count()
+        calls
+            .iter()
+            .filter(|&&at| (from..from + 1000.0).contains(&at))
+            .count()
     });
     assert!(busiest.max().expect("some") < REPLICAS * 2 / 5, "{calls:?}");
     // And each comes early enough for its call to be served before news counts as told.
@@ -417,14 +722,20 @@
     let mut world = World::new(settings, 1, Vec::new());
     for _ in 0..10 {
         let actions = world.event(Event::Membership(Membership::Refused));
-        assert!(actions.iter().all(|a| !matches!(a, Action::SetTimer { after, .. } if *after > 1000.0)));
+        assert!(actions
+            .iter()
+            .all(|a| !matches!(a, Action::SetTimer { after, .. } if *after > 1000.0)));
     }
 }
 
 /// An upstream that turns requests away while discovery has confirmed nothing for long may have begun to drain.
 #[test]
 fn an_upstream_that_declines_while_the_list_is_stale_is_left_alone_until_discovery_answers() {
-    let settings = Settings { ask_for_list: true, ask_within: 3000.0, ..Settings::default() };
+    let settings = Settings {
+        ask_for_list: true,
+        ask_within: 3000.0,
+        ..Settings::default()
+    };
     let mut world = World::new(settings, 1, vec![member(1), member(2)]);
     world.list(Membership::Unchanged);
     let declines = |world: &mut World, id| {
@@ -434,17 +745,30 @@
         world.outcome(id, 1, Ending::Ok);
         world.balancer.upstreams(world.now).1
     };
-    assert_eq!(declines(&mut world, 1), 0, "while the list is fresh a decline tells of a full queue");
+    assert_eq!(
+        declines(&mut world, 1),
+        0,
+        "while the list is fresh a decline tells of a full queue"
+    );
     world.now += 4000.0;
     assert_eq!(declines(&mut world, 2), 1, "now it may drain");
     world.list(Membership::Unchanged);
-    assert_eq!(world.balancer.upstreams(world.now), (2, 0), "discovery says that it does not");
+    assert_eq!(
+        world.balancer.upstreams(world.now),
+        (2, 0),
+        "discovery says that it does not"
+    );
 }
 
 /// Hundreds of balancers see one upstream restart; together they must stay under the tipping point.
 #[test]
 fn a_cold_upstream_is_not_pushed_over_by_all_together() {
-    stays_under_the_tipping_point(|w| w.list(Membership::Delta(vec![Member { since: w.now, ..member(1) }])));
+    stays_under_the_tipping_point(|w| {
+        w.list(Membership::Delta(vec![Member {
+            since: w.now,
+            ..member(1)
+        }]))
+    });
 }
 
 /// The same where staff took it out and back and the list does not tell that it was restarted meanwhile.
@@ -467,8 +791,9 @@
         ..Settings::default()
     };
     let members = || (1..=20).map(member).collect::<Vec<_>>();
-    let mut worlds: Vec<World> =
-        (0..COPIES).map(|i| World::new(settings(i), u64::from(i), members())).collect();
+    let mut worlds: Vec<World> = (0..COPIES)
+        .map(|i| World::new(settings(i), u64::from(i), members()))
+        .collect();
     let (mut id, mut sent_to, mut cold_sends) = (0, 0, Vec::new());
     for step in 0..200 {
         // Two calls a second and copy, answered after 50 ms; the upstream restarts after ten seconds.
@@ -497,9 +822,15 @@
     // 400 calls a second over 20 upstreams: each carries 20 a second at least.
     for window in 0..10 {
         let from = 10_000.0 + f64::from(window) * 1000.0;
-        let calls = cold_sends.iter().filter(|&&t| t >= from && t < from + 1000.0).count() as f64;
+        let calls = cold_sends
+            .iter()
+            .filter(|&&t| t >= from && t < from + 1000.0)
+            .count() as f64;
         let warmth = 0.15 + 0.85 * f64::from(window) / 20.0;
-        assert!(calls <= 2.5 * 20.0 * warmth, "{calls} calls in second {window} at warmth {warmth}");
+        assert!(
+            calls <= 2.5 * 20.0 * warmth,
+            "{calls} calls in second {window} at warmth {warmth}"
+        );
     }
     assert!(!cold_sends.is_empty(), "it is warmed up, not shut out");
 }
@@ -507,7 +838,11 @@
 fn balancer(upstreams: u64, effect: Effect) -> Balancer {
     let mut balancer = Balancer::new(one_class(effect), 3, 0.0).expect("settings");
     let list = (1..=upstreams).map(member).collect();
-    balancer.handle(0.0, Event::Membership(Membership::Full(list)), &mut Vec::new());
+    balancer.handle(
+        0.0,
+        Event::Membership(Membership::Full(list)),
+        &mut Vec::new(),
+    );
     balancer
 }
 
@@ -520,7 +855,12 @@
 
 /// A large request: it goes on while it comes, and its time begins with its last byte.
 fn coming(balancer: &mut Balancer, id: u32) -> Vec<Action> {
-    let request = Request { id: RequestId(id), class: 0, tenant: 0, deadline: f64::INFINITY };
+    let request = Request {
+        id: RequestId(id),
+        class: 0,
+        tenant: 0,
+        deadline: f64::INFINITY,
+    };
     tell(balancer, 0.0, Event::Request(request))
 }
 
@@ -528,24 +868,51 @@
 #[test]
 fn an_upstream_owes_no_answer_while_the_request_still_comes() {
     let mut balancer = balancer(2, Effect::SingleShot);
-    assert!(matches!(coming(&mut balancer, 1)[..], [Action::Send { timeout: 0.0, .. }]));
+    assert!(matches!(
+        coming(&mut balancer, 1)[..],
+        [Action::Send { timeout: 0.0, .. }]
+    ));
     assert_eq!(balancer.upstreams(60_000.0), (2, 0));
-    let whole = Event::Whole { request: RequestId(1), deadline: 62_000.0 };
+    let whole = Event::Whole {
+        request: RequestId(1),
+        deadline: 62_000.0,
+    };
     assert!(tell(&mut balancer, 60_000.0, whole).is_empty());
     assert_eq!(balancer.upstreams(60_010.0), (2, 0));
-    assert_eq!(balancer.upstreams(90_000.0), (2, 1), "from then on it owes one");
+    assert_eq!(
+        balancer.upstreams(90_000.0),
+        (2, 1),
+        "from then on it owes one"
+    );
 }
 
 #[test]
 fn an_upstream_owes_nothing_while_its_answer_is_passed_on_and_what_breaks_off_is_not_repeated() {
     let mut balancer = balancer(2, Effect::Free);
-    let request = Request { id: RequestId(1), class: 0, tenant: 0, deadline: 2000.0 };
-    assert!(matches!(tell(&mut balancer, 0.0, Event::Request(request))[..], [Action::Send { .. }]));
-    let begun = Event::Streaming { request: RequestId(1), attempt: 0 };
+    let request = Request {
+        id: RequestId(1),
+        class: 0,
+        tenant: 0,
+        deadline: 2000.0,
+    };
+    assert!(matches!(
+        tell(&mut balancer, 0.0, Event::Request(request))[..],
+        [Action::Send { .. }]
+    ));
+    let begun = Event::Streaming {
+        request: RequestId(1),
+        attempt: 0,
+    };
     assert!(tell(&mut balancer, 100.0, begun).is_empty());
     assert_eq!(balancer.upstreams(60_000.0), (2, 0));
     let (ending, duration, closed) = (Ending::Reset, 100.0, true);
-    let broke = Event::Outcome { request: RequestId(1), attempt: 0, ending, duration, closed };
+    let broke = Event::Outcome {
+        request: RequestId(1),
+        attempt: 0,
+        ending,
+        duration,
+        closed,
+    };
     assert!(tell(&mut balancer, 60_000.0, broke).is_empty());
 }
 
@@ -558,9 +925,19 @@
             assert!(tell(&mut balancer, 5.0, Event::Spent(RequestId(1))).is_empty());
         }
         let (ending, duration, closed) = (Ending::Full, 0.0, false);
-        let turned = Event::Outcome { request: RequestId(1), attempt: 0, ending, duration, closed };
+        let turned = Event::Outcome {
+            request: RequestId(1),
+            attempt: 0,
+            ending,
+            duration,
+            closed,
+        };
         let then = tell(&mut balancer, 10.0, turned);
         assert_eq!(matches!(then[..], [Action::Send { .. }]), again, "{then:?}");
-        assert_eq!(matches!(then[..], [Action::Refuse { .. }]), !again, "it has surely not run: {then:?}");
+        assert_eq!(
+            matches!(then[..], [Action::Refuse { .. }]),
+            !again,
+            "it has surely not run: {then:?}"
+        );
     }
 }
--- a/tests/slow_start.rs
+++ b/tests/slow_start.rs
@@ -20,8 +20,9 @@
         ..Settings::default()
     };
     let members = || (1..=UPSTREAMS).map(member).collect();
-    let mut worlds: Vec<World> =
-        (0..copies).map(|i| World::new(settings(i), u64::from(i) + 1, members())).collect();
+    let mut worlds: Vec<World> = (0..copies)
+        .map(|i| World::new(settings(i), u64::from(i) + 1, members()))
+        .collect();
     for w in &mut worlds {
         let per_s = quota_per_s / f64::from(copies);
         w.traffic(5000.0, per_s, &[0], &|_| Some((Ending::Ok, 20.0)));
@@ -44,7 +45,10 @@
 }
 
 fn restart(w: &mut World) {
-    w.list(Membership::Delta(vec![Member { since: w.now, ..member(1) }]));
+    w.list(Membership::Delta(vec![Member {
+        since: w.now,
+        ..member(1)
+    }]));
 }
 
 /// Clients that come back all at once, behind a pause in which each copy could save up what it may send.
@@ -64,9 +68,15 @@
             let (n, chance) = allowed(quota, from - 5000.0);
             let sent = to_the_cold_one(&worlds, from) as f64;
             worst = worst.max(sent / (n + chance));
-            assert!(sent <= n + chance, "{copies} copies sent {sent}, allowed {n} and {chance} by chance");
+            assert!(
+                sent <= n + chance,
+                "{copies} copies sent {sent}, allowed {n} and {chance} by chance"
+            );
         }
-        assert!(worst > 0.1, "{copies} copies: it is warmed up, not shut out ({worst})");
+        assert!(
+            worst > 0.1,
+            "{copies} copies: it is warmed up, not shut out ({worst})"
+        );
     }
 }
 
@@ -78,7 +88,9 @@
     worlds.iter_mut().for_each(restart);
     let from = worlds[0].now;
     for w in &mut worlds {
-        w.traffic(10_000.0, quota / f64::from(copies), &[0], &|_| Some((Ending::Ok, 20.0)));
+        w.traffic(10_000.0, quota / f64::from(copies), &[0], &|_| {
+            Some((Ending::Ok, 20.0))
+        });
     }
     // An even part of ten seconds is 50.
     let sent = to_the_cold_one(&worlds, from);
@@ -91,7 +103,14 @@
 fn neither_a_list_all_cold_nor_copies_that_start_anew_push_an_upstream_over() {
     for (copies, quota) in [(30, 60.0), (350, 240.0)] {
         let mut worlds = fleet(copies, quota);
-        let all_cold = |now: f64| (1..=UPSTREAMS).map(|id| Member { since: now, ..member(id) }).collect();
+        let all_cold = |now: f64| {
+            (1..=UPSTREAMS)
+                .map(|id| Member {
+                    since: now,
+                    ..member(id)
+                })
+                .collect()
+        };
         for w in &mut worlds {
             w.list(Membership::Delta(all_cold(w.now)));
             w.pass(1500.0);
@@ -102,10 +121,17 @@
             let mut half = |w: &mut World| {
                 let from = w.now;
                 w.traffic(500.0, 30.0, &[0], &|_| Some((Ending::Ok, 5.0)));
-                w.sent_since(from).1.into_iter().for_each(|(id, n)| *to.entry(id).or_insert(0) += n);
+                w.sent_since(from)
+                    .1
+                    .into_iter()
+                    .for_each(|(id, n)| *to.entry(id).or_insert(0) += n);
             };
             half(w);
-            let mut anew = World::new(w.settings.clone(), 999 + u64::from(w.settings.index), Vec::new());
+            let mut anew = World::new(
+                w.settings.clone(),
+                999 + u64::from(w.settings.index),
+                Vec::new(),
+            );
             // Its clock goes on where the other's ended.
             anew.now = w.now;
             anew.list(Membership::Full(all_cold(5000.0)));
@@ -113,8 +139,14 @@
         }
         let (n, chance) = allowed(quota, from - 5000.0);
         let most = to.values().max().copied().unwrap_or(0) as f64;
-        assert!(most <= n + chance, "{copies} copies sent {most}, allowed {n} and {chance} by chance");
-        assert!(to.len() as u64 == UPSTREAMS && most > 1.0, "they are warmed up, not shut out: {to:?}");
+        assert!(
+            most <= n + chance,
+            "{copies} copies sent {most}, allowed {n} and {chance} by chance"
+        );
+        assert!(
+            to.len() as u64 == UPSTREAMS && most > 1.0,
+            "they are warmed up, not shut out: {to:?}"
+        );
     }
 }
 
@@ -124,7 +156,10 @@
     let settings = fleet(1, 150.0).remove(0).settings;
     let mut world = World::new(settings, 1, Vec::new());
     world.now = START;
-    let restarted = Member { since: START - clock_off, ..member(1) };
+    let restarted = Member {
+        since: START - clock_off,
+        ..member(1)
+    };
     let before = (1..=4).map(member).collect();
     let after = [restarted.clone(), member(2), member(3), member(4)].to_vec();
     if first_list {
@@ -132,7 +167,10 @@
     } else {
         world.list(Membership::Cached(before));
         world.traffic(3000.0, 100.0, &[0], &|_| Some((Ending::Ok, 20.0)));
-        world.list(Membership::Delta(vec![Member { since: world.now - clock_off, ..restarted }]));
+        world.list(Membership::Delta(vec![Member {
+            since: world.now - clock_off,
+            ..restarted
+        }]));
     }
     let from = world.now;
     world.traffic(2000.0, 100.0, &[0], &|_| Some((Ending::Ok, 20.0)));
@@ -145,7 +183,10 @@
     let usual = sent_after_a_restart(0.0, false);
     for ahead in [5_000.0, 60_000.0, 3_600_000.0] {
         let sent = sent_after_a_restart(ahead, false);
-        assert!(sent <= usual * 2, "{sent} calls with a clock {ahead} ms ahead, {usual} else");
+        assert!(
+            sent <= usual * 2,
+            "{sent} calls with a clock {ahead} ms ahead, {usual} else"
+        );
     }
     assert!((5..40).contains(&usual), "{usual}");
 }
@@ -155,11 +196,23 @@
 fn an_upstream_that_seems_to_start_in_the_future_is_warm_after_its_ramp() {
     let settings = fleet(1, 150.0).remove(0).settings;
     let mut world = World::new(settings, 1, Vec::new());
-    world.list(Membership::Cached((1..=4).map(|id| Member { since: 3_600_000.0, ..member(id) }).collect()));
+    world.list(Membership::Cached(
+        (1..=4)
+            .map(|id| Member {
+                since: 3_600_000.0,
+                ..member(id)
+            })
+            .collect(),
+    ));
     world.traffic(RAMP, 100.0, &[0], &|_| Some((Ending::Ok, 20.0)));
     let from = world.seen.len();
     world.traffic(2000.0, 100.0, &[0], &|_| Some((Ending::Ok, 20.0)));
-    let refused = world.seen.values().skip(from).filter(|seen| seen.sends.is_empty()).count();
+    let refused = world
+        .seen
+        .values()
+        .skip(from)
+        .filter(|seen| seen.sends.is_empty())
+        .count();
     assert!(refused <= 10, "{refused} of 200 refused");
     assert!(sent_after_a_restart(-3_600_000.0, true) <= 2 * sent_after_a_restart(0.0, true));
 }
@@ -179,6 +232,9 @@
         let from = worlds[0].now;
         worlds[0].traffic(1000.0, 150.0, &[0], &|_| Some((Ending::Ok, 5.0)));
         let sent = to_the_cold_one(&worlds, from);
-        assert!(sent <= 45, "{sent} in second {second}, where an even share is 37");
+        assert!(
+            sent <= 45,
+            "{sent} in second {second}, where an even share is 37"
+        );
     }
 }
