--- a/src/lib.rs
+++ b/balancer-core/src/lib.rs
@@ -4,7 +4,7 @@
 //! socket, reads no clock and shares nothing with other instances.
 //!
 //! ```
-//! use oakflow::*;
+//! use balancer_core::*;
 //!
 //! let mut balancer = Balancer::new(Settings::default(), 7, 0.0).expect("settings");
 //! let mut actions = Vec::new();
@@ -33,5 +33,5 @@
 
 /// Runs the README's example with the documentation tests.
 #[cfg(doctest)]
-#[doc = include_str!("../README.md")]
+#[doc = include_str!("../../README.md")]
 struct Readme;
--- a/tests/classes.rs
+++ b/balancer-core/tests/classes.rs
@@ -1,7 +1,7 @@
 //! Classes of unlike work in one tier: what is usual for one must not be held against another.
 mod common;
 use common::*;
-use oakflow::*;
+use balancer_core::*;
 
 const LIGHT: usize = 0;
 const HEAVY: usize = 1;
--- a/tests/common/mod.rs
+++ b/balancer-core/tests/common/mod.rs
@@ -1,6 +1,6 @@
 //! A world for one balancer: it answers what the balancer sends and checks the rules on its own account.
 #![allow(dead_code)] // each test file uses its own part
-use oakflow::*;
+use balancer_core::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 pub fn member(id: u64) -> Member {
--- a/tests/failures.rs
+++ b/balancer-core/tests/failures.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::*;
-use oakflow::*;
+use balancer_core::*;
 use std::collections::BTreeMap;
 
 fn fast(_: UpstreamId) -> Option<(Ending, f64)> {
--- a/tests/limits.rs
+++ b/balancer-core/tests/limits.rs
@@ -1,5 +1,5 @@
 //! The published rule as a pure function: the post's worked table, edges, and what always holds.
-use oakflow::limits;
+use balancer_core::limits;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/tests/rules.rs
+++ b/balancer-core/tests/rules.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::*;
-use oakflow::*;
+use balancer_core::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/tests/slow_start.rs
+++ b/balancer-core/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start for the fleet: whatever many copies do at the same moment, a cold upstream is not pushed over.
 mod common;
 use common::*;
-use oakflow::*;
+use balancer_core::*;
 
 const TIP: f64 = 4.0;
 const RAMP: f64 = 20_000.0;
--- a/settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -10,7 +10,7 @@
 //! fetches of the list, and unsubscribing.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
-use oakflow::{Class, DedupScope, Effect, Settings, Tenant};
+use balancer_core::{Class, DedupScope, Effect, Settings, Tenant};
 use serde::Deserialize;
 
 /// The settings with what the module has no use for but sockets do. Names stand at the position that the
--- a/node/src/clock.rs
+++ b/balancer/src/clock.rs
@@ -1,5 +1,5 @@
 //! The decision module's clock: milliseconds since 1970 that no change of the system's clock moves.
-use oakflow::Millis;
+use balancer_core::Millis;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
 
--- a/node/src/config.rs
+++ b/balancer/src/config.rs
@@ -1,6 +1,6 @@
 //! The configuration file as typed values. Whatever is wrong with it is named with the field at fault.
 use crate::endpoints::{EndpointUpdate, TopologyNames};
-use oakflow_settings::Deployment;
+use balancer_settings::Deployment;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -60,7 +60,7 @@
             }
         })?;
         json.end().map_err(|e| e.to_string())?;
-        let deployment = oakflow_settings::deployment(file.settings.get().as_bytes())
+        let deployment = balancer_settings::deployment(file.settings.get().as_bytes())
             .map_err(|e| format!("settings: {e}"))?;
         if let Some(i) = deployment.classes.iter().position(String::is_empty) {
             return Err(format!("settings.classes[{i}].name: missing"));
--- a/node/src/connector.rs
+++ b/balancer/src/connector.rs
@@ -4,7 +4,7 @@
 use crate::sockets::{is_shortage, Sockets};
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
-use oakflow::Ending;
+use balancer_core::Ending;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/node/src/discovery.rs
+++ b/balancer/src/discovery.rs
@@ -1,6 +1,6 @@
 //! The discovery client: the watch that keeps the list of endpoints up to date.
 //!
-//! When to ask is the decision module's choice ([`oakflow::Action::Subscribe`]), which the consumer of the updates passes
+//! When to ask is the decision module's choice ([`balancer_core::Action::Subscribe`]), which the consumer of the updates passes
 //! on; a watch that stands is kept up here.
 use crate::clock::from_millis;
 use crate::endpoints::{EndpointConsumer, EndpointUpdate, TopologyNames};
@@ -11,7 +11,7 @@
 use hyper::client::conn::http1;
 use hyper::{header, Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use oakflow_settings::Deployment;
+use balancer_settings::Deployment;
 use std::fmt;
 use std::io;
 use std::net::SocketAddr;
--- a/node/src/dispatch.rs
+++ b/balancer/src/dispatch.rs
@@ -5,7 +5,7 @@
 use crate::upstream::Transport;
 use bytes::Bytes;
 use hyper::HeaderMap;
-use oakflow::Ending;
+use balancer_core::Ending;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/node/src/driver.rs
+++ b/balancer/src/driver.rs
@@ -9,7 +9,7 @@
 use crate::log::Log;
 use crate::message::{Answer, Outgoing, Untaken};
 use hyper::header::HeaderValue;
-use oakflow::{
+use balancer_core::{
     Action, Balancer, Effect, Ending, Event, Membership, Millis, Request, RequestId, UpstreamId,
 };
 use std::cell::RefCell;
--- a/node/src/driver/tests.rs
+++ b/balancer/src/driver/tests.rs
@@ -6,16 +6,16 @@
 use crate::sockets::Sockets;
 use crate::test_support::{get_request, FullListener};
 use crate::upstream::Transport;
-use oakflow::{Member, Settings};
+use balancer_core::{Member, Settings};
 use std::net::SocketAddr;
 
 const LONG: Duration = Duration::from_secs(20);
 
 fn driver_with(upstream: SocketAddr) -> Handle {
-    let class = oakflow::Class {
+    let class = balancer_core::Class {
         objective: 20_000.0,
         deadline: 20_000.0,
-        ..oakflow::Class::default()
+        ..balancer_core::Class::default()
     };
     let settings = Settings {
         classes: vec![class],
--- a/node/src/endpoint_table.rs
+++ b/balancer/src/endpoint_table.rs
@@ -1,7 +1,7 @@
 //! The endpoints that the decision module may name, with their connections kept in step with what discovery reports.
 use crate::connection_pool::Upstream;
 use crate::endpoints::{Endpoint, EndpointUpdate};
-use oakflow::{Availability, Millis, UpstreamId};
+use balancer_core::{Availability, Millis, UpstreamId};
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 use std::time::Duration;
--- a/node/src/endpoints.rs
+++ b/balancer/src/endpoints.rs
@@ -1,6 +1,6 @@
 //! Endpoints of upstreams as discovery reports them: the wire form, parsed into typed updates.
-use oakflow::{Availability, Member, UpstreamId};
-use oakflow_settings::Deployment;
+use balancer_core::{Availability, Member, UpstreamId};
+use balancer_settings::Deployment;
 use serde::Deserialize;
 use std::future::Future;
 use std::net::SocketAddr;
--- a/node/src/hollow.rs
+++ b/balancer/src/hollow.rs
@@ -12,7 +12,7 @@
 use crate::message::{Answer, Outgoing, Untaken};
 use crate::metrics::Figures;
 use hyper::{HeaderMap, Method, Uri};
-use oakflow_settings::Deployment;
+use balancer_settings::Deployment;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::time::{Duration, SystemTime};
--- a/node/src/invariants.rs
+++ b/balancer/src/invariants.rs
@@ -4,7 +4,7 @@
 //! when a client's connection ends. What it denies is not done. What it finds broken is counted by [`Rule`] and logged;
 //! operators read the counts among the metrics, and every count stays zero in a correct program.
 use crate::metrics::Figures;
-use oakflow::{Effect, Ending, Millis};
+use balancer_core::{Effect, Ending, Millis};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
--- a/node/src/invariants/tests.rs
+++ b/balancer/src/invariants/tests.rs
@@ -1,6 +1,6 @@
 //! What the guard allows, denies and counts.
 use super::*;
-use oakflow::DedupScope;
+use balancer_core::DedupScope;
 
 fn guard() -> (Guard, Rc<Figures>) {
     let figures = Figures::new(&["read".into()]);
--- a/node/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,4 +1,4 @@
-//! herondock: a load balancer on real sockets around the decision module `oakflow`.
+//! balancer: a load balancer on real sockets around the decision module `balancer_core`.
 //!
 //! [`program`] is the balancer as a process. [`hollow`] runs many balancers without traffic in one process, to measure
 //! what knowing the endpoints costs and how long a change of them takes. Both start the same control part: the decision
--- a/node/src/main.rs
+++ b/balancer/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    herondock::program::main()
+    balancer::program::main()
 }
--- a/node/src/message.rs
+++ b/balancer/src/message.rs
@@ -3,7 +3,7 @@
 use crate::inbound::Peer;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, StatusCode, Uri};
-use oakflow::Millis;
+use balancer_core::Millis;
 use std::borrow::Cow;
 use std::cell::Cell;
 
--- a/node/src/ops.rs
+++ b/balancer/src/ops.rs
@@ -6,7 +6,7 @@
 use crate::server::Phase;
 use crate::socket_io::Socket;
 use crate::sockets::Sockets;
-use oakflow::Millis;
+use balancer_core::Millis;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
--- a/node/src/orders.rs
+++ b/balancer/src/orders.rs
@@ -1,6 +1,6 @@
 //! What staff have ordered: upstreams left out, those taken back, and whether clients are sent away. Kept in a small
 //! file, so that it holds for every process of this balancer and over an upgrade.
-use oakflow::Millis;
+use balancer_core::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -190,7 +190,7 @@
 
     /// An empty folder of its own.
     fn folder(name: &str) -> PathBuf {
-        let folder = std::env::temp_dir().join(format!("herondock-{}-{name}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("balancer-{}-{name}", std::process::id()));
         let _ = std::fs::remove_dir_all(&folder);
         std::fs::create_dir(&folder).expect("a folder");
         folder
--- a/node/src/program.rs
+++ b/balancer/src/program.rs
@@ -14,8 +14,8 @@
 use crate::server::{Phase, Server};
 use crate::sockets::Sockets;
 use crate::upstream::Transport;
-use oakflow::Millis;
-use oakflow_settings::Deployment;
+use balancer_core::Millis;
+use balancer_settings::Deployment;
 use std::io;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -102,7 +102,7 @@
     match done {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("herondock: {}", message.replace('\n', " "));
+            eprintln!("balancer: {}", message.replace('\n', " "));
             ExitCode::FAILURE
         }
     }
@@ -120,7 +120,7 @@
                     std::mem::replace(now, config.discovery) != config.discovery
                 });
             }
-            Err(message) => eprintln!("herondock: not reloaded: {}", message.replace('\n', " ")),
+            Err(message) => eprintln!("balancer: not reloaded: {}", message.replace('\n', " ")),
         }
     }
 }
--- a/node/src/request_head.rs
+++ b/balancer/src/request_head.rs
@@ -1,8 +1,8 @@
 //! What the head of a client's request says, checked against the settings.
 use hyper::header::HeaderMap;
 use hyper::Method;
-use oakflow::{Effect, Millis};
-use oakflow_settings::Deployment;
+use balancer_core::{Effect, Millis};
+use balancer_settings::Deployment;
 use std::fmt;
 
 /// Longest request id taken.
--- a/node/src/responses.rs
+++ b/balancer/src/responses.rs
@@ -6,7 +6,7 @@
 use http_body_util::Full;
 use hyper::header::{self, HeaderValue};
 use hyper::{Response, StatusCode};
-use oakflow::Millis;
+use balancer_core::Millis;
 
 /// An answer with this status and no body.
 pub fn plain<G>(status: StatusCode) -> Response<Reply<G>> {
--- a/node/src/upstream.rs
+++ b/balancer/src/upstream.rs
@@ -10,7 +10,7 @@
 use hyper::body::{Body, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::{Request, Response, StatusCode};
-use oakflow::Ending;
+use balancer_core::Ending;
 use std::cell::Cell;
 use std::error::Error;
 use std::io;
--- a/node/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -408,7 +408,7 @@
 
 /// The balancer with this configuration.
 pub fn command(config: &str) -> Command {
-    prepared(config, Command::new(env!("CARGO_BIN_EXE_herondock")))
+    prepared(config, Command::new(env!("CARGO_BIN_EXE_balancer")))
 }
 
 /// The same under a limit of descriptors that the configuration does not tell of.
@@ -416,7 +416,7 @@
     let mut shell = Command::new("sh");
     let exec = format!(
         "ulimit -n {descriptors}; exec {}",
-        env!("CARGO_BIN_EXE_herondock")
+        env!("CARGO_BIN_EXE_balancer")
     );
     shell.args(["-c", &exec]);
     prepared(config, shell)
--- a/node/tests/hollow.rs
+++ b/balancer/tests/hollow.rs
@@ -2,9 +2,9 @@
 mod common;
 
 use common::{config, listing, read, PATIENCE};
-use herondock::config::Config;
-use herondock::hollow::{AppliedUpdate, HollowBalancer, HollowOptions, RequestOutcome};
-use herondock::log::Log;
+use balancer::config::Config;
+use balancer::hollow::{AppliedUpdate, HollowBalancer, HollowOptions, RequestOutcome};
+use balancer::log::Log;
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::io::{BufReader, Write};
--- a/node/tests/operators.rs
+++ b/balancer/tests/operators.rs
@@ -86,7 +86,7 @@
         let log = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success());
         assert!(
-            log.starts_with("herondock: ops: ") && log.lines().count() == 1,
+            log.starts_with("balancer: ops: ") && log.lines().count() == 1,
             "{log}"
         );
     }
--- a/node/tests/upgrades.rs
+++ b/balancer/tests/upgrades.rs
@@ -163,7 +163,7 @@
         .expect("runs");
     let log = String::from_utf8(output.stderr).expect("text");
     assert!(
-        !output.status.success() && log.starts_with("herondock: ops: "),
+        !output.status.success() && log.starts_with("balancer: ops: "),
         "{log}"
     );
     let mut client = old.client();
--- a/scale/tests/command.rs
+++ b/scale/tests/command.rs
@@ -214,7 +214,7 @@
         .expect("runs");
     assert_refused(
         &output,
-        "target/release/herondock is missing: build it with `cargo build",
+        "target/release/balancer is missing: build it with `cargo build",
     );
 }
 
--- a/simhost/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! Hosts oakflow balancers on the simulator's wire: frames in on standard input, replies out.
+//! Hosts balancer_core balancers on the simulator's wire: frames in on standard input, replies out.
 #![forbid(unsafe_code)]
 mod wire;
 
-use oakflow::{Action, Balancer, Event};
+use balancer_core::{Action, Balancer, Event};
 use std::collections::BTreeMap;
 use std::io::{self, Write};
 use std::process::ExitCode;
@@ -44,7 +44,7 @@
             }
             Record::Configure { seed, setup } => {
                 let id = instance()?;
-                let settings = oakflow_settings::parse(&batch.tail[setup.clone()])
+                let settings = balancer_settings::parse(&batch.tail[setup.clone()])
                     .map_err(|e| format!("settings of instance {id}: {e}"))?;
                 let balancer = Balancer::new(settings, *seed, now).map_err(|e| e.to_string())?;
                 self.balancers.insert(id, balancer);
@@ -104,7 +104,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("oakflow-simhost: {message}");
+            eprintln!("simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/simhost/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -1,5 +1,5 @@
 //! The frame codec: batches in, replies out. Every read is bounds-checked; errors say what and where.
-use oakflow::{
+use balancer_core::{
     Action, Availability, Ending, Event, Member, Membership, Millis, Request, RequestId, UpstreamId,
 };
 use std::fmt;
--- a/simhost/tests/bad_input.rs
+++ b/simulator-adapter/tests/bad_input.rs
@@ -3,7 +3,7 @@
 use std::process::{Command, Stdio};
 
 fn run(input: &[u8]) -> (bool, Vec<u8>, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_oakflow-simhost"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/soak/src/balancer.rs
+++ b/soak/src/balancer.rs
@@ -1,6 +1,6 @@
 //! Balancers under test: real processes of the deployed program, with the fault library loaded into them.
 use crate::discovery::Mode;
-use faultshim::control::{Fault, CONTROL_FILE, FILE_BYTES, SEED};
+use fault_injection::control::{Fault, CONTROL_FILE, FILE_BYTES, SEED};
 use serde_json::json;
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -86,9 +86,9 @@
 /// Plays all seeds; whether no rule was broken.
 fn play(arguments: Arguments) -> io::Result<bool> {
     let missing = |what: &str| io::Error::other(format!("{what} is not built"));
-    let program = arguments.program.clone().or_else(|| built("herondock"));
-    let program = program.ok_or_else(|| missing("herondock"))?;
-    let library = built("libfaultshim.so").ok_or_else(|| missing("libfaultshim.so"))?;
+    let program = arguments.program.clone().or_else(|| built("balancer"));
+    let program = program.ok_or_else(|| missing("balancer"))?;
+    let library = built("libfault_injection.so").ok_or_else(|| missing("libfault_injection.so"))?;
     let folder = arguments.logs.clone();
     let folder =
         folder.unwrap_or_else(|| std::env::temp_dir().join(format!("soak-{}", std::process::id())));
--- a/soak/src/trouble.rs
+++ b/soak/src/trouble.rs
@@ -5,7 +5,7 @@
 use crate::plan::{Planned, Trouble};
 use crate::run::World;
 use crate::upstream::Behaviour;
-use faultshim::control::{Fault, CERTAIN};
+use fault_injection::control::{Fault, CERTAIN};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use std::sync::atomic::Ordering;
