--- a/balancer-core/src/interface.rs
+++ b/balancer-core/src/interface.rs
@@ -14,22 +14,22 @@
 
 /// What repeating a request of a class may do.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub enum Effect {
+pub enum Idempotency {
     /// May run any number of times.
     #[default]
-    Free,
+    Idempotent,
     /// Carries a key; upstreams within `scope` discard repeats for `window` after the first send.
-    Guarded {
+    IdempotencyKey {
         /// The upstreams that discard each other's repeats.
         scope: DedupScope,
         /// How long they remember, counted from the send of the first attempt that may have run.
         window: Millis,
     },
     /// Must never run twice.
-    SingleShot,
+    NonIdempotent,
 }
 
-/// Which upstreams share the memory of keys for [`Effect::Guarded`] requests.
+/// Which upstreams share the memory of keys for [`Idempotency::IdempotencyKey`] requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// Every upstream of the tier.
@@ -37,7 +37,7 @@
     /// Those in the same zone.
     Zone,
     /// Those of the same group.
-    Cell,
+    Group,
 }
 
 /// A class of requests.
@@ -48,20 +48,20 @@
     /// The most a client waits over all its tries. At least `objective`.
     pub deadline: Millis,
     /// What a repeat may do.
-    pub effect: Effect,
+    pub idempotency: Idempotency,
     /// The part of its worth that an answer after `objective` still earns.
-    pub late_worth: f64,
+    pub late_weight: f64,
     /// The only zones it may be sent to, at every attempt; `None`: any. Not an empty list.
-    pub runs_in: Option<Vec<u16>>,
+    pub allowed_zones: Option<Vec<u16>>,
     /// The only machine kinds it may be sent to, at every attempt; `None`: any. Not an empty list.
-    pub kinds_only: Option<Vec<u8>>,
+    pub allowed_kinds: Option<Vec<u8>>,
 }
 
 /// A tenant with a stated part in the service.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
     /// Its part relative to the other tenants; need not sum to one. At least zero.
-    pub share: f64,
+    pub weight: f64,
     /// Requests per second within its share, over all balancers together; zero when not stated.
     pub quota_per_s: f64,
 }
@@ -74,7 +74,7 @@
     /// How many balancers the tier has. At least one.
     pub balancers: u32,
     /// The tier this instance sends into; zero is the one that clients reach first.
-    pub stage: u32,
+    pub tier: u32,
     /// The zone this instance runs in.
     pub zone: u16,
     /// Request classes; requests name them by position. At least one.
@@ -82,13 +82,13 @@
     /// Tenants; requests name them by position. Empty: all traffic is one tenant's.
     pub tenants: Vec<Tenant>,
     /// Most attempts for one request. At least one.
-    pub attempts_cap: u32,
+    pub max_attempts: u32,
     /// Whether attempts may be cancelled.
     pub cancel: bool,
     /// Whether the list of upstreams must be asked for (`true`) or is pushed (`false`).
-    pub ask_for_list: bool,
+    pub poll_endpoints: bool,
     /// An instance that has neither a subscription nor asked for this long counts as told all the same.
-    pub ask_within: Millis,
+    pub poll_acknowledge_timeout: Millis,
     /// Idle connections close after this time.
     pub idle_close: Millis,
     /// An attempt may wait this long for a connection before it is sent.
@@ -96,15 +96,15 @@
     /// Longest advice to stay away that clients heed; zero: no advice is passed on.
     pub max_retry_after: Millis,
     /// A cold upstream starts at this fraction of its capacity or higher.
-    pub cold_from: f64,
+    pub slow_start_initial_fraction: f64,
     /// A cold upstream is warm after this time at the latest.
-    pub ramp_time: Millis,
+    pub slow_start_duration: Millis,
     /// A cold upstream falls over when sent more than this many times what it can do at that moment.
-    pub tip_multiple: f64,
+    pub slow_start_overload_factor: f64,
     /// For this long.
-    pub tip_window: Millis,
-    /// Upstreams also shed work that they had begun: [`Ending::Full`] is no proof that an attempt never ran.
-    pub late_shedding: bool,
+    pub slow_start_overload_window: Millis,
+    /// Upstreams also shed work that they had begun: [`AttemptOutcome::Rejected`] is no proof that an attempt never ran.
+    pub rejects_after_start: bool,
     /// Price of one zone crossing per first try, as a part of a request's worth.
     pub cross_zone_price: f64,
 }
@@ -115,27 +115,27 @@
         Settings {
             index: 0,
             balancers: 1,
-            stage: 0,
+            tier: 0,
             zone: 0,
             classes: vec![Class {
                 objective: 1000.0,
                 deadline: 3000.0,
-                effect: Effect::Free,
+                idempotency: Idempotency::Idempotent,
                 ..Class::default()
             }],
             tenants: Vec::new(),
-            attempts_cap: 3,
+            max_attempts: 3,
             cancel: false,
-            ask_for_list: false,
-            ask_within: 10_000.0,
+            poll_endpoints: false,
+            poll_acknowledge_timeout: 10_000.0,
             idle_close: 5000.0,
             connect_timeout: 0.0,
             max_retry_after: 0.0,
-            cold_from: 0.1,
-            ramp_time: 30_000.0,
-            tip_multiple: 2.0,
-            tip_window: 1000.0,
-            late_shedding: false,
+            slow_start_initial_fraction: 0.1,
+            slow_start_duration: 30_000.0,
+            slow_start_overload_factor: 2.0,
+            slow_start_overload_window: 1000.0,
+            rejects_after_start: false,
             cross_zone_price: 0.0,
         }
     }
@@ -172,7 +172,7 @@
         let span = |v: f64| (0.0..=1e15).contains(&v);
         need(self.balancers >= 1, "balancers", "at least 1")?;
         need(!self.classes.is_empty(), "classes", "at least one")?;
-        need(self.attempts_cap >= 1, "attempts_cap", "at least 1")?;
+        need(self.max_attempts >= 1, "max_attempts", "at least 1")?;
         for c in &self.classes {
             need(
                 span(c.objective) && c.objective > 0.0,
@@ -185,27 +185,27 @@
                 "a time above 0",
             )?;
             need(
-                span(c.late_worth),
-                "classes.late_worth",
+                span(c.late_weight),
+                "classes.late_weight",
                 "a number of at least 0",
             )?;
             need(
-                c.runs_in.as_ref().is_none_or(|l| !l.is_empty()),
-                "classes.runs_in",
+                c.allowed_zones.as_ref().is_none_or(|l| !l.is_empty()),
+                "classes.allowed_zones",
                 "absent or not empty",
             )?;
-            let kinds = c.kinds_only.as_ref();
+            let kinds = c.allowed_kinds.as_ref();
             need(
                 kinds.is_none_or(|l| !l.is_empty()),
-                "classes.kinds_only",
+                "classes.allowed_kinds",
                 "absent or not empty",
             )?;
-            if let Effect::Guarded { window, .. } = c.effect {
+            if let Idempotency::IdempotencyKey { window, .. } = c.idempotency {
                 need(span(window), "classes.window", "a time of at least 0")?;
             }
         }
         for t in &self.tenants {
-            need(span(t.share), "tenants.share", "a number of at least 0")?;
+            need(span(t.weight), "tenants.weight", "a number of at least 0")?;
             need(
                 span(t.quota_per_s),
                 "tenants.quota_per_s",
@@ -213,8 +213,8 @@
             )?;
         }
         need(
-            span(self.ask_within) && self.ask_within > 0.0,
-            "ask_within",
+            span(self.poll_acknowledge_timeout) && self.poll_acknowledge_timeout > 0.0,
+            "poll_acknowledge_timeout",
             "a time above 0",
         )?;
         need(span(self.idle_close), "idle_close", "a time of at least 0")?;
@@ -229,17 +229,25 @@
             "a time of at least 0",
         )?;
         need(
-            span(self.cold_from) && self.cold_from <= 1.0,
-            "cold_from",
+            span(self.slow_start_initial_fraction) && self.slow_start_initial_fraction <= 1.0,
+            "slow_start_initial_fraction",
             "between 0 and 1",
         )?;
-        need(span(self.ramp_time), "ramp_time", "a time of at least 0")?;
         need(
-            span(self.tip_multiple),
-            "tip_multiple",
+            span(self.slow_start_duration),
+            "slow_start_duration",
+            "a time of at least 0",
+        )?;
+        need(
+            span(self.slow_start_overload_factor),
+            "slow_start_overload_factor",
             "a number of at least 0",
         )?;
-        need(span(self.tip_window), "tip_window", "a time of at least 0")?;
+        need(
+            span(self.slow_start_overload_window),
+            "slow_start_overload_window",
+            "a time of at least 0",
+        )?;
         need(
             span(self.cross_zone_price),
             "cross_zone_price",
@@ -262,7 +270,7 @@
 
 /// One line of the list of upstreams.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Member {
+pub struct Endpoint {
     /// Which upstream.
     pub id: UpstreamId,
     /// Its zone.
@@ -274,37 +282,46 @@
     /// Whether it takes new work.
     pub availability: Availability,
     /// When its process last started; zero: long ago.
-    pub since: Millis,
+    pub started_at: Millis,
 }
 
-/// News about the list of upstreams.
+/// How many endpoints a balancer knows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct EndpointCounts {
+    /// Endpoints that are listed: ready or draining.
+    pub listed: usize,
+    /// Of these, the ones that requests avoid now: suspended, ejected, unresponsive or overloaded.
+    pub avoided: usize,
+}
+
+/// What happened to the endpoint list, or to the call that should have brought it.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Membership {
+pub enum EndpointEvent {
     /// The whole list; what it lacks is gone.
-    Full(Vec<Member>),
+    Snapshot(Vec<Endpoint>),
     /// The whole list as this instance last had it, perhaps old.
-    Cached(Vec<Member>),
+    CachedSnapshot(Vec<Endpoint>),
     /// Only what changed.
-    Delta(Vec<Member>),
+    Delta(Vec<Endpoint>),
     /// Discovery answered that nothing changed.
     Unchanged,
     /// A call for the list failed or the subscription broke; the old list stands.
-    Failed,
+    DiscoveryFailed,
     /// Discovery is elsewhere from now on; the old list stands.
-    Moved,
+    DiscoveryMigrated,
     /// Discovery refused a call for the list or ended the subscription: it is overloaded or down.
-    Refused,
+    DiscoveryRejected,
 }
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum AttemptOutcome {
     /// Served.
-    Ok,
+    Success,
     /// An error answer; it may have run.
     Error,
-    /// Turned away (full or draining); never ran, unless [`Settings::late_shedding`] is set.
-    Full,
+    /// Turned away (full or draining); never ran, unless [`Settings::rejects_after_start`] is set.
+    Rejected,
     /// No answer in time; may have run or still run.
     Timeout,
     /// No connection could be made; never ran.
@@ -314,15 +331,18 @@
     /// Cancelled; may have run.
     Cancelled,
     /// Was not sent at all; never ran.
-    Moot,
+    NotSent,
     /// Something unknown; counts as one that may have run.
     Unknown,
 }
 
-impl Ending {
-    /// Whether this ending proves that the attempt never ran; see [`Settings::late_shedding`] for `Full`.
+impl AttemptOutcome {
+    /// Whether this outcome proves that the attempt never ran; see [`Settings::rejects_after_start`] for `Full`.
     pub fn never_ran(self) -> bool {
-        matches!(self, Ending::Full | Ending::ConnectFailed | Ending::Moot)
+        matches!(
+            self,
+            AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
+        )
     }
 }
 
@@ -335,7 +355,7 @@
     pub class: usize,
     /// Position in [`Settings::tenants`].
     pub tenant: usize,
-    /// When the client gives up; infinite until all of the request has come, see [`Event::Whole`].
+    /// When the client gives up; infinite until all of the request has come, see [`Event::RequestBodyComplete`].
     pub deadline: Millis,
 }
 
@@ -343,49 +363,49 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// News about the list of upstreams.
-    Membership(Membership),
+    Endpoints(EndpointEvent),
     /// A request came in: one final answer is now owed.
     Request(Request),
     /// All of a request has come that was taken before: its time begins, and what is out for it is owed an answer.
-    Whole {
+    RequestBodyComplete {
         /// The request.
         request: RequestId,
         /// When its client gives up.
         deadline: Millis,
     },
     /// What has come of a request is no longer held: it cannot be sent again.
-    Spent(RequestId),
+    BodyDiscarded(RequestId),
     /// The answer of a streamed request has begun; its attempt is now the client's.
-    Streaming {
+    ResponseStarted {
         /// The request.
         request: RequestId,
         /// The attempt's number.
         attempt: u32,
     },
     /// An attempt ended. Exactly one for each [`Action::Send`].
-    Outcome {
+    AttemptEnded {
         /// The request.
         request: RequestId,
         /// The attempt's number, counted from zero in the order of sends.
         attempt: u32,
         /// How it ended.
-        ending: Ending,
+        outcome: AttemptOutcome,
         /// Time since all of it was sent, without the time to connect where the host knows it, up to where its
         /// answer began if that was streamed; finite.
         duration: Millis,
         /// The request has ended, by this outcome or earlier.
-        closed: bool,
+        request_completed: bool,
     },
     /// The client left, or its time ran out: nothing is owed any more.
-    ClientGone(RequestId),
+    ClientDisconnected(RequestId),
     /// Staff leave an upstream out, listed or not: it is sent nothing until they restore it, whatever the list says.
     Suspend(UpstreamId),
     /// Staff use an upstream again. It was restarted while it was out, and the list may tell of that late.
     Restore {
         /// The upstream.
         upstream: UpstreamId,
-        /// When they did; it counts as cold from then on.
-        since: Millis,
+        /// When it was restored; its slow start begins then.
+        restored_at: Millis,
     },
     /// A timer asked for with [`Action::SetTimer`] is due.
     Timer(u32),
@@ -411,7 +431,7 @@
         attempt: u32,
     },
     /// Final answer: refused, and another try does no harm.
-    Refuse {
+    Reject {
         /// The request.
         request: RequestId,
         /// How long the client should stay away; zero: no advice.
@@ -423,9 +443,9 @@
         request: RequestId,
     },
     /// Close the connections to an upstream that carry no call now.
-    CloseIdle(UpstreamId),
-    /// Subscribe to changes of the list; one [`Membership`] event answers.
-    Subscribe,
+    CloseIdleConnections(UpstreamId),
+    /// Subscribe to changes of the list; one [`EndpointEvent`] event answers.
+    PollEndpoints,
     /// Ask for one [`Event::Timer`].
     SetTimer {
         /// From now.
--- a/balancer-core/src/lib.rs
+++ b/balancer-core/src/lib.rs
@@ -9,8 +9,8 @@
 //! let mut balancer = Balancer::new(Settings::default(), 7, 0.0).expect("settings");
 //! let mut actions = Vec::new();
 //! let (zone, kind, group, availability) = (0, 0, 0, Availability::Ready);
-//! let member = Member { id: UpstreamId(1), zone, kind, group, availability, since: 0.0 };
-//! balancer.handle(0.0, Event::Membership(Membership::Full(vec![member])), &mut actions);
+//! let member = Endpoint { id: UpstreamId(1), zone, kind, group, availability, started_at: 0.0 };
+//! balancer.handle(0.0, Event::Endpoints(EndpointEvent::Snapshot(vec![member])), &mut actions);
 //! actions.clear();
 //!
 //! let id = RequestId(1);
@@ -19,12 +19,10 @@
 //! assert!(matches!(actions[0], Action::Send { request, upstream: UpstreamId(1), .. } if request == id));
 //!
 //! actions.clear();
-//! let answer = Event::Outcome { request: id, attempt: 0, ending: Ending::Ok, duration: 20.0, closed: true };
+//! let answer = Event::AttemptEnded { request: id, attempt: 0, outcome: AttemptOutcome::Success, duration: 20.0, request_completed: true };
 //! balancer.handle(21.0, answer, &mut actions);
 //! assert!(actions.is_empty(), "a served request is over");
 //! ```
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 mod interface;
 mod policy;
 
--- a/balancer-core/src/policy.rs
+++ b/balancer-core/src/policy.rs
@@ -64,21 +64,27 @@
     }
 
     /// Whether staff have left an upstream out.
-    pub fn suspends(&self, id: UpstreamId) -> bool {
+    pub fn is_suspended(&self, id: UpstreamId) -> bool {
         self.endpoints.suspended.contains(&id)
     }
 
-    /// How many upstreams are listed, and how many of them calls avoid now, by hand or by choice.
-    pub fn upstreams(&self, now: Millis) -> (usize, usize) {
-        let Endpoints { by_id, slots, .. } = &self.endpoints;
-        let listed = by_id
-            .values()
-            .filter(|&&i| slots[i].member.availability != Availability::Gone);
-        let avoided =
-            |i: usize| self.suspends(slots[i].member.id) || self.endpoints.is_avoided(i, now);
-        listed.fold((0, 0), |(count, out), &i| {
-            (count + 1, out + usize::from(avoided(i)))
-        })
+    /// How many endpoints are listed, and how many of them requests avoid now.
+    pub fn endpoint_counts(&self, now: Millis) -> EndpointCounts {
+        let mut counts = EndpointCounts {
+            listed: 0,
+            avoided: 0,
+        };
+        for &index in self.endpoints.by_id.values() {
+            let member = &self.endpoints.slots[index].member;
+            if member.availability == Availability::Gone {
+                continue;
+            }
+            counts.listed += 1;
+            if self.is_suspended(member.id) || self.endpoints.is_avoided(index, now) {
+                counts.avoided += 1;
+            }
+        }
+        counts
     }
 
     /// Takes one event and appends what is to be done. `now` must not go back.
@@ -91,55 +97,71 @@
                 after,
                 token: TIMER_CYCLE,
             });
-            actions.extend(self.settings.ask_for_list.then_some(Action::Subscribe));
+            actions.extend(
+                self.settings
+                    .poll_endpoints
+                    .then_some(Action::PollEndpoints),
+            );
         }
         match event {
-            Event::Membership(update) => self.record_update(update, now, actions),
+            Event::Endpoints(update) => self.record_update(update, now, actions),
             Event::Request(request) => self.request(now, request, actions),
-            Event::Whole { request, deadline } => self.complete(now, request, deadline),
-            Event::Spent(id) => {
+            Event::RequestBodyComplete { request, deadline } => {
+                self.complete(now, request, deadline)
+            }
+            Event::BodyDiscarded(id) => {
                 let spent = self.pending.get_mut(&id);
                 spent
                     .into_iter()
-                    .for_each(|pending| pending.sends = self.settings.attempts_cap);
+                    .for_each(|pending| pending.sends = self.settings.max_attempts);
+            }
+            Event::ResponseStarted { request, attempt } => {
+                self.response_started(now, request, attempt)
             }
-            Event::Streaming { request, attempt } => self.response_started(now, request, attempt),
-            Event::Outcome { .. } => self.attempt_ended(now, event, actions),
-            Event::ClientGone(id) => self.client_gone(id, actions),
+            Event::AttemptEnded { .. } => self.attempt_ended(now, event, actions),
+            Event::ClientDisconnected(id) => self.client_gone(id, actions),
             Event::Suspend(id) => {
                 self.endpoints.suspended.insert(id);
                 self.endpoints.choose_subset();
                 self.record_load(now);
             }
-            Event::Restore { upstream, since } => {
-                self.endpoints.restore(upstream, since, now, &mut self.rng);
+            Event::Restore {
+                upstream,
+                restored_at,
+            } => {
+                self.endpoints
+                    .restore(upstream, restored_at, now, &mut self.rng);
                 self.record_load(now);
             }
             Event::Timer(TIMER_CYCLE) => self.end_cycle(now, actions),
-            Event::Timer(TIMER_ASK) => actions.push(Action::Subscribe),
+            Event::Timer(TIMER_ASK) => actions.push(Action::PollEndpoints),
             Event::Timer(_) => {}
         }
     }
 
-    fn record_update(&mut self, update: Membership, now: Millis, actions: &mut Vec<Action>) {
+    fn record_update(&mut self, update: EndpointEvent, now: Millis, actions: &mut Vec<Action>) {
         match update {
-            Membership::Failed => return self.subscribe_again(CallFailure::Failed, now, actions),
-            Membership::Refused => return self.subscribe_again(CallFailure::Refused, now, actions),
-            Membership::Moved => return self.subscription.record_move(now),
-            Membership::Cached(_) => {}
-            Membership::Unchanged | Membership::Full(_) | Membership::Delta(_) => {
+            EndpointEvent::DiscoveryFailed => {
+                return self.subscribe_again(CallFailure::Failed, now, actions)
+            }
+            EndpointEvent::DiscoveryRejected => {
+                return self.subscribe_again(CallFailure::Refused, now, actions)
+            }
+            EndpointEvent::DiscoveryMigrated => return self.subscription.record_move(now),
+            EndpointEvent::CachedSnapshot(_) => {}
+            EndpointEvent::Unchanged | EndpointEvent::Snapshot(_) | EndpointEvent::Delta(_) => {
                 self.subscription.record_answer(now);
                 self.endpoints.confirm();
             }
         }
-        if update != Membership::Unchanged {
+        if update != EndpointEvent::Unchanged {
             self.endpoints.apply(update, now, &mut self.rng);
             self.record_load(now);
         }
     }
 
     fn subscribe_again(&mut self, failure: CallFailure, now: Millis, actions: &mut Vec<Action>) {
-        if self.settings.ask_for_list {
+        if self.settings.poll_endpoints {
             let known = self.endpoints.ready > 0;
             let after = self
                 .subscription
@@ -174,7 +196,7 @@
             };
             actions.push(Action::Log(format!(
                 "answers of tier {} {state}",
-                self.settings.stage
+                self.settings.tier
             )));
         }
         self.endpoints
--- a/balancer-core/src/policy/admission.rs
+++ b/balancer-core/src/policy/admission.rs
@@ -63,7 +63,7 @@
 impl Admission {
     pub(super) fn new(settings: &Settings, now: Millis) -> Self {
         let unnamed = [Tenant {
-            share: 1.0,
+            weight: 1.0,
             quota_per_s: 0.0,
         }];
         let listed: &[Tenant] = if settings.tenants.is_empty() {
@@ -74,9 +74,9 @@
         // One further entry for tenants that the settings do not list, however many they are.
         let least = listed
             .iter()
-            .map(|tenant| tenant.share)
+            .map(|tenant| tenant.weight)
             .fold(f64::INFINITY, f64::min);
-        let weights = listed.iter().map(|tenant| tenant.share).chain([least]);
+        let weights = listed.iter().map(|tenant| tenant.weight).chain([least]);
         let tenants = weights
             .map(|weight| TenantState {
                 weight,
--- a/balancer-core/src/policy/capacity.rs
+++ b/balancer-core/src/policy/capacity.rs
@@ -60,13 +60,13 @@
         let replicas = f64::from(settings.balancers);
         let quota = quota_per_s / replicas;
         // Tiers below start with more room: a rejection there wastes the work done above.
-        let multiple = if settings.stage == 0 {
+        let multiple = if settings.tier == 0 {
             1.0
         } else {
             INITIAL_MULTIPLE_BELOW
         };
         let stated = multiple * quota * CYCLE / 1000.0;
-        let first_tier = settings.stage == 0 && stated > 0.0;
+        let first_tier = settings.tier == 0 && stated > 0.0;
         let objective = mean_objective(settings);
         let (unloaded, on_time) = (objective / 4.0, ON_TIME * objective);
         // Without stated quotas nothing is known: the first cycle rejects no one, shows what is carried.
--- a/balancer-core/src/policy/endpoints.rs
+++ b/balancer-core/src/policy/endpoints.rs
@@ -2,8 +2,8 @@
 use super::*;
 
 #[derive(Default)]
-pub(super) struct Endpoint {
-    pub(super) member: Member,
+pub(super) struct EndpointState {
+    pub(super) member: Endpoint,
     /// When it started, on this replica's clock; zero: long ago.
     started: Millis,
     /// Requests in flight, those among them that no response is awaited for now, and their classes.
@@ -27,16 +27,16 @@
     pub(super) tokens_at: Millis,
 }
 
-impl Endpoint {
-    fn new(member: Member, started: Millis, now: Millis, rng: &mut Pcg64Mcg) -> Self {
+impl EndpointState {
+    fn new(member: Endpoint, started: Millis, now: Millis, rng: &mut Pcg64Mcg) -> Self {
         // Hundreds of replicas must not each send their first request at once: start in random phase.
-        let times = Endpoint {
+        let times = EndpointState {
             idle_since: now,
             awaited_since: now,
             tokens_at: now,
             ..Default::default()
         };
-        Endpoint {
+        EndpointState {
             member,
             started,
             slowness: 1.0,
@@ -46,18 +46,18 @@
     }
 
     /// Restarted under its old id: in slow start again, and its history is forgotten.
-    fn restart(&mut self, member: Member, started: Millis, now: Millis, rng: &mut Pcg64Mcg) {
-        let Endpoint {
+    fn restart(&mut self, member: Endpoint, started: Millis, now: Millis, rng: &mut Pcg64Mcg) {
+        let EndpointState {
             inflight,
             not_awaited,
             classes,
             ..
         } = std::mem::take(self);
-        *self = Endpoint {
+        *self = EndpointState {
             inflight,
             not_awaited,
             classes,
-            ..Endpoint::new(member, started, now, rng)
+            ..EndpointState::new(member, started, now, rng)
         };
     }
 
@@ -90,9 +90,9 @@
         self.tokens -= 1.0;
     }
 
-    pub(super) fn record_end(&mut self, attempt: &Attempt, ending: Ending, now: Millis) {
-        use Ending::{Cancelled, ConnectFailed, Reset, Timeout};
-        let closed = matches!(ending, Timeout | Reset | Cancelled | ConnectFailed);
+    pub(super) fn record_end(&mut self, attempt: &Attempt, outcome: AttemptOutcome, now: Millis) {
+        use AttemptOutcome::{Cancelled, ConnectFailed, Reset, Timeout};
+        let closed = matches!(outcome, Timeout | Reset | Cancelled | ConnectFailed);
         self.idle_since = if self.inflight >= self.connections {
             now
         } else {
@@ -119,7 +119,7 @@
 #[derive(Default)]
 pub(super) struct Endpoints {
     pub(super) settings: Arc<Settings>,
-    pub(super) slots: Vec<Endpoint>,
+    pub(super) slots: Vec<EndpointState>,
     pub(super) by_id: BTreeMap<UpstreamId, usize>,
     free: Vec<usize>,
     /// Endpoints of the subset that each class may go to: those of the own zone, and the others.
@@ -147,10 +147,10 @@
         }
     }
 
-    pub(super) fn apply(&mut self, update: Membership, now: Millis, rng: &mut Pcg64Mcg) {
-        use Membership::{Cached, Delta, Full};
+    pub(super) fn apply(&mut self, update: EndpointEvent, now: Millis, rng: &mut Pcg64Mcg) {
+        use EndpointEvent::{CachedSnapshot, Delta, Snapshot};
         let complete = !matches!(update, Delta(_));
-        let (Full(members) | Cached(members) | Delta(members)) = update else {
+        let (Snapshot(members) | CachedSnapshot(members) | Delta(members)) = update else {
             return;
         };
         let listed: BTreeSet<UpstreamId> = members.iter().map(|member| member.id).collect();
@@ -163,13 +163,15 @@
         }
         for member in members {
             let started = self.start_times.record(&member, now);
-            self.slow_start_ends = self.slow_start_ends.max(started + self.settings.ramp_time);
+            self.slow_start_ends = self
+                .slow_start_ends
+                .max(started + self.settings.slow_start_duration);
             match self
                 .by_id
                 .get(&member.id)
                 .map(|&index| &mut self.slots[index])
             {
-                Some(known) if known.member.since != member.since => {
+                Some(known) if known.member.started_at != member.started_at => {
                     known.restart(member, started, now, rng)
                 }
                 Some(known) => known.member = member,
@@ -178,8 +180,8 @@
                     let index = self.free.pop().unwrap_or(self.slots.len());
                     self.by_id.insert(member.id, index);
                     self.slots
-                        .resize_with(self.slots.len().max(index + 1), Endpoint::default);
-                    self.slots[index] = Endpoint::new(member, started, now, rng);
+                        .resize_with(self.slots.len().max(index + 1), EndpointState::default);
+                    self.slots[index] = EndpointState::new(member, started, now, rng);
                 }
             }
         }
@@ -200,17 +202,19 @@
     pub(super) fn restore(
         &mut self,
         id: UpstreamId,
-        since: Millis,
+        restored_at: Millis,
         now: Millis,
         rng: &mut Pcg64Mcg,
     ) {
         // Another process may have carried it out, whose clock was off.
-        let since = since.min(now);
+        let restored_at = restored_at.min(now);
         self.suspended.remove(&id);
         self.restored
-            .retain(|_, &mut at| now - at < self.settings.ramp_time);
-        self.restored.insert(id, since);
-        self.slow_start_ends = self.slow_start_ends.max(since + self.settings.ramp_time);
+            .retain(|_, &mut at| now - at < self.settings.slow_start_duration);
+        self.restored.insert(id, restored_at);
+        self.slow_start_ends = self
+            .slow_start_ends
+            .max(restored_at + self.settings.slow_start_duration);
         if let Some(endpoint) = self.by_id.get(&id).map(|&index| &mut self.slots[index]) {
             endpoint.restart(endpoint.member.clone(), endpoint.started, now, rng);
         }
@@ -225,8 +229,8 @@
 
     /// Frees the slot of an endpoint that is gone once nothing is in flight to it.
     pub(super) fn forget_if_gone(&mut self, index: usize) {
-        let Endpoint {
-            member: Member {
+        let EndpointState {
+            member: Endpoint {
                 id, availability, ..
             },
             inflight,
@@ -267,10 +271,12 @@
         let restored = self.restored.get(&endpoint.member.id);
         let since = restored.map_or(endpoint.started, |&at| at.max(endpoint.started));
         let age = now - since;
-        if since <= 0.0 || age >= settings.ramp_time {
+        if since <= 0.0 || age >= settings.slow_start_duration {
             return 1.0;
         }
-        (settings.cold_from + (1.0 - settings.cold_from) * age.max(0.0) / settings.ramp_time)
+        (settings.slow_start_initial_fraction
+            + (1.0 - settings.slow_start_initial_fraction) * age.max(0.0)
+                / settings.slow_start_duration)
             .min(1.0)
     }
 }
--- a/balancer-core/src/policy/health.rs
+++ b/balancer-core/src/policy/health.rs
@@ -36,7 +36,7 @@
 pub(super) struct IdleLosses(pub(super) [f64; IDLE_STEPS]);
 
 impl IdleLosses {
-    pub(super) fn step(endpoint: &Endpoint, idle_close: Millis, now: Millis) -> usize {
+    pub(super) fn step(endpoint: &EndpointState, idle_close: Millis, now: Millis) -> usize {
         let idle = now - endpoint.idle_since;
         if endpoint.connections <= endpoint.inflight || idle >= idle_close {
             return 0;
@@ -48,16 +48,16 @@
         self.0[step] > LOSS_STALE && self.0[step] > 2.0 * self.0[0]
     }
 
-    pub(super) fn record(&mut self, step: usize, ending: Ending, duration: Millis) {
+    pub(super) fn record(&mut self, step: usize, outcome: AttemptOutcome, duration: Millis) {
         if matches!(
-            ending,
-            Ending::Cancelled | Ending::ConnectFailed | Ending::Moot
+            outcome,
+            AttemptOutcome::Cancelled | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
         ) {
             return;
         }
         // What broke later was carried: its connection had not been dropped on the way.
-        let reset = ending == Ending::Reset && duration < RESET_AT_ONCE;
-        let lost = f64::from(u8::from(reset || ending == Ending::Timeout));
+        let reset = outcome == AttemptOutcome::Reset && duration < RESET_AT_ONCE;
+        let lost = f64::from(u8::from(reset || outcome == AttemptOutcome::Timeout));
         let gain = if reset && step > 0 {
             RESET_GAIN
         } else {
@@ -82,7 +82,7 @@
 
     /// Each replica sees only its own few wait. Still used below the first tier: rejections waste work.
     pub(super) fn is_overloaded(&self, index: usize, now: Millis) -> bool {
-        self.settings.stage == 0 && self.is_overdue(index, OVERLOADED_FACTOR, now)
+        self.settings.tier == 0 && self.is_overdue(index, OVERLOADED_FACTOR, now)
     }
 
     pub(super) fn is_avoided(&self, index: usize, now: Millis) -> bool {
@@ -96,12 +96,12 @@
 
 impl Balancer {
     pub(super) fn attempt_ended(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
-        let Event::Outcome {
+        let Event::AttemptEnded {
             request: id,
             attempt: number,
-            ending,
+            outcome,
             duration,
-            closed,
+            request_completed,
         } = event
         else {
             return;
@@ -123,24 +123,24 @@
             .not_awaited
             .saturating_sub(u32::from(!attempt.awaited));
         // Where upstreams also shed work that they had begun, 'full' proves nothing.
-        let never_ran =
-            ending.never_ran() && !(ending == Ending::Full && self.settings.late_shedding);
+        let never_ran = outcome.never_ran()
+            && !(outcome == AttemptOutcome::Rejected && self.settings.rejects_after_start);
         pending
             .first_run
             .take_if(|run| never_ran && is_last && run.attempt == number);
-        pending.closed |= closed;
+        pending.closed |= request_completed;
         let closed = pending.closed;
-        let own_fault = self.record_outcome(&attempt, ending, duration, now);
-        if ending == Ending::Full && self.subscription.is_stale(&self.settings, now) {
+        let own_fault = self.record_outcome(&attempt, outcome, duration, now);
+        if outcome == AttemptOutcome::Rejected && self.subscription.is_stale(&self.settings, now) {
             self.endpoints.slots[index].may_drain = true;
         }
         self.endpoints.forget_if_gone(index);
-        let ratio = match ending {
-            Ending::Ok => Some(latency_ratio(
+        let ratio = match outcome {
+            AttemptOutcome::Success => Some(latency_ratio(
                 duration,
                 self.settings.classes[attempt.class].objective,
             )),
-            Ending::Cancelled | Ending::Moot => None,
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => None,
             // Blame the server or the connection, not the whole tier, for failures that are its own.
             _ if own_fault || self.endpoints.idle_losses.is_stale(attempt.idle_step) => None,
             _ => Some(LATENCY_RATIO_MAX),
@@ -151,7 +151,7 @@
         if closed && is_last {
             self.pending.remove(&id);
         } else if is_last
-            && ending != Ending::Ok
+            && outcome != AttemptOutcome::Success
             && self.retries >= 1.0
             && self.send(now, id, actions)
         {
@@ -165,14 +165,14 @@
     fn record_outcome(
         &mut self,
         attempt: &Attempt,
-        ending: Ending,
+        outcome: AttemptOutcome,
         took: Millis,
         now: Millis,
     ) -> bool {
         let endpoints = &mut self.endpoints;
         let index = attempt.endpoint;
-        let hung =
-            ending == Ending::Timeout && endpoints.is_overdue(index, UNRESPONSIVE_FACTOR, now);
+        let hung = outcome == AttemptOutcome::Timeout
+            && endpoints.is_overdue(index, UNRESPONSIVE_FACTOR, now);
         let ejected = endpoints
             .by_id
             .values()
@@ -180,14 +180,14 @@
             .count();
         endpoints
             .idle_losses
-            .record(attempt.idle_step, ending, took);
+            .record(attempt.idle_step, outcome, took);
         let endpoint = &mut endpoints.slots[index];
-        endpoint.record_end(attempt, ending, now);
-        if matches!(ending, Ending::Cancelled | Ending::Moot) {
+        endpoint.record_end(attempt, outcome, now);
+        if matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::NotSent) {
             return false;
         }
-        let failed = ending != Ending::Ok;
-        endpoint.awaited_since = if ending == Ending::Timeout {
+        let failed = outcome != AttemptOutcome::Success;
+        endpoint.awaited_since = if outcome == AttemptOutcome::Timeout {
             endpoint.awaited_since
         } else {
             now
--- a/balancer-core/src/policy/picker.rs
+++ b/balancer-core/src/policy/picker.rs
@@ -32,13 +32,13 @@
 }
 
 /// Whether requests of a class may go to a member at all.
-fn admits(class: &Class, member: &Member) -> bool {
+fn admits(class: &Class, member: &Endpoint) -> bool {
     class
-        .runs_in
+        .allowed_zones
         .as_ref()
         .is_none_or(|zones| zones.contains(&member.zone))
         && class
-            .kinds_only
+            .allowed_kinds
             .as_ref()
             .is_none_or(|kinds| kinds.contains(&member.kind))
 }
@@ -157,7 +157,7 @@
         let member = &self.slots[index].member;
         let discards_repeat = match request.repeat {
             Some((DedupScope::Zone, first_run)) => member.zone == first_run.zone,
-            Some((DedupScope::Cell, first_run)) => member.group == first_run.group,
+            Some((DedupScope::Group, first_run)) => member.group == first_run.group,
             _ => true,
         };
         let excluded =
@@ -167,14 +167,15 @@
         if avoided || warmth >= 1.0 {
             return !avoided;
         }
-        let rate =
-            request.even_rate * (SLOW_START_MARGIN * self.settings.tip_multiple * warmth).min(1.0);
+        let rate = request.even_rate
+            * (SLOW_START_MARGIN * self.settings.slow_start_overload_factor * warmth).min(1.0);
         let endpoint = &mut self.slots[index];
         endpoint.tokens += rate * (now - endpoint.tokens_at);
         endpoint.tokens_at = now;
         // Unused tokens lapse: saved up, they would be spent at once.
         let excess = endpoint.tokens.fract();
-        let token = endpoint.tokens >= 1.0 && excess < rate * self.settings.tip_window;
+        let token =
+            endpoint.tokens >= 1.0 && excess < rate * self.settings.slow_start_overload_window;
         endpoint.tokens = if token { excess + 1.0 } else { excess };
         token
     }
@@ -183,8 +184,8 @@
     fn is_less_busy(&self, index: usize, other: usize, now: Millis) -> bool {
         let (one, two) = (&self.slots[index], &self.slots[other]);
         // What was learned fades, so that one that was slow is tried again.
-        let fade = |endpoint: &Endpoint| (-(now - endpoint.last_used) / SLOWNESS_KEPT).exp();
-        let slow = |endpoint: &Endpoint| 1.0 + (endpoint.slowness - 1.0) * fade(endpoint);
+        let fade = |endpoint: &EndpointState| (-(now - endpoint.last_used) / SLOWNESS_KEPT).exp();
+        let slow = |endpoint: &EndpointState| 1.0 + (endpoint.slowness - 1.0) * fade(endpoint);
         match one.inflight.cmp(&two.inflight) {
             Ordering::Equal if slow(one) > SLOWER_RATIO * slow(two) => false,
             Ordering::Equal if slow(two) > SLOWER_RATIO * slow(one) => true,
--- a/balancer-core/src/policy/requests.rs
+++ b/balancer-core/src/policy/requests.rs
@@ -45,7 +45,7 @@
 /// When a request ends whose client gives up at `deadline`.
 fn useful_until(class: &Class, deadline: Millis, now: Millis) -> Millis {
     // A late response that earns nothing only holds a slot in every tier above.
-    let unlimited = deadline == f64::INFINITY || class.late_worth > 0.0;
+    let unlimited = deadline == f64::INFINITY || class.late_weight > 0.0;
     deadline.min(if unlimited {
         f64::INFINITY
     } else {
@@ -86,7 +86,9 @@
             IdleLosses::step(&self.endpoints.slots[index], self.settings.idle_close, now);
         let stale = (1..=idle_step).any(|shorter| self.endpoints.idle_losses.is_stale(shorter));
         if stale && unit(&mut self.rng) > PROBE_SHARE {
-            actions.push(Action::CloseIdle(self.endpoints.slots[index].member.id));
+            actions.push(Action::CloseIdleConnections(
+                self.endpoints.slots[index].member.id,
+            ));
             idle_step = 0;
         }
         let Some(pending) = self.pending.get_mut(&id) else {
@@ -104,7 +106,7 @@
         };
         let endpoint = &mut self.endpoints.slots[index];
         endpoint.record_send(&attempt, now);
-        let Member {
+        let Endpoint {
             id: upstream,
             zone,
             group,
@@ -137,19 +139,19 @@
             avoid,
             ..
         } = self.pending.get(&id)?;
-        if sends >= self.settings.attempts_cap || now >= ends {
+        if sends >= self.settings.max_attempts || now >= ends {
             return None;
         }
-        let repeat = match (first_run, self.settings.classes[class].effect) {
-            (None, _) | (_, Effect::Free) => None,
-            (Some(_), Effect::SingleShot) => return None,
+        let repeat = match (first_run, self.settings.classes[class].idempotency) {
+            (None, _) | (_, Idempotency::Idempotent) => None,
+            (Some(_), Idempotency::NonIdempotent) => return None,
             // It may wait for a connection first, and must arrive while repeats are still discarded.
-            (Some(run), Effect::Guarded { window, .. })
+            (Some(run), Idempotency::IdempotencyKey { window, .. })
                 if now + self.settings.connect_timeout >= run.sent + window =>
             {
                 return None
             }
-            (Some(run), Effect::Guarded { scope, .. }) => Some((scope, run)),
+            (Some(run), Idempotency::IdempotencyKey { scope, .. }) => Some((scope, run)),
         };
         let endpoints = &mut self.endpoints;
         let counts = endpoints
@@ -202,8 +204,8 @@
         let endpoint = &self.endpoints.slots[index];
         let losses = self.endpoints.idle_losses.0[idle_step];
         let suspect = endpoint.failure_rate > SUSPECT_AT || losses > SUSPECT_AT / 4.0;
-        let legal = self.settings.classes[pending.class].effect != Effect::SingleShot;
-        let repeats = legal && pending.sends < self.settings.attempts_cap && self.retries >= 1.0;
+        let legal = self.settings.classes[pending.class].idempotency != Idempotency::NonIdempotent;
+        let repeats = legal && pending.sends < self.settings.max_attempts && self.retries >= 1.0;
         let ExpectedLatency {
             mean, deviation, ..
         } = self.endpoints.latency.classes[pending.class];
@@ -221,11 +223,11 @@
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
         };
-        let effect = self.settings.classes[pending.class].effect;
+        let idempotency = self.settings.classes[pending.class].idempotency;
         let free = matches!(
-            effect,
-            Effect::Free
-                | Effect::Guarded {
+            idempotency,
+            Idempotency::Idempotent
+                | Idempotency::IdempotencyKey {
                     scope: DedupScope::All,
                     ..
                 }
@@ -245,7 +247,7 @@
     pub(super) fn rejection(&mut self, request: RequestId) -> Action {
         // Until the next cycle has begun, with jitter, so that those who heed it do not return together.
         let retry_after = (CYCLE * (0.5 + unit(&mut self.rng))).min(self.settings.max_retry_after);
-        Action::Refuse {
+        Action::Reject {
             request,
             retry_after,
         }
@@ -326,7 +328,7 @@
             if (0.0..CYCLE).contains(&overdue) {
                 self.endpoints
                     .idle_losses
-                    .record(idle_step, Ending::Timeout, overdue);
+                    .record(idle_step, AttemptOutcome::Timeout, overdue);
             }
             let lost = overdue >= 0.0 && self.endpoints.idle_losses.is_stale(idle_step);
             self.admission.inflight_lost += f64::from(u8::from(lost));
--- a/balancer-core/src/policy/start_times.rs
+++ b/balancer-core/src/policy/start_times.rs
@@ -25,8 +25,8 @@
 
 impl StartTimes {
     /// When a listed endpoint started; zero: long ago.
-    pub(super) fn record(&mut self, member: &Member, now: Millis) -> Millis {
-        let reported = member.since;
+    pub(super) fn record(&mut self, member: &Endpoint, now: Millis) -> Millis {
+        let reported = member.started_at;
         let known = self
             .by_id
             .get(&member.id)
--- a/balancer-core/src/policy/subscription.rs
+++ b/balancer-core/src/policy/subscription.rs
@@ -2,9 +2,9 @@
 //! whether what is known is recent.
 use super::*;
 
-/// Pause after a first call that failed, doubling up to a third of `ask_within`.
+/// Pause after a first call that failed, doubling up to a third of `poll_acknowledge_timeout`.
 const RETRY_PAUSE: Millis = 400.0;
-/// Pause after a first call that was refused, and the most, as a multiple of `ask_within`: hundreds of
+/// Pause after a first call that was refused, and the most, as a multiple of `poll_acknowledge_timeout`: hundreds of
 /// replicas that lost discovery together come back spread over what it needs to serve them all, while their
 /// old lists serve them.
 const REFUSED_PAUSE: Millis = 2000.0;
@@ -57,7 +57,9 @@
         self.failures += 1;
         let (first, most, jitter) = match failure {
             CallFailure::Refused if known => {
-                let moved = self.moved.is_some_and(|at| now - at < settings.ask_within);
+                let moved = self
+                    .moved
+                    .is_some_and(|at| now - at < settings.poll_acknowledge_timeout);
                 let stale = !moved && self.is_stale(settings, now);
                 let first = if stale {
                     REFUSED_PAUSE_STALE
@@ -67,20 +69,24 @@
                 let most = if moved {
                     REFUSED_PAUSE
                 } else {
-                    settings.ask_within * REFUSED_PAUSE_SHARE
+                    settings.poll_acknowledge_timeout * REFUSED_PAUSE_SHARE
                 };
                 (first, most, REFUSED_JITTER)
             }
-            _ => (RETRY_PAUSE, settings.ask_within / 3.0, RETRY_JITTER),
+            _ => (
+                RETRY_PAUSE,
+                settings.poll_acknowledge_timeout / 3.0,
+                RETRY_JITTER,
+            ),
         };
         (first * doubled).min(most) * (jitter + (1.0 - jitter) * unit(rng))
     }
 
     /// Whether discovery has not confirmed the list for so long that endpoints may have begun to drain since.
     pub(super) fn is_stale(&self, settings: &Settings, now: Millis) -> bool {
-        settings.ask_for_list
+        settings.poll_endpoints
             && self
                 .confirmed
-                .is_none_or(|at| now - at >= settings.ask_within)
+                .is_none_or(|at| now - at >= settings.poll_acknowledge_timeout)
     }
 }
--- a/balancer-core/tests/classes.rs
+++ b/balancer-core/tests/classes.rs
@@ -1,7 +1,7 @@
 //! Classes of unlike work in one tier: what is usual for one must not be held against another.
 mod common;
-use common::*;
 use balancer_core::*;
+use common::*;
 
 const LIGHT: usize = 0;
 const HEAVY: usize = 1;
@@ -11,12 +11,12 @@
     let class = |objective, deadline| Class {
         objective,
         deadline,
-        ..class(Effect::Free)
+        ..class(Idempotency::Idempotent)
     };
     let settings = Settings {
         classes: vec![class(300.0, 900.0), class(5000.0, 10_000.0)],
         tenants: tenants(&[1.0], quota_per_s),
-        attempts_cap: 4,
+        max_attempts: 4,
         cancel: true,
         ..Settings::default()
     };
@@ -61,7 +61,7 @@
             let (at, id, n) = due.swap_remove(i);
             w.pass((at - w.now).max(0.0));
             if w.seen[&RequestId(id)].ended[n].is_none() {
-                w.outcome(id, n, Ending::Ok);
+                w.outcome(id, n, AttemptOutcome::Success);
             }
         }
         w.pass((next - w.now).max(0.0));
@@ -75,7 +75,7 @@
         let (came, served) = all.fold((0, 0), |(came, served), s| {
             (
                 came + 1,
-                served + usize::from(s.ended.contains(&Some(Ending::Ok))),
+                served + usize::from(s.ended.contains(&Some(AttemptOutcome::Success))),
             )
         });
         (came, served)
--- a/balancer-core/tests/common/mod.rs
+++ b/balancer-core/tests/common/mod.rs
@@ -3,22 +3,26 @@
 use balancer_core::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub fn member(id: u64) -> Member {
-    Member {
+pub fn member(id: u64) -> Endpoint {
+    Endpoint {
         id: UpstreamId(id),
         zone: 0,
         kind: 0,
         group: (id % 3) as u16,
         availability: Availability::Ready,
-        since: 0.0,
+        started_at: 0.0,
     }
 }
 
-pub fn class(effect: Effect) -> Class {
+pub fn counts(listed: usize, avoided: usize) -> EndpointCounts {
+    EndpointCounts { listed, avoided }
+}
+
+pub fn class(idempotency: Idempotency) -> Class {
     Class {
         objective: 500.0,
         deadline: 2000.0,
-        effect,
+        idempotency,
         ..Class::default()
     }
 }
@@ -27,7 +31,7 @@
     shares
         .iter()
         .map(|&share| Tenant {
-            share,
+            weight: share,
             quota_per_s: quota_per_s * share,
         })
         .collect()
@@ -41,7 +45,7 @@
     /// When each attempt times out.
     pub until: Vec<f64>,
     /// Attempts out, and whether each ended one may have run (`None`: still out).
-    pub ended: Vec<Option<Ending>>,
+    pub ended: Vec<Option<AttemptOutcome>>,
     pub answered: bool,
 }
 
@@ -50,26 +54,26 @@
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: f64,
-    pub listed: BTreeMap<UpstreamId, Member>,
+    pub listed: BTreeMap<UpstreamId, Endpoint>,
     pub suspended: BTreeSet<UpstreamId>,
     pub seen: BTreeMap<RequestId, Seen>,
     pub timers: Vec<(f64, u32)>,
     pub log: Vec<Action>,
-    /// Answers on their way: when, request, attempt, ending.
-    pub due: Vec<(f64, u32, usize, Ending)>,
+    /// Answers on their way: when, request, attempt, outcome.
+    pub due: Vec<(f64, u32, usize, AttemptOutcome)>,
 }
 
 impl World {
     /// Whether this end of an attempt proves that it never ran.
-    fn proves(&self, ending: Option<Ending>) -> bool {
-        match ending {
-            Some(Ending::Full) => !self.settings.late_shedding,
-            Some(Ending::ConnectFailed | Ending::Moot) => true,
+    fn proves(&self, outcome: Option<AttemptOutcome>) -> bool {
+        match outcome {
+            Some(AttemptOutcome::Rejected) => !self.settings.rejects_after_start,
+            Some(AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent) => true,
             _ => false,
         }
     }
 
-    pub fn new(settings: Settings, seed: u64, members: Vec<Member>) -> Self {
+    pub fn new(settings: Settings, seed: u64, members: Vec<Endpoint>) -> Self {
         let balancer = Balancer::new(settings.clone(), seed, 0.0).expect("settings");
         let mut world = World {
             balancer,
@@ -82,18 +86,18 @@
             log: Vec::new(),
             due: Vec::new(),
         };
-        world.list(Membership::Cached(members));
+        world.list(EndpointEvent::CachedSnapshot(members));
         world
     }
 
-    pub fn list(&mut self, news: Membership) {
+    pub fn list(&mut self, news: EndpointEvent) {
         let (members, whole) = match &news {
-            Membership::Full(m) | Membership::Cached(m) => (m.clone(), true),
-            Membership::Delta(m) => (m.clone(), false),
-            Membership::Failed
-            | Membership::Refused
-            | Membership::Unchanged
-            | Membership::Moved => (Vec::new(), false),
+            EndpointEvent::Snapshot(m) | EndpointEvent::CachedSnapshot(m) => (m.clone(), true),
+            EndpointEvent::Delta(m) => (m.clone(), false),
+            EndpointEvent::DiscoveryFailed
+            | EndpointEvent::DiscoveryRejected
+            | EndpointEvent::Unchanged
+            | EndpointEvent::DiscoveryMigrated => (Vec::new(), false),
         };
         if whole {
             self.listed
@@ -101,7 +105,7 @@
                 .for_each(|m| m.availability = Availability::Gone);
         }
         self.listed.extend(members.into_iter().map(|m| (m.id, m)));
-        self.event(Event::Membership(news));
+        self.event(Event::Endpoints(news));
     }
 
     pub fn suspend(&mut self, id: u64) {
@@ -113,7 +117,7 @@
         self.suspended.remove(&UpstreamId(id));
         self.event(Event::Restore {
             upstream: UpstreamId(id),
-            since: self.now,
+            restored_at: self.now,
         });
     }
 
@@ -138,19 +142,19 @@
         }))
     }
 
-    pub fn outcome(&mut self, id: u32, attempt: usize, ending: Ending) -> Vec<Action> {
+    pub fn outcome(&mut self, id: u32, attempt: usize, outcome: AttemptOutcome) -> Vec<Action> {
         let request = RequestId(id);
         let seen = self.seen.get_mut(&request).expect("a known request");
-        seen.ended[attempt] = Some(ending);
-        seen.answered |= ending == Ending::Ok;
+        seen.ended[attempt] = Some(outcome);
+        seen.answered |= outcome == AttemptOutcome::Success;
         let duration = self.now - seen.sends[attempt].1;
-        let closed = seen.answered;
-        self.event(Event::Outcome {
+        let request_completed = seen.answered;
+        self.event(Event::AttemptEnded {
             request,
             attempt: attempt as u32,
-            ending,
+            outcome,
             duration,
-            closed,
+            request_completed,
         })
     }
 
@@ -159,7 +163,7 @@
             .get_mut(&RequestId(id))
             .expect("a known request")
             .answered = true;
-        self.event(Event::ClientGone(RequestId(id)))
+        self.event(Event::ClientDisconnected(RequestId(id)))
     }
 
     /// Sends `per_s` requests a second for `span`, tenant by tenant in turn; `server` says how each attempt
@@ -169,7 +173,7 @@
         span: f64,
         per_s: f64,
         tenants: &[usize],
-        server: &dyn Fn(UpstreamId) -> Option<(Ending, f64)>,
+        server: &dyn Fn(UpstreamId) -> Option<(AttemptOutcome, f64)>,
     ) {
         let until = self.now + span;
         while self.now < until {
@@ -181,10 +185,10 @@
                 .filter(|&i| self.due[i].0 <= next)
                 .min_by(|&a, &b| self.due[a].0.total_cmp(&self.due[b].0))
             {
-                let (at, id, attempt, ending) = self.due.swap_remove(i);
+                let (at, id, attempt, outcome) = self.due.swap_remove(i);
                 self.pass((at - self.now).max(0.0));
                 if self.seen[&RequestId(id)].ended[attempt].is_none() {
-                    self.outcome(id, attempt, ending);
+                    self.outcome(id, attempt, outcome);
                     self.answer(id, server);
                 }
             }
@@ -193,15 +197,15 @@
     }
 
     /// Puts the answer to the newest attempt of a request on its way.
-    fn answer(&mut self, id: u32, server: &dyn Fn(UpstreamId) -> Option<(Ending, f64)>) {
+    fn answer(&mut self, id: u32, server: &dyn Fn(UpstreamId) -> Option<(AttemptOutcome, f64)>) {
         let seen = &self.seen[&RequestId(id)];
         let Some(&(upstream, _)) = seen.sends.last() else {
             return;
         };
         let attempt = seen.sends.len() - 1;
         if seen.ended[attempt].is_none() {
-            if let Some((ending, after)) = server(upstream) {
-                self.due.push((self.now + after, id, attempt, ending));
+            if let Some((outcome, after)) = server(upstream) {
+                self.due.push((self.now + after, id, attempt, outcome));
             }
         }
     }
@@ -240,7 +244,7 @@
             self.now = at;
             match request {
                 Some(id) => {
-                    self.outcome(id.0, token as usize, Ending::Timeout);
+                    self.outcome(id.0, token as usize, AttemptOutcome::Timeout);
                     let s = &self.seen[&id];
                     assert!(
                         at < s.deadline || s.answered || s.ended.contains(&None),
@@ -297,33 +301,33 @@
                 let s = &self.seen[request];
                 let c = &self.settings.classes[s.class];
                 assert!(
-                    c.runs_in.as_ref().is_none_or(|l| l.contains(&m.zone)),
+                    c.allowed_zones.as_ref().is_none_or(|l| l.contains(&m.zone)),
                     "{request:?} placed at {m:?}"
                 );
                 assert!(
-                    c.kinds_only.as_ref().is_none_or(|l| l.contains(&m.kind)),
+                    c.allowed_kinds.as_ref().is_none_or(|l| l.contains(&m.kind)),
                     "{request:?} placed at {m:?}"
                 );
                 assert!(!s.answered, "{request:?} sent after its final answer");
                 assert!(now < s.deadline, "{request:?} sent too late");
                 assert!(
-                    s.sends.len() < self.settings.attempts_cap as usize,
+                    s.sends.len() < self.settings.max_attempts as usize,
                     "{request:?}: too many attempts"
                 );
                 let out = s.ended.contains(&None);
                 assert!(!out, "{request:?}: two attempts out");
                 if let Some(first) = may(self, s) {
-                    match c.effect {
-                        Effect::Free => {}
-                        Effect::SingleShot => panic!("{request:?} may run twice"),
-                        Effect::Guarded { scope, window } => {
+                    match c.idempotency {
+                        Idempotency::Idempotent => {}
+                        Idempotency::NonIdempotent => panic!("{request:?} may run twice"),
+                        Idempotency::IdempotencyKey { scope, window } => {
                             let (before, sent) = s.sends[first];
                             let b = &self.listed[&before];
                             assert!(now < sent + window, "{request:?} resent after the window");
                             assert!(match scope {
                                 DedupScope::All => true,
                                 DedupScope::Zone => b.zone == m.zone,
-                                DedupScope::Cell => b.group == m.group,
+                                DedupScope::Group => b.group == m.group,
                             });
                         }
                     }
@@ -338,13 +342,13 @@
                 s.sends.push((*upstream, now));
                 s.ended.push(None);
             }
-            Action::Refuse { request, .. } | Action::Fail { request } => {
+            Action::Reject { request, .. } | Action::Fail { request } => {
                 let s = &self.seen[request];
                 assert!(!s.answered, "{request:?} answered twice");
-                if matches!(action, Action::Refuse { .. }) {
-                    let harmless = match self.settings.classes[s.class].effect {
-                        Effect::Free
-                        | Effect::Guarded {
+                if matches!(action, Action::Reject { .. }) {
+                    let harmless = match self.settings.classes[s.class].idempotency {
+                        Idempotency::Idempotent
+                        | Idempotency::IdempotencyKey {
                             scope: DedupScope::All,
                             ..
                         } => true,
@@ -363,8 +367,8 @@
                 );
             }
             Action::SetTimer { after, token } => self.timers.push((now + after, *token)),
-            Action::Subscribe => assert!(self.settings.ask_for_list, "the list is pushed"),
-            Action::CloseIdle(_) | Action::Log(_) => {}
+            Action::PollEndpoints => assert!(self.settings.poll_endpoints, "the list is pushed"),
+            Action::CloseIdleConnections(_) | Action::Log(_) => {}
         }
     }
 }
--- a/balancer-core/tests/failures.rs
+++ b/balancer-core/tests/failures.rs
@@ -1,16 +1,16 @@
 //! One test for each failure met: it fails without the guard that the policy names it at.
 mod common;
 
-use common::*;
 use balancer_core::*;
+use common::*;
 use std::collections::BTreeMap;
 
-fn fast(_: UpstreamId) -> Option<(Ending, f64)> {
-    Some((Ending::Ok, 50.0))
+fn fast(_: UpstreamId) -> Option<(AttemptOutcome, f64)> {
+    Some((AttemptOutcome::Success, 50.0))
 }
 
-fn slow(_: UpstreamId) -> Option<(Ending, f64)> {
-    Some((Ending::Ok, 900.0))
+fn slow(_: UpstreamId) -> Option<(AttemptOutcome, f64)> {
+    Some((AttemptOutcome::Success, 900.0))
 }
 
 fn world(settings: Settings, upstreams: u64) -> World {
@@ -20,7 +20,7 @@
 /// Settings of one class (objective 500 ms) and of tenants with these shares of 60 requests a second.
 fn shared(shares: &[f64]) -> Settings {
     Settings {
-        classes: vec![class(Effect::Free)],
+        classes: vec![class(Idempotency::Idempotent)],
         tenants: tenants(shares, 60.0),
         ..Settings::default()
     }
@@ -31,7 +31,7 @@
     let mut w = world(shared(&[0.6, 0.4]), 4);
     // Tenant 0 asks for nine times as much as tenant 1; answers come late, so capacity is short.
     w.traffic(20_000.0, 150.0, &[0, 0, 0, 0, 0, 0, 0, 0, 0, 1], &|_| {
-        Some((Ending::Ok, 232.0))
+        Some((AttemptOutcome::Success, 232.0))
     });
     let share = |tenant: usize| {
         let of = |id: &RequestId| usize::from(id.0 % 10 == 9) == tenant;
@@ -65,8 +65,8 @@
 #[test]
 fn calls_in_flight_are_bounded_before_any_answer_is_late() {
     let class = Class {
-        late_worth: 0.5,
-        ..class(Effect::Free)
+        late_weight: 0.5,
+        ..class(Idempotency::Idempotent)
     };
     let mut w = world(
         Settings {
@@ -90,9 +90,9 @@
     let mut w = world(shared(&[1.0]), 6);
     let server = |id| {
         Some(if id == UpstreamId(2) {
-            (Ending::Error, 2.0)
+            (AttemptOutcome::Error, 2.0)
         } else {
-            (Ending::Ok, 120.0)
+            (AttemptOutcome::Success, 120.0)
         })
     };
     w.traffic(10_000.0, 60.0, &[0], &server);
@@ -111,7 +111,7 @@
 #[test]
 fn a_hung_upstream_is_passed_over_and_costs_no_capacity() {
     let mut w = world(shared(&[1.0]), 6);
-    let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 40.0));
+    let server = |id| (id != UpstreamId(2)).then_some((AttemptOutcome::Success, 40.0));
     w.traffic(20_000.0, 60.0, &[0], &server);
     let (sent, to) = w.sent_since(4000.0);
     let hung = to.get(&UpstreamId(2)).copied().unwrap_or(0);
@@ -123,7 +123,7 @@
 #[test]
 fn a_zone_that_is_cut_off_is_left_alone() {
     let members = (1..=12)
-        .map(|id| Member {
+        .map(|id| Endpoint {
             zone: (id % 3) as u16,
             ..member(id)
         })
@@ -131,9 +131,9 @@
     let mut w = World::new(shared(&[1.0]), 4, members);
     let server = |id: UpstreamId| {
         Some(if id.0 % 3 == 2 {
-            (Ending::ConnectFailed, 100.0)
+            (AttemptOutcome::ConnectFailed, 100.0)
         } else {
-            (Ending::Ok, 50.0)
+            (AttemptOutcome::Success, 50.0)
         })
     };
     w.traffic(12_000.0, 60.0, &[0], &server);
@@ -155,7 +155,7 @@
         cross_zone_price: 0.2,
         ..shared(&[1.0])
     };
-    let in_zones = |id| Member {
+    let in_zones = |id| Endpoint {
         zone: (id % 2) as u16,
         ..member(id)
     };
@@ -166,7 +166,7 @@
         to.keys().all(|id| id.0 % 2 == 0),
         "crossings are priced: {to:?}"
     );
-    w.list(Membership::Full(
+    w.list(EndpointEvent::Snapshot(
         (1..=12).filter(|id| id % 2 == 1).map(in_zones).collect(),
     ));
     let from = w.now;
@@ -187,7 +187,7 @@
         tenants: tenants(&[1.0], 900.0),
         ..shared(&[1.0])
     };
-    let in_zones = |id| Member {
+    let in_zones = |id| Endpoint {
         zone: (id % 3) as u16,
         ..member(id)
     };
@@ -201,7 +201,7 @@
             .sum();
         (near, to.values().sum::<usize>())
     };
-    let timely = |_: UpstreamId| Some((Ending::Ok, 120.0));
+    let timely = |_: UpstreamId| Some((AttemptOutcome::Success, 120.0));
     // Less than an even part of the quotas, 100 a second.
     w.traffic(6000.0, 60.0, &[0], &timely);
     let (own, all) = near(&w, 2000.0);
@@ -222,10 +222,10 @@
 /// Where a late answer earns nothing, an attempt that ran on only held slots, in every tier above too.
 #[test]
 fn a_request_ends_at_its_aim_where_late_answers_earn_nothing() {
-    for (late_worth, most) in [(0.0, 500.0), (0.4, 2000.0)] {
+    for (late_weight, most) in [(0.0, 500.0), (0.4, 2000.0)] {
         let class = Class {
-            late_worth,
-            ..class(Effect::SingleShot)
+            late_weight,
+            ..class(Idempotency::NonIdempotent)
         };
         let mut w = World::new(
             Settings {
@@ -252,7 +252,7 @@
     let mut lost = false;
     for action in w.request(id, 0, 0) {
         match action {
-            Action::CloseIdle(upstream) => drop(open.remove(&upstream)),
+            Action::CloseIdleConnections(upstream) => drop(open.remove(&upstream)),
             Action::Send { upstream, .. } => {
                 let rested = open
                     .insert(upstream, w.now)
@@ -262,7 +262,7 @@
                     // Nothing comes back, and the connection with it.
                     open.remove(&upstream);
                 } else {
-                    w.outcome(id, 0, Ending::Ok);
+                    w.outcome(id, 0, AttemptOutcome::Success);
                 }
             }
             _ => {}
@@ -292,7 +292,7 @@
 /// cost a request that must not run twice, and a handshake would have saved it.
 #[test]
 fn one_quick_reset_on_a_rested_connection_is_enough() {
-    let class = class(Effect::SingleShot);
+    let class = class(Idempotency::NonIdempotent);
     let mut w = world(
         Settings {
             classes: vec![class],
@@ -304,7 +304,7 @@
     for id in 0..1000 {
         for action in w.request(id, 0, 0) {
             match action {
-                Action::CloseIdle(upstream) => drop(open.remove(&upstream)),
+                Action::CloseIdleConnections(upstream) => drop(open.remove(&upstream)),
                 Action::Send { upstream, .. } => {
                     let rested = open
                         .insert(upstream, w.now + 50.0)
@@ -312,7 +312,15 @@
                     rested_calls += u32::from(rested);
                     let stale = rested && rested_calls % 10 == 0;
                     w.pass(if stale { 0.2 } else { 50.0 });
-                    w.outcome(id, 0, if stale { Ending::Reset } else { Ending::Ok });
+                    w.outcome(
+                        id,
+                        0,
+                        if stale {
+                            AttemptOutcome::Reset
+                        } else {
+                            AttemptOutcome::Success
+                        },
+                    );
                     if stale {
                         lost += 1;
                         open.remove(&upstream);
@@ -335,8 +343,8 @@
     let class = Class {
         objective: 200.0,
         deadline: 6000.0,
-        late_worth: 0.5,
-        ..class(Effect::SingleShot)
+        late_weight: 0.5,
+        ..class(Idempotency::NonIdempotent)
     };
     let settings = Settings {
         classes: vec![class],
@@ -360,7 +368,7 @@
 #[test]
 fn where_answers_get_lost_a_repeat_goes_out_in_time() {
     let mut w = world(shared(&[1.0]), 6);
-    let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 40.0));
+    let server = |id| (id != UpstreamId(2)).then_some((AttemptOutcome::Success, 40.0));
     w.traffic(20_000.0, 30.0, &[0], &server);
     let mut again = w.seen.values().filter(|s| s.sends.len() > 1);
     // Left to the end of the aim, 490 ms, the repeat would come too late.
@@ -374,8 +382,8 @@
 #[test]
 fn an_upstream_that_owes_an_answer_for_long_is_passed_over_at_once() {
     let class = Class {
-        late_worth: 0.5,
-        ..class(Effect::SingleShot)
+        late_weight: 0.5,
+        ..class(Idempotency::NonIdempotent)
     };
     let mut w = world(
         Settings {
@@ -384,9 +392,11 @@
         },
         3,
     );
-    w.traffic(3000.0, 60.0, &[0], &|_| Some((Ending::Ok, 50.0)));
+    w.traffic(3000.0, 60.0, &[0], &|_| {
+        Some((AttemptOutcome::Success, 50.0))
+    });
     let from = w.now;
-    let server = |id| (id != UpstreamId(2)).then_some((Ending::Ok, 150.0));
+    let server = |id| (id != UpstreamId(2)).then_some((AttemptOutcome::Success, 150.0));
     w.traffic(1800.0, 40.0, &[0], &server);
     let late = w
         .seen
@@ -403,12 +413,12 @@
 /// A subset drawn without regard to groups held no other upstream that knows the key.
 #[test]
 fn a_guarded_repeat_finds_another_upstream_of_its_group() {
-    let guarded = Effect::Guarded {
-        scope: DedupScope::Cell,
+    let guarded = Idempotency::IdempotencyKey {
+        scope: DedupScope::Group,
         window: 5000.0,
     };
     let class = Class {
-        late_worth: 0.5,
+        late_weight: 0.5,
         ..class(guarded)
     };
     let settings = Settings {
@@ -417,7 +427,7 @@
         index: 3,
         ..shared(&[1.0])
     };
-    let cells = |id| Member {
+    let cells = |id| Endpoint {
         group: (id % 10) as u16,
         ..member(id)
     };
@@ -429,15 +439,15 @@
             id,
             0,
             if id % 2 == 0 {
-                Ending::Reset
+                AttemptOutcome::Reset
             } else {
-                Ending::Ok
+                AttemptOutcome::Success
             },
         );
         let sends = w.seen[&RequestId(id)].sends.clone();
         if let [first, again] = sends[..] {
             elsewhere += u32::from(first.0 != again.0);
-            w.outcome(id, 1, Ending::Ok);
+            w.outcome(id, 1, AttemptOutcome::Success);
         }
         w.pass(500.0);
     }
@@ -451,8 +461,12 @@
 #[test]
 fn of_two_that_hold_as_many_calls_the_one_that_answers_sooner_is_taken() {
     let mut w = world(shared(&[1.0]), 6);
-    let server =
-        |id: UpstreamId| Some((Ending::Ok, if id.0.is_multiple_of(2) { 60.0 } else { 15.0 }));
+    let server = |id: UpstreamId| {
+        Some((
+            AttemptOutcome::Success,
+            if id.0.is_multiple_of(2) { 60.0 } else { 15.0 },
+        ))
+    };
     w.traffic(20_000.0, 20.0, &[0], &server);
     let (sent, to) = w.sent_since(5000.0);
     let slow: usize = to
@@ -470,9 +484,11 @@
 fn failures_of_most_upstreams_are_not_blamed_on_each_and_cut_capacity_below_the_quotas() {
     let mut w = world(shared(&[1.0]), 6);
     w.traffic(5000.0, 60.0, &[0], &fast);
-    w.traffic(10_000.0, 60.0, &[0], &|_| Some((Ending::Error, 5.0)));
+    w.traffic(10_000.0, 60.0, &[0], &|_| {
+        Some((AttemptOutcome::Error, 5.0))
+    });
     let from = w.now;
-    w.traffic(5000.0, 60.0, &[0], &|_| Some((Ending::Error, 5.0)));
+    w.traffic(5000.0, 60.0, &[0], &|_| Some((AttemptOutcome::Error, 5.0)));
     let (sent, _) = w.sent_since(from);
     assert!(sent < 150, "{sent} of 300 calls went where nearly all fail");
     assert!(sent > 0, "some are left to learn from");
@@ -487,12 +503,17 @@
 #[test]
 fn capacity_hears_the_slow_answers_too() {
     let mut w = world(shared(&[1.0]), 8);
-    let server = |id: UpstreamId| Some((Ending::Ok, if id.0 < 4 { 60.0 } else { 1400.0 }));
+    let server = |id: UpstreamId| {
+        Some((
+            AttemptOutcome::Success,
+            if id.0 < 4 { 60.0 } else { 1400.0 },
+        ))
+    };
     let class = Class {
         objective: 1000.0,
         deadline: 3000.0,
-        late_worth: 0.5,
-        ..class(Effect::Free)
+        late_weight: 0.5,
+        ..class(Idempotency::Idempotent)
     };
     w = World::new(
         Settings {
@@ -515,8 +536,10 @@
 fn the_floor_follows_the_ready_upstreams() {
     let admitted = |ready: u64| {
         let mut w = world(shared(&[1.0]), 8);
-        w.list(Membership::Full((1..=ready).map(member).collect()));
-        w.traffic(10_000.0, 120.0, &[0], &|_| Some((Ending::Ok, 420.0)));
+        w.list(EndpointEvent::Snapshot((1..=ready).map(member).collect()));
+        w.traffic(10_000.0, 120.0, &[0], &|_| {
+            Some((AttemptOutcome::Success, 420.0))
+        });
         w.sent_since(5000.0).0
     };
     let (all, half) = (admitted(8), admitted(4));
@@ -533,7 +556,9 @@
     let tenants = [0, 0, 0, 0, 0, 0, 0, 0, 1, 2];
     w.traffic(4000.0, 60.0, &tenants, &fast);
     let from = w.now;
-    w.traffic(10_000.0, 200.0, &tenants, &|_| Some((Ending::Ok, 190.0)));
+    w.traffic(10_000.0, 200.0, &tenants, &|_| {
+        Some((AttemptOutcome::Success, 190.0))
+    });
     let passed = |of: &dyn Fn(u32) -> bool| {
         let asked: Vec<_> = w
             .seen
@@ -562,20 +587,20 @@
 /// Tiers below refused for want of capacity at the start, though none of their answers was late.
 #[test]
 fn a_tier_below_starts_with_room() {
-    for (stage, least) in [(0, 0), (1, 60)] {
+    for (tier, least) in [(0, 0), (1, 60)] {
         let mut w = world(
             Settings {
-                stage,
+                tier,
                 ..shared(&[1.0])
             },
             4,
         );
         for id in 0..60 {
             w.request(id, 0, 0);
-            w.outcome(id, 0, Ending::Ok);
+            w.outcome(id, 0, AttemptOutcome::Success);
         }
         let (sent, _) = w.sent_since(0.0);
-        assert!(sent >= least, "{sent} pass in tier {stage}");
+        assert!(sent >= least, "{sent} pass in tier {tier}");
     }
 }
 
@@ -617,7 +642,9 @@
         ..shared(&[1.0])
     };
     let mut w = World::new(settings, 4, (1..=100).map(member).collect());
-    w.traffic(20_000.0, 3.0, &[0], &|_| Some((Ending::Ok, 200.0)));
+    w.traffic(20_000.0, 3.0, &[0], &|_| {
+        Some((AttemptOutcome::Success, 200.0))
+    });
     let (sent, to) = w.sent_since(0.0);
     assert!(
         sent > 40 && to.len() <= 10,
@@ -633,7 +660,7 @@
     for id in 0..300 {
         w.request(id, 0, 0);
         if !w.seen[&RequestId(id)].sends.is_empty() {
-            w.outcome(id, 0, Ending::Ok);
+            w.outcome(id, 0, AttemptOutcome::Success);
         }
     }
     assert!(
@@ -649,7 +676,9 @@
 #[test]
 fn further_attempts_stay_within_their_budget() {
     let mut w = world(shared(&[1.0]), 8);
-    w.traffic(20_000.0, 40.0, &[0], &|_| Some((Ending::Error, 5.0)));
+    w.traffic(20_000.0, 40.0, &[0], &|_| {
+        Some((AttemptOutcome::Error, 5.0))
+    });
     let (requests, to) = w.sent_since(0.0);
     let attempts: usize = to.values().sum();
     // A fifth of all requests, refused ones too, and the ten saved at the start.
@@ -667,10 +696,10 @@
         w.request(id, 0, 0);
         let s = &w.seen[&RequestId(id)];
         assert!(!s.sends.is_empty(), "request {id} is tried");
-        w.outcome(id, 0, Ending::Reset);
+        w.outcome(id, 0, AttemptOutcome::Reset);
         if w.seen[&RequestId(id)].ended.last() == Some(&None) {
             let last = w.seen[&RequestId(id)].ended.len() - 1;
-            w.outcome(id, last, Ending::Ok);
+            w.outcome(id, last, AttemptOutcome::Success);
         }
     }
 }
@@ -679,7 +708,9 @@
 #[test]
 fn stated_shares_set_the_defaults() {
     let mut w = world(shared(&[0.8, 0.2]), 4);
-    w.traffic(12_000.0, 150.0, &[0, 1], &|_| Some((Ending::Ok, 232.0)));
+    w.traffic(12_000.0, 150.0, &[0, 1], &|_| {
+        Some((AttemptOutcome::Success, 232.0))
+    });
     let sent = |odd: u32| {
         let of = |(id, s): &(&RequestId, &Seen)| id.0 % 2 == odd && !s.sends.is_empty();
         w.seen.iter().filter(of).count()
@@ -704,17 +735,20 @@
             id,
             0,
             if id % 3 == 0 {
-                Ending::Reset
+                AttemptOutcome::Reset
             } else {
-                Ending::Ok
+                AttemptOutcome::Success
             },
         );
         if w.seen[&RequestId(id)].sends.len() > 1 {
-            w.outcome(id, 1, Ending::Ok);
+            w.outcome(id, 1, AttemptOutcome::Success);
         }
         w.pass(100.0);
     }
-    assert!(!w.log.iter().any(|a| matches!(a, Action::CloseIdle(_))));
+    assert!(!w
+        .log
+        .iter()
+        .any(|a| matches!(a, Action::CloseIdleConnections(_))));
 }
 
 /// Answers that broke off, some early, were taken for connections gone stale: good ones were closed before use.
@@ -725,13 +759,24 @@
         w.request(id, 0, 0);
         let broken = id % 20 == 19;
         w.pass(if broken { 30.0 } else { 100.0 });
-        w.outcome(id, 0, if broken { Ending::Reset } else { Ending::Ok });
+        w.outcome(
+            id,
+            0,
+            if broken {
+                AttemptOutcome::Reset
+            } else {
+                AttemptOutcome::Success
+            },
+        );
         if broken {
-            w.outcome(id, 1, Ending::Ok);
+            w.outcome(id, 1, AttemptOutcome::Success);
         }
         w.pass(100.0);
     }
-    assert!(!w.log.iter().any(|a| matches!(a, Action::CloseIdle(_))));
+    assert!(!w
+        .log
+        .iter()
+        .any(|a| matches!(a, Action::CloseIdleConnections(_))));
 }
 
 /// Answers of all upstreams alike came spoilt now and then: two or three of four were ejected by chance, and those
@@ -741,7 +786,14 @@
     let mut w = world(shared(&[1.0]), 4);
     w.traffic(5000.0, 60.0, &[0], &fast);
     w.traffic(300.0, 60.0, &[0], &|id| {
-        Some((if id.0 < 4 { Ending::Reset } else { Ending::Ok }, 50.0))
+        Some((
+            if id.0 < 4 {
+                AttemptOutcome::Reset
+            } else {
+                AttemptOutcome::Success
+            },
+            50.0,
+        ))
     });
     w.pass(100.0);
     let from = w.now;
@@ -759,8 +811,8 @@
 fn capacity_leaves_with_the_upstreams_that_leave() {
     let burst = |leave: &[u64]| {
         let class = Class {
-            late_worth: 0.5,
-            ..class(Effect::SingleShot)
+            late_weight: 0.5,
+            ..class(Idempotency::NonIdempotent)
         };
         let mut w = world(
             Settings {
@@ -769,13 +821,15 @@
             },
             4,
         );
-        w.traffic(5000.0, 60.0, &[0], &|_| Some((Ending::Ok, 150.0)));
+        w.traffic(5000.0, 60.0, &[0], &|_| {
+            Some((AttemptOutcome::Success, 150.0))
+        });
         w.pass(1000.0);
-        let draining = |&id| Member {
+        let draining = |&id| Endpoint {
             availability: Availability::Draining,
             ..member(id)
         };
-        w.list(Membership::Delta(leave.iter().map(draining).collect()));
+        w.list(EndpointEvent::Delta(leave.iter().map(draining).collect()));
         let from = w.now;
         w.traffic(900.0, 100.0, &[0], &|_| None);
         w.sent_since(from).0
@@ -791,15 +845,15 @@
 /// upstreams left, those that were left got twice what they could hold.
 #[test]
 fn a_calm_day_lets_no_more_in_flight_than_the_quotas_need() {
-    let burst = |stage| {
+    let burst = |tier| {
         let class = Class {
-            late_worth: 0.5,
-            ..class(Effect::SingleShot)
+            late_weight: 0.5,
+            ..class(Idempotency::NonIdempotent)
         };
         let mut w = world(
             Settings {
                 classes: vec![class],
-                stage,
+                tier,
                 ..shared(&[1.0])
             },
             4,
@@ -828,8 +882,8 @@
 #[test]
 fn calls_owed_by_upstreams_that_left_do_not_fill_what_may_be_in_flight() {
     let class = Class {
-        late_worth: 0.5,
-        ..class(Effect::SingleShot)
+        late_weight: 0.5,
+        ..class(Idempotency::NonIdempotent)
     };
     let mut w = world(
         Settings {
@@ -838,17 +892,21 @@
         },
         2,
     );
-    w.traffic(5000.0, 60.0, &[0], &|_| Some((Ending::Ok, 150.0)));
+    w.traffic(5000.0, 60.0, &[0], &|_| {
+        Some((AttemptOutcome::Success, 150.0))
+    });
     w.traffic(900.0, 100.0, &[0], &|_| None);
-    let draining = |id| Member {
+    let draining = |id| Endpoint {
         availability: Availability::Draining,
         ..member(id)
     };
-    w.list(Membership::Delta(
+    w.list(EndpointEvent::Delta(
         [draining(1), draining(2), member(3), member(4)].into(),
     ));
     let from = w.now;
-    w.traffic(200.0, 60.0, &[0], &|_| Some((Ending::Ok, 150.0)));
+    w.traffic(200.0, 60.0, &[0], &|_| {
+        Some((AttemptOutcome::Success, 150.0))
+    });
     let (sent, _) = w.sent_since(from);
     assert!(
         sent >= 10,
@@ -861,8 +919,8 @@
 #[test]
 fn failures_that_all_share_eject_few() {
     let class = Class {
-        late_worth: 0.5,
-        ..class(Effect::SingleShot)
+        late_weight: 0.5,
+        ..class(Idempotency::NonIdempotent)
     };
     let mut w = world(
         Settings {
@@ -880,9 +938,9 @@
         );
         Some((
             if rng.get() >> 29 == 0 {
-                Ending::Error
+                AttemptOutcome::Error
             } else {
-                Ending::Ok
+                AttemptOutcome::Success
             },
             50.0,
         ))
@@ -905,8 +963,8 @@
 #[test]
 fn a_jam_does_not_raise_what_may_be_in_flight() {
     let class = Class {
-        late_worth: 0.5,
-        ..class(Effect::Free)
+        late_weight: 0.5,
+        ..class(Idempotency::Idempotent)
     };
     let mut w = world(
         Settings {
@@ -915,9 +973,14 @@
         },
         4,
     );
-    w.traffic(5000.0, 60.0, &[0], &|_| Some((Ending::Ok, 150.0)));
+    w.traffic(5000.0, 60.0, &[0], &|_| {
+        Some((AttemptOutcome::Success, 150.0))
+    });
     w.traffic(30_000.0, 60.0, &[0], &|id| {
-        Some((Ending::Ok, if id.0 == 4 { 600.0 } else { 400.0 }))
+        Some((
+            AttemptOutcome::Success,
+            if id.0 == 4 { 600.0 } else { 400.0 },
+        ))
     });
     w.pass(2000.0);
     let from = w.now;
@@ -932,8 +995,8 @@
 fn refusing_calls_takes_nothing_from_what_cold_upstreams_may_be_sent() {
     let to_cold = |jam: f64| {
         let class = Class {
-            late_worth: 0.5,
-            ..class(Effect::SingleShot)
+            late_weight: 0.5,
+            ..class(Idempotency::NonIdempotent)
         };
         let mut w = world(
             Settings {
@@ -944,10 +1007,10 @@
         );
         w.traffic(5000.0, 60.0, &[0], &fast);
         w.traffic(jam, 60.0, &[0], &|_| None);
-        w.list(Membership::Delta(
+        w.list(EndpointEvent::Delta(
             (1..=3)
-                .map(|id| Member {
-                    since: w.now,
+                .map(|id| Endpoint {
+                    started_at: w.now,
                     ..member(id)
                 })
                 .collect(),
@@ -972,8 +1035,8 @@
 fn copies_that_share_the_first_tier_leave_no_room_that_counts_times_all() {
     let burst = |balancers: u32| {
         let class = Class {
-            late_worth: 0.5,
-            ..class(Effect::SingleShot)
+            late_weight: 0.5,
+            ..class(Idempotency::NonIdempotent)
         };
         let tenants = tenants(&[1.0], 60.0 * f64::from(balancers));
         let mut w = world(
@@ -1010,8 +1073,8 @@
 fn a_copy_with_more_than_its_part_of_the_clients_serves_them_while_answers_take_no_longer() {
     let passes = |time: f64| {
         let class = Class {
-            late_worth: 0.5,
-            ..class(Effect::SingleShot)
+            late_weight: 0.5,
+            ..class(Idempotency::NonIdempotent)
         };
         let tenants = tenants(&[1.0], 60.0 * 20.0);
         let mut w = world(
@@ -1025,7 +1088,9 @@
         );
         w.traffic(10_000.0, 240.0, &[0], &fast);
         let from = w.now;
-        w.traffic(8000.0, 240.0, &[0], &|_| Some((Ending::Ok, time)));
+        w.traffic(8000.0, 240.0, &[0], &|_| {
+            Some((AttemptOutcome::Success, time))
+        });
         (w.sent_since(from).0, w.sent_since(w.now - 2000.0).0)
     };
     assert!(
@@ -1050,11 +1115,13 @@
         ..Settings::default()
     };
     let mut w = world(settings, 4);
-    w.traffic(60_000.0, 1.5, &[0], &|_| Some((Ending::Ok, 700.0)));
+    w.traffic(60_000.0, 1.5, &[0], &|_| {
+        Some((AttemptOutcome::Success, 700.0))
+    });
     let refused = w
         .log
         .iter()
-        .filter(|a| matches!(a, Action::Refuse { .. }))
+        .filter(|a| matches!(a, Action::Reject { .. }))
         .count();
     assert_eq!(refused, 0, "of 90 calls");
 }
@@ -1064,9 +1131,9 @@
 #[test]
 fn calls_that_wait_at_crowded_upstreams_are_no_burden_to_the_others() {
     let class = Class {
-        late_worth: 0.5,
+        late_weight: 0.5,
         deadline: 6000.0,
-        ..class(Effect::SingleShot)
+        ..class(Idempotency::NonIdempotent)
     };
     let tenants = tenants(&[1.0], 60.0 * 20.0);
     let mut w = world(
@@ -1078,12 +1145,12 @@
         },
         4,
     );
-    let usual = |_| Some((Ending::Ok, 150.0));
+    let usual = |_| Some((AttemptOutcome::Success, 150.0));
     w.traffic(5000.0, 58.0, &[0], &usual);
     let from = w.now;
     let server = |id| {
         if id == UpstreamId(1) {
-            Some((Ending::Ok, 4000.0))
+            Some((AttemptOutcome::Success, 4000.0))
         } else {
             usual(id)
         }
--- a/balancer-core/tests/rules.rs
+++ b/balancer-core/tests/rules.rs
@@ -1,8 +1,8 @@
 //! The four rules under random events (fixed seeds), by a checker that knows nothing of the decisions.
 mod common;
 
-use common::*;
 use balancer_core::*;
+use common::*;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -12,62 +12,62 @@
 
 fn storm(seed: u64) -> Vec<Action> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
-    let guarded = |scope| Effect::Guarded {
+    let guarded = |scope| Idempotency::IdempotencyKey {
         scope,
         window: 700.0,
     };
     // Where late answers earn nothing, requests end before the window does: half of the storms let them last.
-    let class = |effect| Class {
-        late_worth: if seed.is_multiple_of(2) { 0.5 } else { 0.0 },
-        ..class(effect)
+    let class = |idempotency| Class {
+        late_weight: if seed.is_multiple_of(2) { 0.5 } else { 0.0 },
+        ..class(idempotency)
     };
     let settings = Settings {
         classes: vec![
-            class(Effect::Free),
-            class(Effect::SingleShot),
-            class(guarded(DedupScope::Cell)),
+            class(Idempotency::Idempotent),
+            class(Idempotency::NonIdempotent),
+            class(guarded(DedupScope::Group)),
             class(guarded(DedupScope::All)),
             class(guarded(DedupScope::Zone)),
             Class {
-                runs_in: Some(vec![1]),
-                ..class(Effect::SingleShot)
+                allowed_zones: Some(vec![1]),
+                ..class(Idempotency::NonIdempotent)
             },
             Class {
-                kinds_only: Some(vec![0, 2]),
-                ..class(Effect::Free)
+                allowed_kinds: Some(vec![0, 2]),
+                ..class(Idempotency::Idempotent)
             },
             Class {
-                runs_in: Some(vec![0]),
-                kinds_only: Some(vec![1]),
+                allowed_zones: Some(vec![0]),
+                allowed_kinds: Some(vec![1]),
                 ..class(guarded(DedupScope::All))
             },
         ],
-        late_shedding: seed % 4 < 2,
+        rejects_after_start: seed % 4 < 2,
         tenants: if seed.is_multiple_of(2) {
             Vec::new()
         } else {
             tenants(&[0.5, 0.3, 0.2], 40.0)
         },
-        attempts_cap: 1 + rng.next_u32() % 4,
+        max_attempts: 1 + rng.next_u32() % 4,
         cancel: !seed.is_multiple_of(5),
-        ask_for_list: seed % 8 < 4,
+        poll_endpoints: seed % 8 < 4,
         balancers: 1 + rng.next_u32() % 9,
         max_retry_after: 500.0,
         cross_zone_price: 0.2,
         ..Settings::default()
     };
-    let zoned = |id: u64| Member {
+    let zoned = |id: u64| Endpoint {
         zone: (id % 2) as u16,
         kind: (id % 3) as u8,
         ..member(id)
     };
     let mut world = World::new(settings, seed, (1..9).map(zoned).collect());
-    let mut since = 0.0;
+    let mut started_at = 0.0;
     for id in 0..1500u32 {
         world.pass(f64::from(rng.next_u32() % 40));
         match rng.next_u32() % 20 {
             0 => {
-                since += 1000.0;
+                started_at += 1000.0;
                 let id = 1 + u64::from(rng.next_u32() % 12);
                 let ready = Availability::Ready;
                 let availability = pick(
@@ -76,15 +76,17 @@
                 );
                 if availability != Availability::Gone || world.listed.contains_key(&UpstreamId(id))
                 {
-                    world.list(Membership::Delta(vec![Member {
+                    world.list(EndpointEvent::Delta(vec![Endpoint {
                         availability,
-                        since,
+                        started_at,
                         ..zoned(id)
                     }]));
                 }
             }
-            1 if id.is_multiple_of(7) => world.list(Membership::Full((1..7).map(zoned).collect())),
-            2 if world.settings.ask_for_list => world.list(Membership::Failed),
+            1 if id.is_multiple_of(7) => {
+                world.list(EndpointEvent::Snapshot((1..7).map(zoned).collect()))
+            }
+            2 if world.settings.poll_endpoints => world.list(EndpointEvent::DiscoveryFailed),
             3 if id.is_multiple_of(8) => world.suspend(1 + u64::from(rng.next_u32() % 12)),
             4 | 5 => {
                 if let Some(UpstreamId(id)) = world.suspended.first().copied() {
@@ -95,16 +97,16 @@
         }
         world.request(id, rng.next_u32() as usize % 8, rng.next_u32() as usize % 5);
         let endings = [
-            Ending::Ok,
-            Ending::Ok,
-            Ending::Ok,
-            Ending::Error,
-            Ending::Full,
-            Ending::ConnectFailed,
-            Ending::Reset,
-            Ending::Cancelled,
-            Ending::Moot,
-            Ending::Unknown,
+            AttemptOutcome::Success,
+            AttemptOutcome::Success,
+            AttemptOutcome::Success,
+            AttemptOutcome::Error,
+            AttemptOutcome::Rejected,
+            AttemptOutcome::ConnectFailed,
+            AttemptOutcome::Reset,
+            AttemptOutcome::Cancelled,
+            AttemptOutcome::NotSent,
+            AttemptOutcome::Unknown,
         ];
         for _ in 0..rng.next_u32() % 4 {
             let open = |s: &Seen| s.ended.iter().position(Option::is_none);
@@ -150,11 +152,11 @@
     assert_ne!(storm(17), storm(18));
 }
 
-fn one_class(effect: Effect) -> Settings {
+fn one_class(idempotency: Idempotency) -> Settings {
     // Late answers are worth something, so that requests last until their deadline.
     let class = Class {
-        late_worth: 0.5,
-        ..class(effect)
+        late_weight: 0.5,
+        ..class(idempotency)
     };
     Settings {
         classes: vec![class],
@@ -165,30 +167,33 @@
 #[test]
 fn a_single_shot_goes_on_after_proof_that_it_never_ran_and_stops_otherwise() {
     let mut world = World::new(
-        one_class(Effect::SingleShot),
+        one_class(Idempotency::NonIdempotent),
         1,
         (1..5).map(member).collect(),
     );
     world.request(1, 0, 0);
     assert!(
-        matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Send { .. }]),
+        matches!(
+            world.outcome(1, 0, AttemptOutcome::Rejected)[..],
+            [Action::Send { .. }]
+        ),
         "never ran: sent again"
     );
     assert!(matches!(
-        world.outcome(1, 1, Ending::Full)[..],
+        world.outcome(1, 1, AttemptOutcome::Rejected)[..],
         [Action::Send { .. }]
     ));
     assert!(
         matches!(
-            world.outcome(1, 2, Ending::Full)[..],
-            [Action::Refuse { .. }]
+            world.outcome(1, 2, AttemptOutcome::Rejected)[..],
+            [Action::Reject { .. }]
         ),
         "attempts are spent"
     );
     world.request(2, 0, 0);
     assert!(
         matches!(
-            world.outcome(2, 0, Ending::Reset)[..],
+            world.outcome(2, 0, AttemptOutcome::Reset)[..],
             [Action::Fail { .. }]
         ),
         "it may have run"
@@ -198,33 +203,36 @@
 #[test]
 fn full_is_no_proof_where_upstreams_shed_work_that_they_had_begun() {
     let settings = Settings {
-        late_shedding: true,
-        ..one_class(Effect::SingleShot)
+        rejects_after_start: true,
+        ..one_class(Idempotency::NonIdempotent)
     };
     let mut world = World::new(settings, 1, (1..5).map(member).collect());
     world.request(1, 0, 0);
     assert!(
-        matches!(world.outcome(1, 0, Ending::Full)[..], [Action::Fail { .. }]),
+        matches!(
+            world.outcome(1, 0, AttemptOutcome::Rejected)[..],
+            [Action::Fail { .. }]
+        ),
         "it may have run"
     );
     world.request(2, 0, 0);
     assert!(
         matches!(
-            world.outcome(2, 0, Ending::ConnectFailed)[..],
+            world.outcome(2, 0, AttemptOutcome::ConnectFailed)[..],
             [Action::Send { .. }]
         ),
         "it never ran"
     );
 
-    let guarded = Effect::Guarded {
-        scope: DedupScope::Cell,
+    let guarded = Idempotency::IdempotencyKey {
+        scope: DedupScope::Group,
         window: 700.0,
     };
     let settings = Settings {
-        late_shedding: true,
+        rejects_after_start: true,
         ..one_class(guarded)
     };
-    let groups = |id| Member {
+    let groups = |id| Endpoint {
         group: (id % 2) as u16,
         ..member(id)
     };
@@ -233,9 +241,9 @@
         world.request(id, 0, 0);
         world.pass(50.0);
         // The checker holds the group and the window to the attempt that was answered 'full'.
-        world.outcome(id, 0, Ending::Full);
+        world.outcome(id, 0, AttemptOutcome::Rejected);
         if world.seen[&RequestId(id)].ended.len() == 2 {
-            world.outcome(id, 1, Ending::Ok);
+            world.outcome(id, 1, AttemptOutcome::Success);
         }
     }
 }
@@ -243,7 +251,7 @@
 /// Guards against repeats that wait for a connection and arrive when upstreams no longer discard them.
 #[test]
 fn a_guarded_request_is_not_repeated_where_connecting_could_outlast_its_window() {
-    let guarded = Effect::Guarded {
+    let guarded = Idempotency::IdempotencyKey {
         scope: DedupScope::All,
         window: 700.0,
     };
@@ -255,7 +263,7 @@
         let mut world = World::new(settings, 1, (1..5).map(member).collect());
         world.request(1, 0, 0);
         world.pass(after);
-        let actions = world.outcome(1, 0, Ending::Reset);
+        let actions = world.outcome(1, 0, AttemptOutcome::Reset);
         let sent = actions
             .iter()
             .any(|action| matches!(action, Action::Send { .. }));
@@ -266,15 +274,15 @@
 #[test]
 fn a_class_goes_only_where_it_is_placed_and_is_refused_when_nothing_there_is_ready() {
     let placed = Class {
-        runs_in: Some(vec![1]),
-        kinds_only: Some(vec![2]),
-        ..class(Effect::Free)
+        allowed_zones: Some(vec![1]),
+        allowed_kinds: Some(vec![2]),
+        ..class(Idempotency::Idempotent)
     };
     let settings = Settings {
         classes: vec![placed],
         ..Settings::default()
     };
-    let far = |id| Member {
+    let far = |id| Endpoint {
         zone: (id % 2) as u16,
         kind: (id % 3) as u8,
         ..member(id)
@@ -290,21 +298,21 @@
             id,
             0,
             if id % 9 == 0 {
-                Ending::ConnectFailed
+                AttemptOutcome::ConnectFailed
             } else {
-                Ending::Ok
+                AttemptOutcome::Success
             },
         );
         if world.seen[&RequestId(id)].ended.last() == Some(&None) {
-            world.outcome(id, 1, Ending::Ok);
+            world.outcome(id, 1, AttemptOutcome::Success);
         }
     }
     let elsewhere = |id: &u64| !(id % 2 == 1 && id % 3 == 2);
-    world.list(Membership::Full(
+    world.list(EndpointEvent::Snapshot(
         (1..=60).filter(elsewhere).map(far).collect(),
     ));
     assert!(
-        matches!(world.request(999, 0, 0)[..], [Action::Refuse { .. }]),
+        matches!(world.request(999, 0, 0)[..], [Action::Reject { .. }]),
         "never anywhere else"
     );
 }
@@ -331,19 +339,25 @@
         Some("classes.deadline")
     );
     assert_eq!(
-        field(&|s| s.classes[0].runs_in = Some(Vec::new())),
-        Some("classes.runs_in")
+        field(&|s| s.classes[0].allowed_zones = Some(Vec::new())),
+        Some("classes.allowed_zones")
     );
     assert_eq!(
-        field(&|s| s.classes[0].kinds_only = Some(Vec::new())),
-        Some("classes.kinds_only")
+        field(&|s| s.classes[0].allowed_kinds = Some(Vec::new())),
+        Some("classes.allowed_kinds")
     );
     assert_eq!(
         field(&|s| s.tenants[0].quota_per_s = 1e300),
         Some("tenants.quota_per_s")
     );
-    assert_eq!(field(&|s| s.ramp_time = f64::INFINITY), Some("ramp_time"));
-    assert_eq!(field(&|s| s.ask_within = 0.0), Some("ask_within"));
+    assert_eq!(
+        field(&|s| s.slow_start_duration = f64::INFINITY),
+        Some("slow_start_duration")
+    );
+    assert_eq!(
+        field(&|s| s.poll_acknowledge_timeout = 0.0),
+        Some("poll_acknowledge_timeout")
+    );
 }
 
 /// Deployments that nobody has seen yet: each is served, and keeps the rules, whatever its settings leave out.
@@ -361,7 +375,7 @@
         ("an objective of almost nothing", &|s| {
             s.classes[0].objective = 0.001
         }),
-        ("worth that lasts", &|s| s.classes[0].late_worth = 1.0),
+        ("worth that lasts", &|s| s.classes[0].late_weight = 1.0),
         ("a number beyond the copies stated", &|s| {
             (s.index, s.balancers) = (700, 3)
         }),
@@ -369,28 +383,38 @@
             (s.zone, s.cross_zone_price) = (9, 1.0)
         }),
         ("nothing cold, no window", &|s| {
-            (s.cold_from, s.ramp_time, s.tip_window) = (1.0, 0.0, 0.0)
+            (
+                s.slow_start_initial_fraction,
+                s.slow_start_duration,
+                s.slow_start_overload_window,
+            ) = (1.0, 0.0, 0.0)
         }),
         ("all cold", &|s| {
-            (s.cold_from, s.ramp_time, s.tip_window) = (0.0, 1e15, 1e15)
+            (
+                s.slow_start_initial_fraction,
+                s.slow_start_duration,
+                s.slow_start_overload_window,
+            ) = (0.0, 1e15, 1e15)
         }),
-        ("one attempt", &|s| s.attempts_cap = 1),
+        ("one attempt", &|s| s.max_attempts = 1),
         ("connections that never rest", &|s| s.idle_close = 0.0),
-        ("a lower tier", &|s| s.stage = 7),
+        ("a lower tier", &|s| s.tier = 7),
     ];
     for (what, change) in changes {
         let mut settings = Settings {
             tenants: tenants(&[0.7, 0.3], 90.0),
-            ..one_class(Effect::Free)
+            ..one_class(Idempotency::Idempotent)
         };
         settings.cross_zone_price = 0.01;
         change(&mut settings);
-        let in_zones = |id| Member {
+        let in_zones = |id| Endpoint {
             zone: (id % 3) as u16,
             ..member(id)
         };
         let mut w = World::new(settings, 5, (1..=9).map(in_zones).collect());
-        w.traffic(5000.0, 40.0, &[0, 1, 5], &|_| Some((Ending::Ok, 20.0)));
+        w.traffic(5000.0, 40.0, &[0, 1, 5], &|_| {
+            Some((AttemptOutcome::Success, 20.0))
+        });
         let (sent, _) = w.sent_since(0.0);
         assert!(sent > 150, "{what}: {sent} of 200 sent");
     }
@@ -398,13 +422,13 @@
 
 #[test]
 fn a_guarded_request_is_repeated_within_its_group_and_window_only() {
-    let guarded = Effect::Guarded {
-        scope: DedupScope::Cell,
+    let guarded = Idempotency::IdempotencyKey {
+        scope: DedupScope::Group,
         window: 700.0,
     };
     let members = |group| {
         (1..5)
-            .map(|id| Member {
+            .map(|id| Endpoint {
                 group,
                 ..member(id)
             })
@@ -415,7 +439,7 @@
     world.pass(600.0);
     assert!(
         matches!(
-            world.outcome(1, 0, Ending::Error)[..],
+            world.outcome(1, 0, AttemptOutcome::Error)[..],
             [Action::Send { .. }]
         ),
         "they remember it"
@@ -424,20 +448,20 @@
     world.pass(701.0);
     assert!(
         matches!(
-            world.outcome(2, 0, Ending::Error)[..],
+            world.outcome(2, 0, AttemptOutcome::Error)[..],
             [Action::Fail { .. }]
         ),
         "they have forgotten it"
     );
     let strangers = (1..5)
-        .map(|id| Member {
+        .map(|id| Endpoint {
             group: id as u16,
             ..member(id)
         })
         .collect();
     let mut world = World::new(one_class(guarded), 1, strangers);
     world.request(1, 0, 0);
-    let again = world.outcome(1, 0, Ending::Error);
+    let again = world.outcome(1, 0, AttemptOutcome::Error);
     let to = |a: &Action| matches!(a, Action::Send { upstream, .. } if *upstream == world.seen[&RequestId(1)].sends[0].0);
     assert!(
         again
@@ -450,25 +474,25 @@
 #[test]
 fn an_upstream_that_drains_or_is_gone_gets_nothing_from_then_on() {
     let mut world = World::new(Settings::default(), 1, (1..4).map(member).collect());
-    let gone = |id, availability| Member {
+    let gone = |id, availability| Endpoint {
         availability,
         ..member(id)
     };
-    world.list(Membership::Delta(vec![
+    world.list(EndpointEvent::Delta(vec![
         gone(1, Availability::Draining),
         gone(2, Availability::Gone),
     ]));
     for id in 0..50 {
         world.request(id, 0, 0);
-        world.outcome(id, 0, Ending::Ok);
+        world.outcome(id, 0, AttemptOutcome::Success);
     }
     assert!(world
         .seen
         .values()
         .all(|s| s.sends.iter().all(|(to, _)| *to == UpstreamId(3))));
-    world.list(Membership::Full(Vec::new()));
+    world.list(EndpointEvent::Snapshot(Vec::new()));
     assert!(
-        matches!(world.request(99, 0, 0)[..], [Action::Refuse { .. }]),
+        matches!(world.request(99, 0, 0)[..], [Action::Reject { .. }]),
         "what a full list lacks is gone"
     );
 }
@@ -481,7 +505,7 @@
         let start = world.now;
         for id in from..from + 50 {
             world.request(id, 0, 0);
-            world.outcome(id, 0, Ending::Ok);
+            world.outcome(id, 0, AttemptOutcome::Success);
             world.pass(100.0);
         }
         world
@@ -495,24 +519,27 @@
     world.suspend(1);
     world.suspend(1);
     assert_eq!(
-        (sent(&mut world, 100), world.balancer.upstreams(world.now)),
-        (0, (3, 1))
+        (
+            sent(&mut world, 100),
+            world.balancer.endpoint_counts(world.now)
+        ),
+        (0, counts(3, 1))
     );
-    world.list(Membership::Full((2..4).map(member).collect()));
+    world.list(EndpointEvent::Snapshot((2..4).map(member).collect()));
     assert_eq!(
-        world.balancer.upstreams(world.now),
-        (2, 0),
+        world.balancer.endpoint_counts(world.now),
+        counts(2, 0),
         "what is not listed is not counted"
     );
-    world.list(Membership::Delta(vec![Member {
-        since: world.now,
+    world.list(EndpointEvent::Delta(vec![Endpoint {
+        started_at: world.now,
         ..member(1)
     }]));
     assert_eq!(sent(&mut world, 200), 0, "gone and back");
-    world.list(Membership::Full((1..4).map(member).collect()));
+    world.list(EndpointEvent::Snapshot((1..4).map(member).collect()));
     assert_eq!(sent(&mut world, 300), 0, "a whole new list");
     world.restore(1);
-    assert_eq!(world.balancer.upstreams(world.now), (3, 0));
+    assert_eq!(world.balancer.endpoint_counts(world.now), counts(3, 0));
     assert!(sent(&mut world, 400) > 0, "one call back undoes both");
 }
 
@@ -522,7 +549,7 @@
     (1..4).for_each(|id| world.suspend(id));
     assert!(matches!(
         world.request(1, 0, 0)[..],
-        [Action::Refuse { .. }]
+        [Action::Reject { .. }]
     ));
 }
 
@@ -531,37 +558,37 @@
     let mut world = World::new(Settings::default(), 1, Vec::new());
     assert!(matches!(
         world.request(1, 0, 0)[..],
-        [Action::Refuse { .. }]
+        [Action::Reject { .. }]
     ));
-    world.list(Membership::Full(vec![Member {
+    world.list(EndpointEvent::Snapshot(vec![Endpoint {
         availability: Availability::Draining,
         ..member(1)
     }]));
     assert!(matches!(
         world.request(2, 0, 0)[..],
-        [Action::Refuse { .. }]
+        [Action::Reject { .. }]
     ));
 }
 
 #[test]
 fn a_killed_instance_starts_from_nothing_but_its_cached_list() {
     let settings = Settings {
-        ask_for_list: true,
+        poll_endpoints: true,
         ..Settings::default()
     };
     let mut world = World::new(settings.clone(), 5, vec![member(1)]);
     world.request(1, 0, 0);
     let mut again = World::new(settings, 6, vec![member(1)]);
     assert!(
-        again.log.contains(&Action::Subscribe),
+        again.log.contains(&Action::PollEndpoints),
         "it asks for the list at once"
     );
-    let late = Event::Outcome {
+    let late = Event::AttemptEnded {
         request: RequestId(1),
         attempt: 0,
-        ending: Ending::Ok,
+        outcome: AttemptOutcome::Success,
         duration: 5.0,
-        closed: true,
+        request_completed: true,
     };
     assert!(
         again.event(late).is_empty(),
@@ -584,13 +611,15 @@
         .balancer
         .handle(0.0, Event::Request(stranger), &mut actions);
     assert!(
-        matches!(actions[..], [Action::Refuse { .. }]),
+        matches!(actions[..], [Action::Reject { .. }]),
         "an unknown class is refused: nothing has run"
     );
-    assert!(world.event(Event::ClientGone(RequestId(77))).is_empty());
+    assert!(world
+        .event(Event::ClientDisconnected(RequestId(77)))
+        .is_empty());
     assert!(world.event(Event::Timer(12345)).is_empty());
     assert!(world
-        .event(Event::Streaming {
+        .event(Event::ResponseStarted {
             request: RequestId(77),
             attempt: 3
         })
@@ -613,17 +642,21 @@
         1e300,
         40.0,
     ];
-    let mut balancer = Balancer::new(one_class(Effect::Free), 3, 0.0).expect("settings");
+    let mut balancer = Balancer::new(one_class(Idempotency::Idempotent), 3, 0.0).expect("settings");
     let mut actions = Vec::new();
     for (n, &now) in odd.iter().cycle().take(500).enumerate() {
         let (id, value) = (RequestId(n as u32), odd[n / 7 % 7]);
         let list = (1..5)
-            .map(|id| Member {
-                since: value,
+            .map(|id| Endpoint {
+                started_at: value,
                 ..member(id)
             })
             .collect();
-        balancer.handle(now, Event::Membership(Membership::Full(list)), &mut actions);
+        balancer.handle(
+            now,
+            Event::Endpoints(EndpointEvent::Snapshot(list)),
+            &mut actions,
+        );
         let request = Request {
             id,
             class: 0,
@@ -631,20 +664,20 @@
             deadline: value,
         };
         balancer.handle(now, Event::Request(request), &mut actions);
-        let (attempt, ending) = (
+        let (attempt, outcome) = (
             n as u32 % 2,
             if n.is_multiple_of(3) {
-                Ending::Timeout
+                AttemptOutcome::Timeout
             } else {
-                Ending::Ok
+                AttemptOutcome::Success
             },
         );
-        let outcome = Event::Outcome {
+        let outcome = Event::AttemptEnded {
             request: id,
             attempt,
-            ending,
+            outcome,
             duration: value,
-            closed: n.is_multiple_of(2),
+            request_completed: n.is_multiple_of(2),
         };
         balancer.handle(now, outcome.clone(), &mut actions);
         balancer.handle(now, outcome, &mut actions);
@@ -664,25 +697,27 @@
 #[test]
 fn the_list_is_asked_for_again_with_backoff_well_within_ask_within() {
     let settings = Settings {
-        ask_for_list: true,
+        poll_endpoints: true,
         ..Settings::default()
     };
     let mut world = World::new(settings.clone(), 3, vec![member(1)]);
     let mut waits = Vec::new();
     for _ in 0..12 {
-        let actions = world.event(Event::Membership(Membership::Failed));
+        let actions = world.event(Event::Endpoints(EndpointEvent::DiscoveryFailed));
         let wait = actions.iter().find_map(|a| match a {
             Action::SetTimer { after, token } => Some((*after, *token)),
             _ => None,
         });
         let (after, token) = wait.expect("a timer to ask again");
         world.now += after;
-        assert_eq!(world.event(Event::Timer(token)), [Action::Subscribe]);
+        assert_eq!(world.event(Event::Timer(token)), [Action::PollEndpoints]);
         waits.push(after);
     }
     assert!(waits[11] > 4.0 * waits[0], "the pauses grow: {waits:?}");
     assert!(
-        waits.iter().all(|&w| w < settings.ask_within / 2.0),
+        waits
+            .iter()
+            .all(|&w| w < settings.poll_acknowledge_timeout / 2.0),
         "never counts as told: {waits:?}"
     );
 }
@@ -693,15 +728,15 @@
 fn replicas_that_discovery_refused_together_come_back_spread_over_seconds() {
     const REPLICAS: usize = 300;
     let settings = Settings {
-        ask_for_list: true,
-        ask_within: 3000.0,
+        poll_endpoints: true,
+        poll_acknowledge_timeout: 3000.0,
         ..Settings::default()
     };
     let mut calls = Vec::new();
     for seed in 0..REPLICAS as u64 {
         let mut world = World::new(settings.clone(), seed, vec![member(1)]);
-        world.event(Event::Membership(Membership::Refused));
-        let actions = world.event(Event::Membership(Membership::Refused));
+        world.event(Event::Endpoints(EndpointEvent::DiscoveryRejected));
+        let actions = world.event(Event::Endpoints(EndpointEvent::DiscoveryRejected));
         let after = actions.iter().find_map(|a| match a {
             Action::SetTimer { after, .. } => Some(*after),
             _ => None,
@@ -721,7 +756,7 @@
     // A replica that knows no endpoint has to be ready soon.
     let mut world = World::new(settings, 1, Vec::new());
     for _ in 0..10 {
-        let actions = world.event(Event::Membership(Membership::Refused));
+        let actions = world.event(Event::Endpoints(EndpointEvent::DiscoveryRejected));
         assert!(actions
             .iter()
             .all(|a| !matches!(a, Action::SetTimer { after, .. } if *after > 1000.0)));
@@ -732,18 +767,18 @@
 #[test]
 fn an_upstream_that_declines_while_the_list_is_stale_is_left_alone_until_discovery_answers() {
     let settings = Settings {
-        ask_for_list: true,
-        ask_within: 3000.0,
+        poll_endpoints: true,
+        poll_acknowledge_timeout: 3000.0,
         ..Settings::default()
     };
     let mut world = World::new(settings, 1, vec![member(1), member(2)]);
-    world.list(Membership::Unchanged);
+    world.list(EndpointEvent::Unchanged);
     let declines = |world: &mut World, id| {
         let sent = world.request(id, 0, 0);
         assert!(matches!(sent[..], [.., Action::Send { .. }]), "{sent:?}");
-        world.outcome(id, 0, Ending::Full);
-        world.outcome(id, 1, Ending::Ok);
-        world.balancer.upstreams(world.now).1
+        world.outcome(id, 0, AttemptOutcome::Rejected);
+        world.outcome(id, 1, AttemptOutcome::Success);
+        world.balancer.endpoint_counts(world.now).avoided
     };
     assert_eq!(
         declines(&mut world, 1),
@@ -752,10 +787,10 @@
     );
     world.now += 4000.0;
     assert_eq!(declines(&mut world, 2), 1, "now it may drain");
-    world.list(Membership::Unchanged);
+    world.list(EndpointEvent::Unchanged);
     assert_eq!(
-        world.balancer.upstreams(world.now),
-        (2, 0),
+        world.balancer.endpoint_counts(world.now),
+        counts(2, 0),
         "discovery says that it does not"
     );
 }
@@ -764,8 +799,8 @@
 #[test]
 fn a_cold_upstream_is_not_pushed_over_by_all_together() {
     stays_under_the_tipping_point(|w| {
-        w.list(Membership::Delta(vec![Member {
-            since: w.now,
+        w.list(EndpointEvent::Delta(vec![Endpoint {
+            started_at: w.now,
             ..member(1)
         }]))
     });
@@ -785,9 +820,9 @@
     let settings = |index| Settings {
         index,
         balancers: COPIES,
-        cold_from: 0.15,
-        ramp_time: 20_000.0,
-        tip_multiple: 2.5,
+        slow_start_initial_fraction: 0.15,
+        slow_start_duration: 20_000.0,
+        slow_start_overload_factor: 2.5,
         ..Settings::default()
     };
     let members = || (1..=20).map(member).collect::<Vec<_>>();
@@ -810,7 +845,7 @@
                         cold_sends.push(at);
                     }
                     w.pass(50.0);
-                    w.outcome(id, 0, Ending::Ok);
+                    w.outcome(id, 0, AttemptOutcome::Success);
                     w.pass(50.0);
                     continue;
                 }
@@ -835,12 +870,12 @@
     assert!(!cold_sends.is_empty(), "it is warmed up, not shut out");
 }
 
-fn balancer(upstreams: u64, effect: Effect) -> Balancer {
-    let mut balancer = Balancer::new(one_class(effect), 3, 0.0).expect("settings");
+fn balancer(upstreams: u64, idempotency: Idempotency) -> Balancer {
+    let mut balancer = Balancer::new(one_class(idempotency), 3, 0.0).expect("settings");
     let list = (1..=upstreams).map(member).collect();
     balancer.handle(
         0.0,
-        Event::Membership(Membership::Full(list)),
+        Event::Endpoints(EndpointEvent::Snapshot(list)),
         &mut Vec::new(),
     );
     balancer
@@ -867,28 +902,28 @@
 /// Guards against passing over every upstream that a slow caller sends to: it owes no answer yet.
 #[test]
 fn an_upstream_owes_no_answer_while_the_request_still_comes() {
-    let mut balancer = balancer(2, Effect::SingleShot);
+    let mut balancer = balancer(2, Idempotency::NonIdempotent);
     assert!(matches!(
         coming(&mut balancer, 1)[..],
         [Action::Send { timeout: 0.0, .. }]
     ));
-    assert_eq!(balancer.upstreams(60_000.0), (2, 0));
-    let whole = Event::Whole {
+    assert_eq!(balancer.endpoint_counts(60_000.0), counts(2, 0));
+    let whole = Event::RequestBodyComplete {
         request: RequestId(1),
         deadline: 62_000.0,
     };
     assert!(tell(&mut balancer, 60_000.0, whole).is_empty());
-    assert_eq!(balancer.upstreams(60_010.0), (2, 0));
+    assert_eq!(balancer.endpoint_counts(60_010.0), counts(2, 0));
     assert_eq!(
-        balancer.upstreams(90_000.0),
-        (2, 1),
+        balancer.endpoint_counts(90_000.0),
+        counts(2, 1),
         "from then on it owes one"
     );
 }
 
 #[test]
 fn an_upstream_owes_nothing_while_its_answer_is_passed_on_and_what_breaks_off_is_not_repeated() {
-    let mut balancer = balancer(2, Effect::Free);
+    let mut balancer = balancer(2, Idempotency::Idempotent);
     let request = Request {
         id: RequestId(1),
         class: 0,
@@ -899,19 +934,19 @@
         tell(&mut balancer, 0.0, Event::Request(request))[..],
         [Action::Send { .. }]
     ));
-    let begun = Event::Streaming {
+    let begun = Event::ResponseStarted {
         request: RequestId(1),
         attempt: 0,
     };
     assert!(tell(&mut balancer, 100.0, begun).is_empty());
-    assert_eq!(balancer.upstreams(60_000.0), (2, 0));
-    let (ending, duration, closed) = (Ending::Reset, 100.0, true);
-    let broke = Event::Outcome {
+    assert_eq!(balancer.endpoint_counts(60_000.0), counts(2, 0));
+    let (outcome, duration, request_completed) = (AttemptOutcome::Reset, 100.0, true);
+    let broke = Event::AttemptEnded {
         request: RequestId(1),
         attempt: 0,
-        ending,
+        outcome,
         duration,
-        closed,
+        request_completed,
     };
     assert!(tell(&mut balancer, 60_000.0, broke).is_empty());
 }
@@ -919,23 +954,23 @@
 #[test]
 fn what_is_no_longer_held_is_not_sent_again() {
     for (spent, again) in [(false, true), (true, false)] {
-        let mut balancer = balancer(2, Effect::SingleShot);
+        let mut balancer = balancer(2, Idempotency::NonIdempotent);
         coming(&mut balancer, 1);
         if spent {
-            assert!(tell(&mut balancer, 5.0, Event::Spent(RequestId(1))).is_empty());
+            assert!(tell(&mut balancer, 5.0, Event::BodyDiscarded(RequestId(1))).is_empty());
         }
-        let (ending, duration, closed) = (Ending::Full, 0.0, false);
-        let turned = Event::Outcome {
+        let (outcome, duration, request_completed) = (AttemptOutcome::Rejected, 0.0, false);
+        let turned = Event::AttemptEnded {
             request: RequestId(1),
             attempt: 0,
-            ending,
+            outcome,
             duration,
-            closed,
+            request_completed,
         };
         let then = tell(&mut balancer, 10.0, turned);
         assert_eq!(matches!(then[..], [Action::Send { .. }]), again, "{then:?}");
         assert_eq!(
-            matches!(then[..], [Action::Refuse { .. }]),
+            matches!(then[..], [Action::Reject { .. }]),
             !again,
             "it has surely not run: {then:?}"
         );
--- a/balancer-core/tests/slow_start.rs
+++ b/balancer-core/tests/slow_start.rs
@@ -1,7 +1,7 @@
 //! Slow start for the fleet: whatever many copies do at the same moment, a cold upstream is not pushed over.
 mod common;
-use common::*;
 use balancer_core::*;
+use common::*;
 
 const TIP: f64 = 4.0;
 const RAMP: f64 = 20_000.0;
@@ -13,9 +13,9 @@
     let settings = |index| Settings {
         index,
         balancers: copies,
-        cold_from: COLD_FROM,
-        ramp_time: RAMP,
-        tip_multiple: TIP,
+        slow_start_initial_fraction: COLD_FROM,
+        slow_start_duration: RAMP,
+        slow_start_overload_factor: TIP,
         tenants: tenants(&[1.0], quota_per_s),
         ..Settings::default()
     };
@@ -25,7 +25,9 @@
         .collect();
     for w in &mut worlds {
         let per_s = quota_per_s / f64::from(copies);
-        w.traffic(5000.0, per_s, &[0], &|_| Some((Ending::Ok, 20.0)));
+        w.traffic(5000.0, per_s, &[0], &|_| {
+            Some((AttemptOutcome::Success, 20.0))
+        });
     }
     worlds
 }
@@ -45,8 +47,8 @@
 }
 
 fn restart(w: &mut World) {
-    w.list(Membership::Delta(vec![Member {
-        since: w.now,
+    w.list(EndpointEvent::Delta(vec![Endpoint {
+        started_at: w.now,
         ..member(1)
     }]));
 }
@@ -63,7 +65,9 @@
             for w in &mut worlds {
                 w.pass(pause);
                 // Each copy has far more calls in this window than there are upstreams.
-                w.traffic(1000.0, 30.0, &[0], &|_| Some((Ending::Ok, 5.0)));
+                w.traffic(1000.0, 30.0, &[0], &|_| {
+                    Some((AttemptOutcome::Success, 5.0))
+                });
             }
             let (n, chance) = allowed(quota, from - 5000.0);
             let sent = to_the_cold_one(&worlds, from) as f64;
@@ -89,7 +93,7 @@
     let from = worlds[0].now;
     for w in &mut worlds {
         w.traffic(10_000.0, quota / f64::from(copies), &[0], &|_| {
-            Some((Ending::Ok, 20.0))
+            Some((AttemptOutcome::Success, 20.0))
         });
     }
     // An even part of ten seconds is 50.
@@ -105,14 +109,14 @@
         let mut worlds = fleet(copies, quota);
         let all_cold = |now: f64| {
             (1..=UPSTREAMS)
-                .map(|id| Member {
-                    since: now,
+                .map(|id| Endpoint {
+                    started_at: now,
                     ..member(id)
                 })
                 .collect()
         };
         for w in &mut worlds {
-            w.list(Membership::Delta(all_cold(w.now)));
+            w.list(EndpointEvent::Delta(all_cold(w.now)));
             w.pass(1500.0);
         }
         let from = worlds[0].now;
@@ -120,7 +124,7 @@
         for w in &mut worlds {
             let mut half = |w: &mut World| {
                 let from = w.now;
-                w.traffic(500.0, 30.0, &[0], &|_| Some((Ending::Ok, 5.0)));
+                w.traffic(500.0, 30.0, &[0], &|_| Some((AttemptOutcome::Success, 5.0)));
                 w.sent_since(from)
                     .1
                     .into_iter()
@@ -134,7 +138,7 @@
             );
             // Its clock goes on where the other's ended.
             anew.now = w.now;
-            anew.list(Membership::Full(all_cold(5000.0)));
+            anew.list(EndpointEvent::Snapshot(all_cold(5000.0)));
             half(&mut anew);
         }
         let (n, chance) = allowed(quota, from - 5000.0);
@@ -156,24 +160,28 @@
     let settings = fleet(1, 150.0).remove(0).settings;
     let mut world = World::new(settings, 1, Vec::new());
     world.now = START;
-    let restarted = Member {
-        since: START - clock_off,
+    let restarted = Endpoint {
+        started_at: START - clock_off,
         ..member(1)
     };
     let before = (1..=4).map(member).collect();
     let after = [restarted.clone(), member(2), member(3), member(4)].to_vec();
     if first_list {
-        world.list(Membership::Cached(after));
+        world.list(EndpointEvent::CachedSnapshot(after));
     } else {
-        world.list(Membership::Cached(before));
-        world.traffic(3000.0, 100.0, &[0], &|_| Some((Ending::Ok, 20.0)));
-        world.list(Membership::Delta(vec![Member {
-            since: world.now - clock_off,
+        world.list(EndpointEvent::CachedSnapshot(before));
+        world.traffic(3000.0, 100.0, &[0], &|_| {
+            Some((AttemptOutcome::Success, 20.0))
+        });
+        world.list(EndpointEvent::Delta(vec![Endpoint {
+            started_at: world.now - clock_off,
             ..restarted
         }]));
     }
     let from = world.now;
-    world.traffic(2000.0, 100.0, &[0], &|_| Some((Ending::Ok, 20.0)));
+    world.traffic(2000.0, 100.0, &[0], &|_| {
+        Some((AttemptOutcome::Success, 20.0))
+    });
     to_the_cold_one(&[world], from)
 }
 
@@ -196,17 +204,21 @@
 fn an_upstream_that_seems_to_start_in_the_future_is_warm_after_its_ramp() {
     let settings = fleet(1, 150.0).remove(0).settings;
     let mut world = World::new(settings, 1, Vec::new());
-    world.list(Membership::Cached(
+    world.list(EndpointEvent::CachedSnapshot(
         (1..=4)
-            .map(|id| Member {
-                since: 3_600_000.0,
+            .map(|id| Endpoint {
+                started_at: 3_600_000.0,
                 ..member(id)
             })
             .collect(),
     ));
-    world.traffic(RAMP, 100.0, &[0], &|_| Some((Ending::Ok, 20.0)));
+    world.traffic(RAMP, 100.0, &[0], &|_| {
+        Some((AttemptOutcome::Success, 20.0))
+    });
     let from = world.seen.len();
-    world.traffic(2000.0, 100.0, &[0], &|_| Some((Ending::Ok, 20.0)));
+    world.traffic(2000.0, 100.0, &[0], &|_| {
+        Some((AttemptOutcome::Success, 20.0))
+    });
     let refused = world
         .seen
         .values()
@@ -222,15 +234,19 @@
 #[test]
 fn a_cold_upstream_gets_no_more_than_an_even_share_of_the_traffic() {
     let mut settings = fleet(1, 400.0).remove(0).settings;
-    settings.cold_from = 0.3;
-    settings.ramp_time = 9000.0;
+    settings.slow_start_initial_fraction = 0.3;
+    settings.slow_start_duration = 9000.0;
     let mut world = World::new(settings, 1, (1..=4).map(member).collect());
-    world.traffic(5000.0, 150.0, &[0], &|_| Some((Ending::Ok, 5.0)));
+    world.traffic(5000.0, 150.0, &[0], &|_| {
+        Some((AttemptOutcome::Success, 5.0))
+    });
     restart(&mut world);
     let mut worlds = [world];
     for second in 1..=4 {
         let from = worlds[0].now;
-        worlds[0].traffic(1000.0, 150.0, &[0], &|_| Some((Ending::Ok, 5.0)));
+        worlds[0].traffic(1000.0, 150.0, &[0], &|_| {
+            Some((AttemptOutcome::Success, 5.0))
+        });
         let sent = to_the_cold_one(&worlds, from);
         assert!(
             sent <= 45,
--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -8,9 +8,7 @@
 //! requests, connections and dialling; [`Deployment`] keeps what of these a balancer on sockets needs. Of the events the codec drops probe results, peer messages and load
 //! reports; of a request its key, its cost hint and its marks; of a list entry its scale. Never asked for: single
 //! fetches of the list, and unsubscribing.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
-use balancer_core::{Class, DedupScope, Effect, Settings, Tenant};
+use balancer_core::{Class, DedupScope, Idempotency, Settings, Tenant};
 use serde::Deserialize;
 
 /// The settings with what the module has no use for but sockets do. Names stand at the position that the
@@ -127,7 +125,7 @@
     Settings::default().idle_close
 }
 fn ask() -> f64 {
-    Settings::default().ask_within
+    Settings::default().poll_acknowledge_timeout
 }
 fn dial() -> f64 {
     250.0
@@ -154,7 +152,7 @@
             path => format!("{path}: {}", e.inner()),
         })?;
     json.end().map_err(|e| e.to_string())?;
-    let ask_for_list = match s.membership_mode.as_str() {
+    let poll_endpoints = match s.membership_mode.as_str() {
         "pushed" => false,
         "on_request" => true,
         other => return Err(format!("membership_mode: unknown mode {other:?}")),
@@ -162,21 +160,21 @@
     let settings = Settings {
         index: s.index,
         balancers: s.balancers,
-        stage: s.stage,
+        tier: s.stage,
         zone: s.zone,
         classes: s.classes.iter().map(class).collect::<Result<_, _>>()?,
         tenants: s
             .tenants
             .iter()
             .map(|t| Tenant {
-                share: t.share,
+                weight: t.share,
                 quota_per_s: t.quota_per_s,
             })
             .collect(),
-        attempts_cap: s.permissions.attempts_cap,
+        max_attempts: s.permissions.attempts_cap,
         cancel: s.permissions.cancel,
-        ask_for_list,
-        ask_within: s.invariants.ask_within,
+        poll_endpoints,
+        poll_acknowledge_timeout: s.invariants.ask_within,
         idle_close: s.permissions.idle_close,
         connect_timeout: s.permissions.dial_timeout,
         max_retry_after: if s.permissions.retry_after {
@@ -184,11 +182,11 @@
         } else {
             0.0
         },
-        cold_from: s.invariants.cold_from,
-        ramp_time: s.invariants.ramp_time,
-        tip_multiple: s.invariants.tip_multiple,
-        tip_window: s.invariants.fall,
-        late_shedding: s.invariants.late_shedding,
+        slow_start_initial_fraction: s.invariants.cold_from,
+        slow_start_duration: s.invariants.ramp_time,
+        slow_start_overload_factor: s.invariants.tip_multiple,
+        slow_start_overload_window: s.invariants.fall,
+        rejects_after_start: s.invariants.late_shedding,
         cross_zone_price: s.charges.cross_zone,
     };
     for (key, span) in [
@@ -199,7 +197,9 @@
             return Err(format!("{key}: must be a time of at least 0"));
         }
     }
-    settings.validate().map_err(|e| e.to_string())?;
+    settings
+        .validate()
+        .map_err(|e| format!("setting {} must be {}", documented_name(e.field), e.must))?;
     Ok(Deployment {
         policy: settings,
         classes: s.classes.into_iter().map(|c| c.name).collect(),
@@ -212,33 +212,48 @@
     })
 }
 
+/// The documented name of a field of [`Settings`] that error messages use.
+fn documented_name(field: &str) -> &str {
+    match field {
+        "max_attempts" => "attempts_cap",
+        "poll_acknowledge_timeout" => "ask_within",
+        "slow_start_initial_fraction" => "cold_from",
+        "slow_start_duration" => "ramp_time",
+        "slow_start_overload_factor" => "tip_multiple",
+        "slow_start_overload_window" => "tip_window",
+        "classes.late_weight" => "classes.late_worth",
+        "classes.allowed_zones" => "classes.runs_in",
+        "classes.allowed_kinds" => "classes.kinds_only",
+        "tenants.weight" => "tenants.share",
+        other => other,
+    }
+}
+
 fn class(c: &ClassSetup) -> Result<Class, String> {
-    let effect = match c.effect.as_str() {
-        "free" => Effect::Free,
-        "single_shot" => Effect::SingleShot,
+    let idempotency = match c.effect.as_str() {
+        "free" => Idempotency::Idempotent,
+        "single_shot" => Idempotency::NonIdempotent,
         "guarded" => {
             let scope = match c.dedup_scope.as_str() {
                 "all" => DedupScope::All,
                 "zone" => DedupScope::Zone,
-                "cell" => DedupScope::Cell,
+                "cell" => DedupScope::Group,
                 other => return Err(format!("classes.dedup_scope: unknown scope {other:?}")),
             };
-            Effect::Guarded {
+            Idempotency::IdempotencyKey {
                 scope,
                 window: c.repeat_window,
             }
         }
         other => return Err(format!("classes.effect: unknown effect {other:?}")),
     };
-    let (runs_in, kinds_only) = (c.runs_in.clone(), c.kinds_only.clone());
-    let (objective, deadline, late_worth) = (c.objective, c.deadline, c.late_worth);
     Ok(Class {
-        objective,
-        deadline,
-        effect,
-        late_worth,
-        runs_in,
-        kinds_only,
+        objective: c.objective,
+        deadline: c.deadline,
+        idempotency,
+        late_weight: c.late_worth,
+        allowed_zones: c.runs_in.clone(),
+        allowed_kinds: c.kinds_only.clone(),
     })
 }
 
--- a/balancer-settings/src/tests.rs
+++ b/balancer-settings/src/tests.rs
@@ -10,14 +10,19 @@
 fn missing_optional_keys_get_defaults_and_unknown_ones_are_skipped() {
     let s = parse(MINIMAL.as_bytes()).unwrap();
     assert_eq!(
-        s.classes[0].effect,
-        Effect::Guarded {
-            scope: DedupScope::Cell,
+        s.classes[0].idempotency,
+        Idempotency::IdempotencyKey {
+            scope: DedupScope::Group,
             window: 900.0
         }
     );
     assert_eq!(
-        (s.idle_close, s.ask_within, s.stage, s.ask_for_list),
+        (
+            s.idle_close,
+            s.poll_acknowledge_timeout,
+            s.tier,
+            s.poll_endpoints
+        ),
         (5000.0, 10_000.0, 0, false)
     );
 }
--- a/balancer/src/orders.rs
+++ b/balancer/src/admin/overrides.rs
@@ -16,7 +16,7 @@
 
 /// Everything ordered so far.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct Overrides {
     version: u32,
     /// Grows with each change.
     revision: u64,
@@ -30,7 +30,7 @@
     pub restored: BTreeMap<String, Millis>,
 }
 
-impl Orders {
+impl Overrides {
     /// Leaves an upstream out.
     pub fn suspend(&mut self, name: &str) {
         self.restored.remove(name);
@@ -46,40 +46,40 @@
     }
 
     /// Whether these were given after `other`.
-    pub fn newer_than(&self, other: &Orders) -> bool {
+    pub fn newer_than(&self, other: &Overrides) -> bool {
         self.revision > other.revision
     }
 }
 
 /// Where orders are kept. Its calls wait for the disk.
 #[derive(Clone)]
-pub struct Store {
+pub struct OverrideStore {
     /// The folder; none: they are kept in this process alone.
     folder: Option<PathBuf>,
     /// The newest that this process has seen.
-    seen: Arc<Mutex<Orders>>,
+    seen: Arc<Mutex<Overrides>>,
 }
 
-impl Store {
+impl OverrideStore {
     /// A store in this folder, which every process of this balancer is given, and no other balancer.
-    pub fn new(folder: Option<PathBuf>) -> Store {
-        let orders = Orders {
+    pub fn new(folder: Option<PathBuf>) -> OverrideStore {
+        let orders = Overrides {
             version: VERSION,
-            ..Orders::default()
+            ..Overrides::default()
         };
-        Store {
+        OverrideStore {
             folder,
             seen: Arc::new(Mutex::new(orders)),
         }
     }
 
-    fn seen(&self) -> MutexGuard<'_, Orders> {
-        // Orders are replaced whole, so that a panic elsewhere leaves them good.
+    fn seen(&self) -> MutexGuard<'_, Overrides> {
+        // Overrides are replaced whole, so that a panic elsewhere leaves them good.
         self.seen.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     /// The newest orders. An error is what the file has wrong: what was seen before holds.
-    pub fn read(&self) -> Result<Orders, ReadError> {
+    pub fn read(&self) -> Result<Overrides, ReadError> {
         let Some(folder) = &self.folder else {
             return Ok(self.seen().clone());
         };
@@ -94,7 +94,7 @@
     }
 
     /// Gives an order: it is kept once this returns.
-    pub fn change(&self, order: impl FnOnce(&mut Orders)) -> Result<Orders, String> {
+    pub fn change(&self, order: impl FnOnce(&mut Overrides)) -> Result<Overrides, String> {
         let Some(folder) = &self.folder else {
             let mut seen = self.seen();
             order(&mut seen);
@@ -120,21 +120,21 @@
     }
 
     /// The right to be this balancer's only process, for as long as it is held; none while another has it.
-    pub fn alone(&self) -> Option<Alone> {
+    pub fn try_lock_process(&self) -> Option<ProcessLock> {
         let Some(folder) = &self.folder else {
-            return Some(Alone(None));
+            return Some(ProcessLock(None));
         };
         let file = File::create(folder.join(PROCESS)).ok()?;
         match file.try_lock() {
             Err(TryLockError::WouldBlock) => None,
             // Where files cannot be locked, nothing can be told of another.
-            Ok(()) | Err(TryLockError::Error(_)) => Some(Alone(Some(file))),
+            Ok(()) | Err(TryLockError::Error(_)) => Some(ProcessLock(Some(file))),
         }
     }
 }
 
 /// Held by a process of which no other runs. The system lets go of it when the process ends, however it does.
-pub struct Alone(#[allow(dead_code)] Option<File>);
+pub struct ProcessLock(#[allow(dead_code)] Option<File>);
 
 const FILE: &str = "herondock-orders.json";
 const FRESH: &str = "herondock-orders.new";
@@ -159,7 +159,7 @@
     }
 }
 
-fn read(path: &Path) -> Result<Option<Orders>, ReadError> {
+fn read(path: &Path) -> Result<Option<Overrides>, ReadError> {
     let said = |e: &dyn fmt::Display| ReadError::Malformed(format!("{}: {e}", path.display()));
     let text = match std::fs::metadata(path) {
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
@@ -167,7 +167,7 @@
         Err(e) => return Err(ReadError::Unreadable(e)),
         Ok(_) => std::fs::read(path).map_err(ReadError::Unreadable)?,
     };
-    let orders: Orders = serde_json::from_slice(&text).map_err(|e| said(&e))?;
+    let orders: Overrides = serde_json::from_slice(&text).map_err(|e| said(&e))?;
     if orders.version != VERSION {
         return Err(said(&format!(
             "has version {}, not {VERSION}",
@@ -178,7 +178,7 @@
 }
 
 /// Whole or not at all, whenever the program is ended.
-fn write(folder: &Path, orders: &Orders) -> io::Result<()> {
+fn write(folder: &Path, orders: &Overrides) -> io::Result<()> {
     let fresh = folder.join(FRESH);
     std::fs::write(&fresh, serde_json::to_vec(orders)?)?;
     std::fs::rename(fresh, folder.join(FILE))
@@ -200,14 +200,14 @@
     fn orders_hold_for_every_process_and_the_next() {
         let folder = folder("hold");
         let (one, other) = (
-            Store::new(Some(folder.clone())),
-            Store::new(Some(folder.clone())),
+            OverrideStore::new(Some(folder.clone())),
+            OverrideStore::new(Some(folder.clone())),
         );
         one.change(|o| o.suspend("s-1")).expect("kept");
         other.change(|o| o.suspend("s-2")).expect("kept");
         other.change(|o| o.restore("s-1", 5.0, 9.0)).expect("kept");
         one.change(|o| o.paused = true).expect("kept");
-        let orders = Store::new(Some(folder.clone()))
+        let orders = OverrideStore::new(Some(folder.clone()))
             .read()
             .expect("a good file");
         assert_eq!(
@@ -224,7 +224,7 @@
         let folder = folder("torn");
         for text in ["", "{\"version\":1,\"rev", "{}", "\u{0}"] {
             std::fs::write(folder.join(FILE), text).expect("writes");
-            let store = Store::new(Some(folder.clone()));
+            let store = OverrideStore::new(Some(folder.clone()));
             assert!(
                 store.read().is_err_and(|e| e.to_string().contains(FILE)),
                 "{text:?}"
@@ -236,7 +236,7 @@
             .expect("reads")
             .replace("n\":1", "n\":2");
         std::fs::write(folder.join(FILE), later).expect("writes");
-        let error = Store::new(Some(folder.clone()))
+        let error = OverrideStore::new(Some(folder.clone()))
             .read()
             .expect_err("another version");
         assert!(error.to_string().contains("version 2"), "{error}");
@@ -247,7 +247,7 @@
     fn an_order_that_cannot_be_kept_says_so() {
         let gone = folder("gone");
         std::fs::remove_dir_all(&gone).expect("removes");
-        let error = Store::new(Some(gone))
+        let error = OverrideStore::new(Some(gone))
             .change(|o| o.paused = true)
             .expect_err("no folder");
         assert!(error.starts_with("the order is not kept"), "{error}");
@@ -257,14 +257,14 @@
     #[test]
     fn orders_that_cannot_be_read_for_a_moment_are_not_written_over() {
         let folder = folder("moment");
-        Store::new(Some(folder.clone()))
+        OverrideStore::new(Some(folder.clone()))
             .change(|o| o.suspend("s-1"))
             .expect("kept");
         let (file, aside) = (folder.join(FILE), folder.join("aside"));
         std::fs::rename(&file, &aside).expect("renames");
         // A link to itself can be replaced and not read.
         std::os::unix::fs::symlink(&file, &file).expect("links");
-        let fresh = Store::new(Some(folder.clone()));
+        let fresh = OverrideStore::new(Some(folder.clone()));
         assert!(fresh.change(|o| o.suspend("s-2")).is_err());
         std::fs::rename(&aside, &file).expect("renames");
         let orders = fresh.change(|o| o.suspend("s-2")).expect("kept");
@@ -276,13 +276,13 @@
     fn one_process_at_a_time_is_alone() {
         let folder = folder("alone");
         let (one, other) = (
-            Store::new(Some(folder.clone())),
-            Store::new(Some(folder.clone())),
+            OverrideStore::new(Some(folder.clone())),
+            OverrideStore::new(Some(folder.clone())),
         );
-        let first = one.alone();
-        assert!(first.is_some() && other.alone().is_none());
+        let first = one.try_lock_process();
+        assert!(first.is_some() && other.try_lock_process().is_none());
         drop(first);
-        assert!(other.alone().is_some());
+        assert!(other.try_lock_process().is_some());
         std::fs::remove_dir_all(folder).expect("removes");
     }
 }
--- a/balancer/src/ops.rs
+++ b/balancer/src/admin/server.rs
@@ -1,11 +1,11 @@
-//! The operators' door: one line to a connection, one answer that begins with `YES` or `NO`. It hands calls on and
+//! The operators' admin: one line to a connection, one answer that begins with `YES` or `NO`. It hands calls on and
 //! decides nothing.
-use crate::driver::Handle;
-use crate::metrics::Figures;
-use crate::orders::{Alone, Orders, ReadError, Store};
-use crate::server::Phase;
-use crate::socket_io::Socket;
-use crate::sockets::Sockets;
+use crate::admin::overrides::{OverrideStore, Overrides, ProcessLock, ReadError};
+use crate::control::driver::DriverHandle;
+use crate::inbound::server::Phase;
+use crate::net::descriptor_budget::DescriptorBudget;
+use crate::net::socket_io::Socket;
+use crate::telemetry::metrics::Metrics;
 use balancer_core::Millis;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -19,7 +19,7 @@
 
 /// Most callers at once; one more takes the place of the one that has been there longest.
 const CALLERS_MOST: usize = 16;
-/// Descriptors that the door may take.
+/// Descriptors that the admin may take.
 pub const DESCRIPTORS: usize = CALLERS_MOST + 1;
 /// Longest line taken.
 const LINE_MOST: usize = 512;
@@ -40,43 +40,43 @@
 /// While another process of this balancer serves, a new one waits this long for its first list.
 const LIST_WAIT: Duration = Duration::from_secs(2);
 
-/// What calls at the door reach.
-pub struct Door {
-    driver: Handle,
-    figures: Rc<Figures>,
-    sockets: Sockets,
+/// What calls at the admin reach.
+pub struct AdminServer {
+    driver: DriverHandle,
+    metrics: Rc<Metrics>,
+    sockets: DescriptorBudget,
     phase: Rc<watch::Sender<Phase>>,
-    store: Store,
+    store: OverrideStore,
     /// What is carried out.
-    applied: RefCell<Orders>,
+    applied: RefCell<Overrides>,
     /// This process's number among those of this balancer, once it serves.
     number: Cell<u64>,
     /// Restored upstreams are cold for this long at most.
     cold: Millis,
     /// Tells others that this process runs, once it is the only one.
-    alone: RefCell<Option<Alone>>,
+    alone: RefCell<Option<ProcessLock>>,
     /// Whether the file could not be read when it was looked at last.
     unreadable: Cell<bool>,
 }
 
 /// The answer to a call: what was asked for is so, with a remark; or it is not, and why.
-type Reply = Result<String, String>;
+type AdminResponse = Result<String, String>;
 
-impl Door {
-    /// A door to these, with the orders in `store`.
+impl AdminServer {
+    /// A admin to these, with the orders in `store`.
     pub fn new(
-        driver: Handle,
-        figures: Rc<Figures>,
-        sockets: Sockets,
+        driver: DriverHandle,
+        metrics: Rc<Metrics>,
+        sockets: DescriptorBudget,
         phase: Rc<watch::Sender<Phase>>,
-        store: Store,
+        store: OverrideStore,
         cold: Millis,
-    ) -> Rc<Door> {
+    ) -> Rc<AdminServer> {
         let (applied, number) = (RefCell::default(), Cell::new(0));
         let (alone, unreadable) = (RefCell::default(), Cell::new(false));
-        Rc::new(Door {
+        Rc::new(AdminServer {
             driver,
-            figures,
+            metrics,
             sockets,
             phase,
             store,
@@ -90,29 +90,32 @@
 
     /// Prepares for serving: takes over what was ordered, and leaves another process its part. Returns once this
     /// process may listen: beside another one with a list that is not old.
-    pub async fn prepare(self: &Rc<Door>) {
+    pub async fn prepare(self: &Rc<AdminServer>) {
         let until = Instant::now() + ORDERS_WAIT;
         while !self.look().await && Instant::now() < until {
             sleep(LOOK).await;
         }
-        if let Ok(Some(alone)) = self.disk(|store| Ok(store.alone())).await {
+        if let Ok(Some(alone)) = self.disk(|store| Ok(store.try_lock_process())).await {
             *self.alone.borrow_mut() = Some(alone);
             return;
         }
         eprintln!("another process of this balancer serves");
-        self.sockets.halve().await;
+        self.sockets.yield_half().await;
         // Without news by then the known list must do: it will not come sooner to those who wait.
-        let _ = timeout(LIST_WAIT, self.driver.told()).await;
+        let _ = timeout(LIST_WAIT, self.driver.endpoints_notified()).await;
     }
 
     /// Tells that this process serves from now on, to the one that was there before.
-    pub async fn serve(self: &Rc<Door>) {
+    pub async fn serve(self: &Rc<AdminServer>) {
         if let Err(error) = self.register().await {
             eprintln!("{error}: tried again until it is");
         }
         let paused = self.applied.borrow().paused;
-        self.phase
-            .send_replace(if paused { Phase::Paused } else { Phase::Up });
+        self.phase.send_replace(if paused {
+            Phase::Paused
+        } else {
+            Phase::Serving
+        });
         tokio::task::spawn_local(self.clone().follow());
     }
 
@@ -134,7 +137,7 @@
     }
 
     /// Follows orders given at another process, and its coming and going.
-    async fn follow(self: Rc<Door>) {
+    async fn follow(self: Rc<AdminServer>) {
         let mut halved = false;
         loop {
             sleep(LOOK).await;
@@ -145,15 +148,15 @@
                 let _ = self.register().await;
             }
             if self.alone.borrow().is_none() {
-                if let Ok(Some(alone)) = self.disk(|store| Ok(store.alone())).await {
+                if let Ok(Some(alone)) = self.disk(|store| Ok(store.try_lock_process())).await {
                     *self.alone.borrow_mut() = Some(alone);
-                    self.sockets.whole();
+                    self.sockets.reclaim();
                 }
             }
             if !halved && self.has_successor() {
                 halved = true;
                 let sockets = self.sockets.clone();
-                tokio::task::spawn_local(async move { sockets.halve().await });
+                tokio::task::spawn_local(async move { sockets.yield_half().await });
             }
         }
     }
@@ -177,7 +180,10 @@
     }
 
     /// Gives an order. Once this returns it is kept and carried out.
-    async fn change(&self, order: impl FnOnce(&mut Orders) + Send + 'static) -> Result<(), String> {
+    async fn change(
+        &self,
+        order: impl FnOnce(&mut Overrides) + Send + 'static,
+    ) -> Result<(), String> {
         let orders = self.disk(|store| store.change(order)).await?;
         self.apply(orders);
         Ok(())
@@ -186,7 +192,7 @@
     /// Does with the store what may wait for the disk.
     async fn disk<T: Send + 'static>(
         &self,
-        work: impl FnOnce(Store) -> Result<T, String> + Send + 'static,
+        work: impl FnOnce(OverrideStore) -> Result<T, String> + Send + 'static,
     ) -> Result<T, String> {
         let store = self.store.clone();
         tokio::task::spawn_blocking(move || work(store))
@@ -194,7 +200,7 @@
             .unwrap_or_else(|e| Err(e.to_string()))
     }
 
-    fn apply(&self, orders: Orders) {
+    fn apply(&self, orders: Overrides) {
         let mut applied = self.applied.borrow_mut();
         if !orders.newer_than(&applied) {
             return;
@@ -209,10 +215,10 @@
         }
         self.phase.send_if_modified(|now| {
             let next = match *now {
-                Phase::Up | Phase::Paused if orders.paused => Phase::Paused,
-                Phase::Up | Phase::Paused => Phase::Up,
+                Phase::Serving | Phase::Paused if orders.paused => Phase::Paused,
+                Phase::Serving | Phase::Paused => Phase::Serving,
                 // The front hears of it here too.
-                Phase::Succeeded if orders.paused => Phase::Closing,
+                Phase::HandedOff if orders.paused => Phase::Closing,
                 other => other,
             };
             std::mem::replace(now, next) != next
@@ -221,7 +227,7 @@
     }
 
     /// Answers callers for ever.
-    pub async fn run(self: Rc<Door>, listener: TcpListener) {
+    pub async fn run(self: Rc<AdminServer>, listener: TcpListener) {
         let mut callers: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             match listener.accept().await {
@@ -239,13 +245,13 @@
         }
     }
 
-    async fn caller(self: Rc<Door>, mut stream: Socket) {
+    async fn caller(self: Rc<AdminServer>, mut stream: Socket) {
         let answer = match timeout(WAIT, line(&mut stream)).await {
             Ok(Ok(Some(line))) if line.trim() == "METRICS" => {
                 format!(
                     "{}END\n",
-                    self.figures
-                        .text(self.driver.active(), self.driver.upstreams())
+                    self.metrics
+                        .text(self.driver.active_requests(), self.driver.endpoint_counts())
                 )
             }
             Ok(Ok(Some(line))) => worded(self.call(&line).await),
@@ -266,7 +272,7 @@
         .await;
     }
 
-    async fn call(&self, line: &str) -> Reply {
+    async fn call(&self, line: &str) -> AdminResponse {
         let words: Vec<&str> = line.split_ascii_whitespace().collect();
         match words[..] {
             ["STATUS"] => self.status(),
@@ -285,23 +291,23 @@
         }
     }
 
-    fn status(&self) -> Reply {
+    fn status(&self) -> AdminResponse {
         match *self.phase.borrow() {
             Phase::Starting => Err("starting".into()),
-            _ if !self.driver.ready() => Err("no upstream is known yet".into()),
-            Phase::Up => Ok("serving".into()),
+            _ if !self.driver.has_endpoints() => Err("no upstream is known yet".into()),
+            Phase::Serving => Ok("serving".into()),
             Phase::Paused => Ok("serving, paused: clients are sent away".into()),
             _ => Err("ending".into()),
         }
     }
 
-    async fn pause(&self, paused: bool) -> Reply {
+    async fn pause(&self, paused: bool) -> AdminResponse {
         self.change(move |orders| orders.paused = paused).await?;
         Ok(if paused { "paused" } else { "serving" }.into())
     }
 
-    async fn suspend(&self, id: &str) -> Reply {
-        if !self.driver.knows(id) {
+    async fn suspend(&self, id: &str) -> AdminResponse {
+        if !self.driver.is_known_upstream(id) {
             return Err(unknown(id));
         }
         let name = id.to_string();
@@ -309,8 +315,8 @@
         Ok(format!("{id} is left out"))
     }
 
-    async fn restore(&self, id: &str) -> Reply {
-        if !self.driver.knows(id) {
+    async fn restore(&self, id: &str) -> AdminResponse {
+        if !self.driver.is_known_upstream(id) {
             return Err(unknown(id));
         }
         let (name, now, cold) = (id.to_string(), self.driver.now(), self.cold);
@@ -324,7 +330,7 @@
     format!("no upstream {id:?} is known")
 }
 
-fn worded(reply: Reply) -> String {
+fn worded(reply: AdminResponse) -> String {
     match reply {
         Ok(remark) => format!("YES {remark}\n"),
         Err(reason) => format!("NO {reason}\n"),
--- /dev/null
+++ b/balancer/src/body/mod.rs
@@ -0,0 +1,3 @@
+//! Request and response bodies, buffered or streamed.
+
+pub(crate) mod payload;
--- a/balancer/src/body.rs
+++ b/balancer/src/body/payload.rs
@@ -1,7 +1,7 @@
 //! Bodies on their way. Small ones are taken whole; large ones pass on as they come, both ways, with no more of them in
 //! memory than a few frames.
-use crate::inbound::Written;
-use crate::metrics::{Outcome, Taken};
+use crate::inbound::client_stream::Written;
+use crate::telemetry::metrics::{InFlightRequest, Outcome};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -263,7 +263,7 @@
 
 /// The body of a request that goes on.
 #[derive(Clone)]
-pub enum Payload {
+pub enum RequestBody {
     /// All of it.
     Whole(Bytes),
     /// Still coming.
@@ -271,7 +271,7 @@
 }
 
 /// A request's body as one attempt writes it: only once its connection has been tried with the head.
-pub struct Tried {
+pub struct AttemptBody {
     left: Left,
     /// Until when the connection is on trial.
     trial: Option<Pin<Box<Sleep>>>,
@@ -284,18 +284,18 @@
     Upload(Rc<Upload>, usize),
 }
 
-impl Tried {
+impl AttemptBody {
     /// `written` is told once the whole request has been handed over; without a body that is so with its head. None
     /// if some of the body is no longer held.
     pub fn new(
-        body: &Payload,
+        body: &RequestBody,
         trial: Option<Duration>,
         written: Rc<Cell<Written>>,
-    ) -> Option<Tried> {
+    ) -> Option<AttemptBody> {
         let left = match body {
-            Payload::Whole(body) if body.is_empty() => Left::Nothing,
-            Payload::Whole(body) => Left::Whole(body.clone()),
-            Payload::Upload(upload) => {
+            RequestBody::Whole(body) if body.is_empty() => Left::Nothing,
+            RequestBody::Whole(body) => Left::Whole(body.clone()),
+            RequestBody::Upload(upload) => {
                 upload.state.borrow().held.as_ref()?;
                 Left::Upload(upload.clone(), 0)
             }
@@ -305,7 +305,7 @@
         } else {
             Written::Partly
         });
-        Some(Tried {
+        Some(AttemptBody {
             left,
             trial: trial.map(|t| Box::pin(sleep(t))),
             written,
@@ -318,7 +318,7 @@
     }
 }
 
-impl Body for Tried {
+impl Body for AttemptBody {
     type Data = Bytes;
     type Error = Fault;
 
@@ -372,13 +372,13 @@
     whole: Rc<Cell<bool>>,
 }
 
-/// Where an upstream's answer is handed over, piece by piece. Dropped before [`Giver::end`] the answer has broken off.
-pub struct Giver {
+/// Where an upstream's answer is handed over, piece by piece. Dropped before [`BodySender::end`] the answer has broken off.
+pub struct BodySender {
     pieces: mpsc::Sender<Bytes>,
     whole: Rc<Cell<bool>>,
 }
 
-impl Giver {
+impl BodySender {
     /// Hands a piece over once there is room. Fails if its caller has gone, or takes nothing for long.
     pub async fn give(&self, piece: Bytes) -> Result<(), ()> {
         self.pieces
@@ -394,11 +394,11 @@
 }
 
 /// An answer that will be handed over, of this length if it is stated.
-pub fn frames(length: Option<u64>) -> (Giver, Frames) {
+pub fn frames(length: Option<u64>) -> (BodySender, Frames) {
     let (give, pieces) = mpsc::channel(FRAMES);
     let whole = Rc::new(Cell::new(false));
     (
-        Giver {
+        BodySender {
             pieces: give,
             whole: whole.clone(),
         },
@@ -411,28 +411,28 @@
 }
 
 /// The body of an upstream's answer.
-pub enum Content {
+pub enum ResponseContent {
     /// All of it.
     Whole(Bytes),
     /// Still coming.
     Frames(Frames),
 }
 
-impl fmt::Debug for Content {
+impl fmt::Debug for ResponseContent {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Content::Whole(body) => write!(f, "{} bytes", body.len()),
-            Content::Frames(frames) => write!(f, "{:?} bytes to come", frames.left),
+            ResponseContent::Whole(body) => write!(f, "{} bytes", body.len()),
+            ResponseContent::Frames(frames) => write!(f, "{:?} bytes to come", frames.left),
         }
     }
 }
 
 /// The body of the final answer. Its request ends with it.
-pub enum Reply<G> {
+pub enum ResponseBody<G> {
     /// All of it.
     Whole(Full<Bytes>),
-    /// Still coming; with the request's place in the figures, and what is released with its end.
-    Frames(Frames, Taken, #[allow(dead_code)] G),
+    /// Still coming; with the request's place in the metrics, and what is released with its end.
+    Frames(Frames, InFlightRequest, #[allow(dead_code)] G),
 }
 
 /// An upstream broke off in the middle of its answer. The caller's connection ends with it, so that it can tell.
@@ -447,7 +447,7 @@
 
 impl Error for BrokenOff {}
 
-impl<G: Unpin> Body for Reply<G> {
+impl<G: Unpin> Body for ResponseBody<G> {
     type Data = Bytes;
     type Error = BrokenOff;
 
@@ -456,12 +456,12 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
         let (frames, taken) = match self.get_mut() {
-            Reply::Whole(body) => {
+            ResponseBody::Whole(body) => {
                 return Pin::new(body)
                     .poll_frame(cx)
                     .map_err(|never| match never {})
             }
-            Reply::Frames(frames, taken, _) => (frames, taken),
+            ResponseBody::Frames(frames, taken, _) => (frames, taken),
         };
         let next = match ready!(frames.pieces.poll_recv(cx)) {
             Some(piece) => {
@@ -483,15 +483,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Reply::Whole(body) => body.is_end_stream(),
-            Reply::Frames(frames, ..) => frames.left == Some(0),
+            ResponseBody::Whole(body) => body.is_end_stream(),
+            ResponseBody::Frames(frames, ..) => frames.left == Some(0),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Reply::Whole(body) => body.size_hint(),
-            Reply::Frames(frames, ..) => frames
+            ResponseBody::Whole(body) => body.size_hint(),
+            ResponseBody::Frames(frames, ..) => frames
                 .left
                 .map_or_else(SizeHint::default, SizeHint::with_exact),
         }
--- a/balancer/src/driver.rs
+++ b/balancer/src/control/driver.rs
@@ -1,17 +1,18 @@
 //! The one owner of the decision module: feeds it events in order, carries out its actions, keeps its clock,
 //! its timers and the ids of requests and attempts. Nothing is decided here.
-use crate::body::{Payload, UploadObserver};
-use crate::clock::{from_millis, to_millis, Clock};
-use crate::dispatch::Dispatch;
-use crate::endpoint_table::EndpointTable;
-use crate::endpoints::{upstream_id, EndpointConsumer, EndpointUpdate};
-use crate::invariants::{never_ran, AttemptHistory, Guard};
-use crate::log::Log;
-use crate::message::{Answer, Outgoing, Untaken};
-use hyper::header::HeaderValue;
+use crate::body::payload::{RequestBody, UploadObserver};
+use crate::control::clock::{from_millis, to_millis, Clock};
+use crate::control::invariants::{never_ran, AttemptHistory, Guard};
+use crate::discovery::endpoints::{upstream_id, EndpointConsumer, EndpointUpdate};
+use crate::outbound::dispatch::Dispatch;
+use crate::outbound::endpoint_table::EndpointTable;
+use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
+use crate::telemetry::log::Log;
 use balancer_core::{
-    Action, Balancer, Effect, Ending, Event, Membership, Millis, Request, RequestId, UpstreamId,
+    Action, AttemptOutcome, Balancer, EndpointCounts, EndpointEvent, Event, Idempotency, Millis,
+    Request, RequestId, UpstreamId,
 };
+use hyper::header::HeaderValue;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 use std::rc::Rc;
@@ -27,35 +28,35 @@
 /// Longest timer that the module may ask for.
 const TIMER_MOST: Millis = 71.0 * 60_000.0;
 
-struct Open {
-    /// Taken when the final answer is given or the client is gone.
-    reply: Option<oneshot::Sender<Answer>>,
-    out: Rc<Outgoing>,
+struct PendingRequest {
+    /// InFlightRequest when the final answer is given or the client is gone.
+    reply: Option<oneshot::Sender<FinalResponse>>,
+    out: Rc<OutboundRequest>,
     /// How long its client waits once all of it has come, and until when that is; infinite while it comes.
-    patience: Millis,
+    client_timeout: Millis,
     deadline: Millis,
     history: AttemptHistory,
     /// Whether its answer is being passed on.
     answering: bool,
 }
 
-impl Open {
+impl PendingRequest {
     /// The answer that may be given now in place of this one.
-    fn checked(&self, answer: Answer, now: Millis, guard: &Guard) -> Answer {
+    fn checked(&self, answer: FinalResponse, now: Millis, guard: &Guard) -> FinalResponse {
         if self.reply.is_none() {
             return answer;
         }
         guard.answer(now - self.deadline, &self.out.label());
         match answer {
-            Answer::Refused { .. } if !guard.refuse(&self.history, &self.out.label()) => {
-                Answer::Failed
+            FinalResponse::Refused { .. } if !guard.refuse(&self.history, &self.out.label()) => {
+                FinalResponse::Failed
             }
             answer => answer,
         }
     }
 
     /// The way to the client, once; the request is over with it.
-    fn end(&mut self) -> Option<oneshot::Sender<Answer>> {
+    fn end(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.out.over.set(true);
         self.reply.take()
     }
@@ -88,22 +89,22 @@
 }
 
 /// An open request, as its body sees it.
-struct OpenRequest {
-    handle: Handle,
+struct PendingUpload {
+    handle: DriverHandle,
     id: RequestId,
 }
 
-impl UploadObserver for OpenRequest {
+impl UploadObserver for PendingUpload {
     fn completed(&self) {
         self.handle.whole(self.id);
     }
 
     fn released(&self) {
-        self.handle.feed(Event::Spent(self.id));
+        self.handle.feed(Event::BodyDiscarded(self.id));
     }
 }
 
-enum Due {
+enum TimerEvent {
     Module(u32),
     Attempt(RequestId, u32),
     Sweep,
@@ -115,24 +116,24 @@
     dispatch: Dispatch,
     log: Log,
     max_open: usize,
-    /// The effects of the classes, by position; and whether upstreams also shed work that they had begun.
-    effects: Vec<Effect>,
-    late_shedding: bool,
+    /// The idempotency_by_class of the classes, by position; and whether upstreams also shed work that they had begun.
+    idempotency_by_class: Vec<Idempotency>,
+    rejects_after_start: bool,
     guard: Guard,
     /// Every request has its answer by then.
     last: Millis,
     next_id: u32,
-    open: HashMap<RequestId, Open>,
+    open: HashMap<RequestId, PendingRequest>,
     /// The callers' names of the requests that are open.
     names: HashSet<HeaderValue>,
     attempts: HashMap<(RequestId, u32), Attempt>,
     endpoints: EndpointTable,
-    timers: BTreeMap<(Instant, u64), Due>,
+    timers: BTreeMap<(Instant, u64), TimerEvent>,
     timer_seq: u64,
     events: VecDeque<Event>,
 }
 
-struct Shared {
+struct DriverState {
     driver: RefCell<Driver>,
     timers: Notify,
     subscribe: Notify,
@@ -141,10 +142,10 @@
 
 /// The driver as everything else sees it.
 #[derive(Clone)]
-pub struct Handle(Rc<Shared>);
+pub struct DriverHandle(Rc<DriverState>);
 
 /// What a driver is built from.
-pub struct Parts {
+pub struct DriverOptions {
     /// The module.
     pub balancer: Balancer,
     /// The module's clock.
@@ -155,10 +156,10 @@
     pub drain_grace: Duration,
     /// Most requests open at once.
     pub max_open: usize,
-    /// The effects of the classes, by position.
-    pub effects: Vec<Effect>,
+    /// The idempotency_by_class of the classes, by position.
+    pub idempotency_by_class: Vec<Idempotency>,
     /// Upstreams also shed work that they had begun.
-    pub late_shedding: bool,
+    pub rejects_after_start: bool,
     /// Checks what the module wants done.
     pub guard: Guard,
     /// Where the module's log lines go.
@@ -166,23 +167,23 @@
 }
 
 /// A request that waits for its final answer. Dropping it tells the module that the client is gone.
-pub struct Waiting {
-    handle: Handle,
+pub struct ResponseFuture {
+    handle: DriverHandle,
     id: RequestId,
-    answer: oneshot::Receiver<Answer>,
+    answer: oneshot::Receiver<FinalResponse>,
     done: bool,
 }
 
-impl Waiting {
+impl ResponseFuture {
     /// The final answer.
-    pub async fn answer(mut self) -> Answer {
-        let answer = (&mut self.answer).await.unwrap_or(Answer::Failed);
+    pub async fn response(mut self) -> FinalResponse {
+        let answer = (&mut self.answer).await.unwrap_or(FinalResponse::Failed);
         self.done = true;
         answer
     }
 }
 
-impl Drop for Waiting {
+impl Drop for ResponseFuture {
     fn drop(&mut self) {
         if !self.done {
             self.handle.client_gone(self.id);
@@ -190,17 +191,17 @@
     }
 }
 
-impl Handle {
-    /// Sets the driver up; [`Handle::run`] must run for its timers to fire.
-    pub fn new(parts: Parts) -> Handle {
-        let Parts {
+impl DriverHandle {
+    /// Sets the driver up; [`DriverHandle::run`] must run for its timers to fire.
+    pub fn new(parts: DriverOptions) -> DriverHandle {
+        let DriverOptions {
             balancer,
             clock,
             dispatch,
             drain_grace,
             max_open,
-            effects,
-            late_shedding,
+            idempotency_by_class,
+            rejects_after_start,
             guard,
             log,
         } = parts;
@@ -210,8 +211,8 @@
             dispatch,
             log,
             max_open,
-            effects,
-            late_shedding,
+            idempotency_by_class,
+            rejects_after_start,
             guard,
             last: f64::INFINITY,
             next_id: 0,
@@ -223,13 +224,13 @@
             timer_seq: 0,
             events: VecDeque::new(),
         };
-        let shared = Shared {
+        let shared = DriverState {
             driver: RefCell::new(driver),
             timers: Notify::new(),
             subscribe: Notify::new(),
             told: Notify::new(),
         };
-        Handle(Rc::new(shared))
+        DriverHandle(Rc::new(shared))
     }
 
     /// Fires timers for ever.
@@ -259,9 +260,11 @@
             return;
         };
         match due {
-            Due::Module(token) => self.feed(Event::Timer(token)),
-            Due::Attempt(id, number) => self.ended(id, number, Ending::Timeout, None),
-            Due::Sweep => self.sweep(),
+            TimerEvent::Module(token) => self.feed(Event::Timer(token)),
+            TimerEvent::Attempt(id, number) => {
+                self.ended(id, number, AttemptOutcome::Timeout, None)
+            }
+            TimerEvent::Sweep => self.sweep(),
         }
     }
 
@@ -269,7 +272,7 @@
     fn set_sweep(&self) {
         let mut d = self.0.driver.borrow_mut();
         if d.dispatch.idle_limit().is_some() {
-            d.set_timer(Instant::now() + SWEEP, Due::Sweep);
+            d.set_timer(Instant::now() + SWEEP, TimerEvent::Sweep);
         }
     }
 
@@ -290,12 +293,12 @@
     }
 
     /// Whether upstreams are known, so that requests can be served.
-    pub fn ready(&self) -> bool {
+    pub fn has_endpoints(&self) -> bool {
         self.0.driver.borrow().endpoints.ever_listed()
     }
 
     /// Requests that have come whole and have not ended: they wait for an answer, or it is being passed on.
-    pub fn active(&self) -> usize {
+    pub fn active_requests(&self) -> usize {
         let d = self.0.driver.borrow();
         d.open
             .values()
@@ -304,36 +307,36 @@
     }
 
     /// Requests that are taken from now on have their answer after this time at the latest.
-    pub fn ends_by(&self, time: Duration) {
+    pub fn set_response_deadline(&self, time: Duration) {
         let mut d = self.0.driver.borrow_mut();
         d.last = d.now() + to_millis(time);
     }
 
     /// Ends every request that is open: no answer of its own comes in time. It may have run.
-    pub fn fail_open(&self) {
+    pub fn fail_pending(&self) {
         let open: Vec<RequestId> = {
             let mut d = self.0.driver.borrow_mut();
             let open = d.open.iter_mut().filter_map(|(&id, o)| {
                 // A client that left in the same instant gets nothing; it is no longer owed anything.
                 o.end()
-                    .map(|reply| drop(reply.send(Answer::Failed)))
+                    .map(|reply| drop(reply.send(FinalResponse::Failed)))
                     .map(|()| id)
             });
             open.collect()
         };
         for id in open {
             self.0.driver.borrow_mut().forget(id);
-            self.feed(Event::ClientGone(id));
+            self.feed(Event::ClientDisconnected(id));
         }
     }
 
     /// Closes an idle connection to an upstream, if there is one: its socket is needed elsewhere.
-    pub fn free_socket(&self) {
+    pub fn close_oldest_idle_connection(&self) {
         self.0.driver.borrow().endpoints.close_oldest_idle();
     }
 
     /// Waits until discovery has answered.
-    pub async fn told(&self) {
+    pub async fn endpoints_notified(&self) {
         self.0.told.notified().await;
     }
 
@@ -346,13 +349,13 @@
         if let Some(snapshot) = snapshot {
             self.0.driver.borrow_mut().apply_endpoints(snapshot, true);
         }
-        self.feed(Event::Membership(Membership::Cached(members)));
+        self.feed(Event::Endpoints(EndpointEvent::CachedSnapshot(members)));
     }
 
     /// Whether an upstream of this name is listed or left out by staff.
-    pub fn knows(&self, name: &str) -> bool {
+    pub fn is_known_upstream(&self, name: &str) -> bool {
         let (d, id) = (self.0.driver.borrow(), upstream_id(name));
-        d.balancer.suspends(id) || d.endpoints.lists(id)
+        d.balancer.is_suspended(id) || d.endpoints.lists(id)
     }
 
     /// Staff leave an upstream out from now on. What is out may end; nothing more is written there.
@@ -368,29 +371,29 @@
         self.0.driver.borrow().endpoints.restore(id);
         self.feed(Event::Restore {
             upstream: id,
-            since,
+            restored_at: since,
         });
     }
 
     /// How many upstreams are listed, and how many of them calls avoid now.
-    pub fn upstreams(&self) -> (usize, usize) {
+    pub fn endpoint_counts(&self) -> EndpointCounts {
         let d = self.0.driver.borrow();
-        d.balancer.upstreams(d.now())
+        d.balancer.endpoint_counts(d.now())
     }
 
     /// Takes a request: from now on one final answer is owed.
-    pub fn take(
+    pub fn submit(
         &self,
         class: usize,
         tenant: usize,
-        patience: Millis,
-        out: Outgoing,
-    ) -> Result<Waiting, Untaken> {
+        client_timeout: Millis,
+        out: OutboundRequest,
+    ) -> Result<ResponseFuture, SubmitError> {
         let (reply, answer) = oneshot::channel();
         let (id, deadline) = {
             let mut d = self.0.driver.borrow_mut();
             if d.open.len() >= d.max_open {
-                return Err(Untaken::Full);
+                return Err(SubmitError::Full);
             }
             // Guards against one request's id on another while anything of the first is out: upstreams tell
             // repeats by it.
@@ -399,29 +402,33 @@
                 .as_ref()
                 .is_some_and(|name| !d.names.insert(name.clone()))
             {
-                return Err(Untaken::Known);
+                return Err(SubmitError::Known);
             }
             while d.open.contains_key(&RequestId(d.next_id)) {
                 d.next_id = d.next_id.wrapping_add(1);
             }
             let id = RequestId(d.next_id);
             d.next_id = d.next_id.wrapping_add(1);
-            let effect = d.effects.get(class).copied().unwrap_or(Effect::SingleShot);
-            let patience = (patience - ANSWER_MARGIN).max(0.0);
+            let effect = d
+                .idempotency_by_class
+                .get(class)
+                .copied()
+                .unwrap_or(Idempotency::NonIdempotent);
+            let client_timeout = (client_timeout - ANSWER_MARGIN).max(0.0);
             let deadline = match &out.body {
-                Payload::Whole(_) => (d.now() + patience).min(d.last),
-                Payload::Upload(upload) => {
-                    upload.observe(Box::new(OpenRequest {
+                RequestBody::Whole(_) => (d.now() + client_timeout).min(d.last),
+                RequestBody::Upload(upload) => {
+                    upload.observe(Box::new(PendingUpload {
                         handle: self.clone(),
                         id,
                     }));
                     f64::INFINITY
                 }
             };
-            let open = Open {
+            let open = PendingRequest {
                 reply: Some(reply),
                 out: Rc::new(out),
-                patience,
+                client_timeout,
                 deadline,
                 history: AttemptHistory::new(effect),
                 answering: false,
@@ -431,7 +438,7 @@
                 request = id.0,
                 class,
                 tenant,
-                patience_ms = patience,
+                client_timeout_ms = client_timeout,
                 "request taken"
             );
             (id, deadline)
@@ -442,7 +449,7 @@
             tenant,
             deadline,
         }));
-        Ok(Waiting {
+        Ok(ResponseFuture {
             handle: self.clone(),
             id,
             answer,
@@ -458,10 +465,10 @@
             let Some(open) = d.open.get_mut(&id) else {
                 return;
             };
-            open.deadline = (now + open.patience).min(last);
+            open.deadline = (now + open.client_timeout).min(last);
             let (deadline, number) = (open.deadline, open.history.started().wrapping_sub(1));
             let until = Instant::now() + from_millis(deadline - now);
-            let due = d.set_timer(until, Due::Attempt(id, number));
+            let due = d.set_timer(until, TimerEvent::Attempt(id, number));
             match d.attempts.get_mut(&(id, number)) {
                 // One whose answer has begun already has no time-out.
                 Some(attempt) if attempt.began.is_none() => {
@@ -472,7 +479,7 @@
             }
             deadline
         };
-        self.feed(Event::Whole {
+        self.feed(Event::RequestBodyComplete {
             request: id,
             deadline,
         });
@@ -486,7 +493,7 @@
     }
 
     /// The answer to an attempt has begun, and goes to the client from now on.
-    fn begun(&self, id: RequestId, number: u32, answer: Answer) {
+    fn begun(&self, id: RequestId, number: u32, answer: FinalResponse) {
         {
             let mut d = self.0.driver.borrow_mut();
             let Some(attempt) = d.attempts.get_mut(&(id, number)) else {
@@ -501,7 +508,7 @@
                 open.answering = reply.send(answer).is_ok();
             }
         }
-        self.feed(Event::Streaming {
+        self.feed(Event::ResponseStarted {
             request: id,
             attempt: number,
         });
@@ -511,18 +518,24 @@
         {
             let mut d = self.0.driver.borrow_mut();
             // Answered in the same instant: the module has ended it already.
-            if d.open.get_mut(&id).and_then(Open::end).is_none() {
+            if d.open.get_mut(&id).and_then(PendingRequest::end).is_none() {
                 return;
             }
             tracing::debug!(request = id.0, "client left");
             d.forget(id);
         }
-        self.feed(Event::ClientGone(id));
+        self.feed(Event::ClientDisconnected(id));
     }
 
     /// An attempt has ended: tells the module, unless an earlier end of it counts.
-    fn ended(&self, id: RequestId, number: u32, ending: Ending, answer: Option<Answer>) {
-        let event = self.0.driver.borrow_mut().end(id, number, ending, answer);
+    fn ended(
+        &self,
+        id: RequestId,
+        number: u32,
+        outcome: AttemptOutcome,
+        answer: Option<FinalResponse>,
+    ) {
+        let event = self.0.driver.borrow_mut().end(id, number, outcome, answer);
         if let Some(event) = event {
             self.feed(event);
         }
@@ -550,24 +563,24 @@
                 timeout,
             } => self.send(d, request, upstream, timeout),
             Action::Cancel { request, attempt } => {
-                if let Some(event) = d.end(request, attempt, Ending::Cancelled, None) {
+                if let Some(event) = d.end(request, attempt, AttemptOutcome::Cancelled, None) {
                     d.events.push_back(event);
                 }
             }
-            Action::Refuse {
+            Action::Reject {
                 request,
                 retry_after,
-            } => d.answer(request, Answer::Refused { retry_after }),
-            Action::Fail { request } => d.answer(request, Answer::Failed),
-            Action::CloseIdle(id) => {
+            } => d.answer(request, FinalResponse::Refused { retry_after }),
+            Action::Fail { request } => d.answer(request, FinalResponse::Failed),
+            Action::CloseIdleConnections(id) => {
                 if let Some(upstream) = d.endpoints.upstream(id) {
                     upstream.close_idle();
                 }
             }
-            Action::Subscribe => self.0.subscribe.notify_one(),
+            Action::PollEndpoints => self.0.subscribe.notify_one(),
             Action::SetTimer { after, token } => {
                 let after = Duration::from_secs_f64(after.clamp(0.0, TIMER_MOST) / 1000.0);
-                d.set_timer(Instant::now() + after, Due::Module(token));
+                d.set_timer(Instant::now() + after, TimerEvent::Module(token));
                 self.0.timers.notify_one();
             }
             Action::Log(line) => d.log.line(&line),
@@ -582,20 +595,20 @@
         let number = open.history.started();
         if d.guard.start(&mut open.history, &open.out.label()).is_err() {
             // What the module knows of this request is wrong: it ends here, whatever is decided next.
-            d.events.push_back(Event::ClientGone(id));
-            return d.answer(id, Answer::Failed);
+            d.events.push_back(Event::ClientDisconnected(id));
+            return d.answer(id, FinalResponse::Failed);
         }
         let target = d.endpoints.upstream(to).cloned();
         let (Some(target), true) = (target, open.reply.is_some()) else {
-            let closed = open.reply.is_none();
-            let ending = Ending::Moot;
+            let request_completed = open.reply.is_none();
+            let outcome = AttemptOutcome::NotSent;
             open.history.end(now, true);
-            d.events.push_back(Event::Outcome {
+            d.events.push_back(Event::AttemptEnded {
                 request: id,
                 attempt: number,
-                ending,
+                outcome,
                 duration: 0.0,
-                closed,
+                request_completed,
             });
             return;
         };
@@ -603,7 +616,7 @@
         let left = if whole {
             (open.deadline - now_ms).max(0.0)
         } else {
-            open.patience
+            open.client_timeout
         };
         let wait = if timeout > 0.0 {
             timeout.min(left)
@@ -627,10 +640,10 @@
         let task = tokio::task::spawn_local(async move {
             let connected = || handle.connected(id, number);
             let begun = |answer| handle.begun(id, number, answer);
-            let (ending, answer) = dispatch.attempt(target, out, until, connected, begun).await;
-            handle.ended(id, number, ending, answer);
+            let (outcome, answer) = dispatch.attempt(target, out, until, connected, begun).await;
+            handle.ended(id, number, outcome, answer);
         });
-        let due = whole.then(|| d.set_timer(until, Due::Attempt(id, number)));
+        let due = whole.then(|| d.set_timer(until, TimerEvent::Attempt(id, number)));
         let (sent, task) = (whole.then_some(now), task.abort_handle());
         let attempt = Attempt {
             upstream: to,
@@ -645,7 +658,7 @@
     }
 }
 
-impl EndpointConsumer for Handle {
+impl EndpointConsumer for DriverHandle {
     async fn subscribed(&self) {
         self.0.subscribe.notified().await;
     }
@@ -662,27 +675,27 @@
         );
         let members = update.members().collect();
         let membership = if update.full {
-            Membership::Full(members)
+            EndpointEvent::Snapshot(members)
         } else {
-            Membership::Delta(members)
+            EndpointEvent::Delta(members)
         };
-        self.feed(Event::Membership(membership));
+        self.feed(Event::Endpoints(membership));
         self.0.told.notify_one();
     }
 
     fn confirm(&self) {
-        self.feed(Event::Membership(Membership::Unchanged));
+        self.feed(Event::Endpoints(EndpointEvent::Unchanged));
     }
 
     fn moved(&self) {
-        self.feed(Event::Membership(Membership::Moved));
+        self.feed(Event::Endpoints(EndpointEvent::DiscoveryMigrated));
     }
 
     fn update_failed(&self, refused: bool) {
-        self.feed(Event::Membership(if refused {
-            Membership::Refused
+        self.feed(Event::Endpoints(if refused {
+            EndpointEvent::DiscoveryRejected
         } else {
-            Membership::Failed
+            EndpointEvent::DiscoveryFailed
         }));
     }
 }
@@ -692,7 +705,7 @@
         self.clock.now()
     }
 
-    fn set_timer(&mut self, at: Instant, due: Due) -> (Instant, u64) {
+    fn set_timer(&mut self, at: Instant, due: TimerEvent) -> (Instant, u64) {
         self.timer_seq += 1;
         self.timers.insert((at, self.timer_seq), due);
         (at, self.timer_seq)
@@ -704,8 +717,8 @@
         &mut self,
         id: RequestId,
         number: u32,
-        ending: Ending,
-        answer: Option<Answer>,
+        outcome: AttemptOutcome,
+        answer: Option<FinalResponse>,
     ) -> Option<Event> {
         let attempt = self.attempts.remove(&(id, number))?;
         attempt.task.abort();
@@ -717,31 +730,33 @@
         tracing::debug!(
             request = id.0,
             attempt = number,
-            ?ending,
+            ?outcome,
             duration_ms = duration,
             "attempt ended"
         );
-        let mut closed = true;
+        let mut request_completed = true;
         if let Some(open) = self.open.get_mut(&id) {
-            open.history
-                .end(attempt.started, never_ran(ending, self.late_shedding));
+            open.history.end(
+                attempt.started,
+                never_ran(outcome, self.rejects_after_start),
+            );
             if let Some((reply, answer)) = answer.and_then(|a| Some((open.end()?, a))) {
                 // A client that left in the same instant gets nothing; it is no longer owed anything.
                 let _ = reply.send(answer);
             }
-            closed = open.reply.is_none();
+            request_completed = open.reply.is_none();
         }
         self.forget(id);
-        Some(Event::Outcome {
+        Some(Event::AttemptEnded {
             request: id,
             attempt: number,
-            ending,
+            outcome,
             duration,
-            closed,
+            request_completed,
         })
     }
 
-    fn answer(&mut self, id: RequestId, answer: Answer) {
+    fn answer(&mut self, id: RequestId, answer: FinalResponse) {
         let now = self.now();
         tracing::debug!(request = id.0, ?answer, "request answered");
         let checked = self
@@ -749,7 +764,7 @@
             .get(&id)
             .map(|open| open.checked(answer, now, &self.guard));
         let Some(answer) = checked else { return };
-        if let Some(reply) = self.open.get_mut(&id).and_then(Open::end) {
+        if let Some(reply) = self.open.get_mut(&id).and_then(PendingRequest::end) {
             // A client that left in the same instant gets nothing; it is no longer owed anything.
             let _ = reply.send(answer);
         }
@@ -779,7 +794,7 @@
     /// Keeps addresses and connections in step with the list.
     fn apply_endpoints(&mut self, update: &EndpointUpdate, full: bool) {
         self.endpoints
-            .apply(update, full, |id| self.balancer.suspends(id));
+            .apply(update, full, |id| self.balancer.is_suspended(id));
         for id in self.endpoints.gone() {
             self.forget_upstream(id);
         }
--- a/balancer/src/driver/tests.rs
+++ b/balancer/src/control/driver/tests.rs
@@ -1,17 +1,17 @@
 //! What the driver tells the decision module of an attempt, with real connections.
 use super::*;
-use crate::connector::Connector;
-use crate::endpoints::Endpoint;
-use crate::metrics::Figures;
-use crate::sockets::Sockets;
+use crate::discovery::endpoints::ListedEndpoint;
+use crate::net::descriptor_budget::DescriptorBudget;
+use crate::outbound::attempt::Transport;
+use crate::outbound::connector::Connector;
+use crate::telemetry::metrics::Metrics;
 use crate::test_support::{get_request, FullListener};
-use crate::upstream::Transport;
-use balancer_core::{Member, Settings};
+use balancer_core::{Endpoint, Settings};
 use std::net::SocketAddr;
 
 const LONG: Duration = Duration::from_secs(20);
 
-fn driver_with(upstream: SocketAddr) -> Handle {
+fn driver_with(upstream: SocketAddr) -> DriverHandle {
     let class = balancer_core::Class {
         objective: 20_000.0,
         deadline: 20_000.0,
@@ -22,24 +22,24 @@
         ..Settings::default()
     };
     let clock = Clock::start();
-    let connector = Connector::new(LONG, LONG, Sockets::new(64), Rc::default());
-    let guard = Guard::new(Figures::new(&[]));
-    let handle = Handle::new(Parts {
+    let connector = Connector::new(LONG, LONG, DescriptorBudget::new(64), Rc::default());
+    let guard = Guard::new(Metrics::new(&[]));
+    let handle = DriverHandle::new(DriverOptions {
         balancer: Balancer::new(settings, 1, clock.now()).expect("valid settings"),
         clock,
         dispatch: Dispatch::Sockets(Transport::new(connector, guard.clone())),
         drain_grace: LONG,
         max_open: 10,
-        effects: vec![Effect::Free],
-        late_shedding: false,
+        idempotency_by_class: vec![Idempotency::Idempotent],
+        rejects_after_start: false,
         guard,
         log: Log::Discard,
     });
-    let member = Member {
+    let member = Endpoint {
         id: UpstreamId(1),
-        ..Member::default()
+        ..Endpoint::default()
     };
-    let endpoints = vec![Endpoint {
+    let endpoints = vec![ListedEndpoint {
         member,
         address: upstream,
     }];
@@ -60,7 +60,7 @@
         let handle = driver_with(listener.address());
         let start = Instant::now();
         let _waiting = handle
-            .take(0, 0, 20_000.0, get_request())
+            .submit(0, 0, 20_000.0, get_request())
             .expect("is taken");
         tokio::time::sleep(Duration::from_millis(100)).await;
         listener.admit();
--- a/balancer/src/invariants.rs
+++ b/balancer/src/control/invariants.rs
@@ -3,8 +3,8 @@
 //! One [`Guard`] is asked before an attempt starts, before its first byte is written, before a request is answered and
 //! when a client's connection ends. What it denies is not done. What it finds broken is counted by [`Rule`] and logged;
 //! operators read the counts among the metrics, and every count stays zero in a correct program.
-use crate::metrics::Figures;
-use balancer_core::{Effect, Ending, Millis};
+use crate::telemetry::metrics::Metrics;
+use balancer_core::{AttemptOutcome, Idempotency, Millis};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -92,7 +92,7 @@
 /// What has been attempted for one request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptHistory {
-    effect: Effect,
+    effect: Idempotency,
     started: u32,
     in_flight: u32,
     /// When the first attempt started that may have run.
@@ -101,7 +101,7 @@
 
 impl AttemptHistory {
     /// No attempt yet of a request of this effect.
-    pub fn new(effect: Effect) -> AttemptHistory {
+    pub fn new(effect: Idempotency) -> AttemptHistory {
         AttemptHistory {
             effect,
             started: 0,
@@ -143,24 +143,24 @@
         }
         let ran = self.first_run?;
         let repeatable = match self.effect {
-            Effect::Free => true,
-            Effect::Guarded { window, .. } => {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotencyKey { window, .. } => {
                 now - ran < Duration::from_secs_f64(window.max(0.0) / 1000.0)
             }
-            Effect::SingleShot => false,
+            Idempotency::NonIdempotent => false,
         };
         (!repeatable).then_some(Rule::UnsafeRepeat)
     }
 
     /// Whether a refusal would break its promise: what may not be repeated may have run.
     fn broken_by_refusal(&self) -> bool {
-        self.effect == Effect::SingleShot && self.first_run.is_some()
+        self.effect == Idempotency::NonIdempotent && self.first_run.is_some()
     }
 }
 
 /// Whether the end of an attempt proves that it has not run.
-pub fn never_ran(ending: Ending, late_shedding: bool) -> bool {
-    ending.never_ran() && !(ending == Ending::Full && late_shedding)
+pub fn never_ran(outcome: AttemptOutcome, rejects_after_start: bool) -> bool {
+    outcome.never_ran() && !(outcome == AttemptOutcome::Rejected && rejects_after_start)
 }
 
 /// The state of the world in the moment in which a request would be written.
@@ -215,12 +215,12 @@
 
 /// Decides whether attempts start and requests are written, and counts what is broken.
 #[derive(Clone)]
-pub struct Guard(Rc<Figures>);
+pub struct Guard(Rc<Metrics>);
 
 impl Guard {
     /// A guard that counts in these metrics.
-    pub fn new(figures: Rc<Figures>) -> Guard {
-        Guard(figures)
+    pub fn new(metrics: Rc<Metrics>) -> Guard {
+        Guard(metrics)
     }
 
     /// Starts an attempt, unless it would break a rule.
--- a/balancer/src/control.rs
+++ b/balancer/src/control/startup.rs
@@ -1,12 +1,12 @@
 //! The control part of a balancer: the decision module in its driver, and the discovery client that feeds it. The
 //! program and the hollow balancers start it alike.
-use crate::clock::{from_millis, Clock};
-use crate::discovery::{Discovery, ACKNOWLEDGE_INTERVAL};
-use crate::dispatch::Dispatch;
-use crate::driver::{Handle, Parts};
-use crate::endpoints::EndpointUpdate;
-use crate::invariants::Guard;
-use crate::log::Log;
+use crate::control::clock::{from_millis, Clock};
+use crate::control::driver::{DriverHandle, DriverOptions};
+use crate::control::invariants::Guard;
+use crate::discovery::client::{Discovery, ACKNOWLEDGE_INTERVAL};
+use crate::discovery::endpoints::EndpointUpdate;
+use crate::outbound::dispatch::Dispatch;
+use crate::telemetry::log::Log;
 use balancer_core::Balancer;
 use balancer_settings::Deployment;
 use std::net::SocketAddr;
@@ -36,7 +36,7 @@
 /// The control part, set up. The discovery client is still to be started.
 pub struct Control {
     /// The driver of the decision module.
-    pub handle: Handle,
+    pub handle: DriverHandle,
     /// Fires the module's timers; ends only if it fails.
     pub timers: JoinHandle<()>,
     /// The discovery client.
@@ -59,19 +59,23 @@
         let mut settings = deployment.policy.clone();
         // The settings' own interval is that of the simulator; on sockets what discovery has counts as acknowledged
         // sooner.
-        settings.ask_within = settings
-            .ask_within
+        settings.poll_acknowledge_timeout = settings
+            .poll_acknowledge_timeout
             .min(ACKNOWLEDGE_INTERVAL.as_secs_f64() * 1000.0);
-        let effects = settings.classes.iter().map(|class| class.effect).collect();
-        let late_shedding = settings.late_shedding;
-        let handle = Handle::new(Parts {
+        let idempotency_by_class = settings
+            .classes
+            .iter()
+            .map(|class| class.idempotency)
+            .collect();
+        let rejects_after_start = settings.rejects_after_start;
+        let handle = DriverHandle::new(DriverOptions {
             balancer: Balancer::new(settings, seed, clock.now()).map_err(|e| e.to_string())?,
             clock,
             dispatch,
             drain_grace: from_millis(deployment.drain_grace),
             max_open: usize::try_from(deployment.max_open).unwrap_or(usize::MAX),
-            effects,
-            late_shedding,
+            idempotency_by_class,
+            rejects_after_start,
             guard,
             log,
         });
