--- a/soak/src/balancer.rs
+++ b/soak/src/balancer.rs
@@ -1,302 +1,244 @@
-//! Balancers under test: real processes of the deployed program, with the fault library loaded into them.
-use crate::discovery::Mode;
-use fault_injection::control::{Fault, CONTROL_FILE, FILE_BYTES, SEED};
-use serde_json::json;
+//! Balancers under test: real processes of the deployed program, with the fault injection library loaded into them.
+mod address;
+mod admin;
+mod configuration;
+mod error;
+mod signal;
+
+pub use admin::AdminClient;
+pub use configuration::{Fleet, FleetSettings};
+pub use error::{BalancerError, UpgradeError};
+pub use signal::Signal;
+
+use crate::ids::BalancerId;
+use address::free_address;
+use fault_injection::control::{Fault as SyscallFault, CONTROL_FILE, FILE_BYTES, SEED};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
-use std::net::{Ipv4Addr, SocketAddr};
+use std::net::SocketAddr;
 use std::os::unix::fs::FileExt;
-use std::path::{Path, PathBuf};
+use std::path::PathBuf;
 use std::process::Stdio;
-use std::sync::atomic::{AtomicU16, Ordering};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout, Instant};
 
-/// A balancer has this long to become ready.
-pub const READY_WITHIN: Duration = Duration::from_secs(10);
-/// SIGKILL comes this long after SIGTERM: the longest deadline of the settings and 0.7 s.
-pub const KILLED_AFTER: Duration = Duration::from_millis(2700);
-/// Balancers listen on ports from here.
-const FIRST_PORT: u16 = 20_000;
-const LOOK: Duration = Duration::from_millis(20);
-/// A process that has a successor ends within this time: the longest deadline of the settings and 0.65 s, with some room.
-const UPGRADED_WITHIN: Duration = Duration::from_millis(3700);
-const DOOR_WAIT: Duration = Duration::from_secs(2);
-
-/// What all balancers of a run share.
-#[derive(Clone, Debug)]
-pub struct Fleet {
-    /// The program.
-    pub program: PathBuf,
-    /// The fault library, if it is to be loaded.
-    pub library: Option<PathBuf>,
-    /// A folder for configurations, logs and orders.
-    pub folder: PathBuf,
-    /// How they learn of the list.
-    pub mode: Mode,
-    /// How many there are.
-    pub balancers: usize,
-    /// The settings that the oracle goes by.
-    pub settings: FleetSettings,
-}
+/// Time from SIGTERM to SIGKILL: the longest deadline of the settings and 0.7 s.
+pub const KILL_DELAY: Duration = Duration::from_millis(2700);
+/// Time within which a balancer must become ready.
+const READINESS_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time for one readiness request.
+const READINESS_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
+/// Pause between two looks at a process that starts.
+const READINESS_INTERVAL: Duration = Duration::from_millis(20);
+/// Time within which a process with a successor must exit: the longest deadline of the settings, 0.65 s and a reserve.
+const HANDOFF_TIMEOUT: Duration = Duration::from_millis(3700);
 
-/// Figures of the settings.
-#[derive(Clone, Copy, Debug)]
-pub struct FleetSettings {
-    /// Requests a second of the one tenant, over all balancers.
-    pub quota_per_second: f64,
-    /// Upstreams discard repeats for this long.
-    pub repeat_window: Duration,
-    /// Upstreams close idle connections after this time.
-    pub idle_close: Duration,
-    /// Nothing new goes to an upstream this long after it is known to drain.
-    pub drain_grace: Duration,
-    /// The share with which a cold upstream starts.
-    pub cold_from: f64,
-    /// How long it takes to get warm.
-    pub ramp: Duration,
-    /// How many times what it can do a cold upstream bears.
-    pub tip_multiple: f64,
-    /// Within this time.
-    pub fall: Duration,
-}
+/// Folder of the balancer's temporary files, where it keeps the overrides.
+const TEMPORARY_FOLDER: &str = "orders";
+const CONTROL_FILE_NAME: &str = "faults";
+const CONFIGURATION_FILE_NAME: &str = "config.json";
+const LOG_FILE_NAME: &str = "log";
 
 /// One balancer, over all of its processes.
 pub struct Balancer {
-    /// Its number.
-    pub number: usize,
-    /// Where it serves clients.
-    pub address: SocketAddr,
-    ops: SocketAddr,
+    id: BalancerId,
+    address: SocketAddr,
+    admin: AdminClient,
     fleet: Fleet,
     folder: PathBuf,
-    control: File,
+    /// The control file of the fault injection library.
+    control_file: File,
     child: Option<Child>,
+    /// Number of processes started so far.
     starts: u32,
 }
 
-/// An answer at the operators' door that is none.
-#[derive(Debug, thiserror::Error)]
-pub enum DoorError {
-    /// The door cannot be reached or breaks off.
-    #[error("the door: {0}")]
-    Io(#[from] io::Error),
-    /// No answer in time.
-    #[error("no answer at the door")]
-    NoAnswer,
-}
-
-/// Why a process was not replaced.
-#[derive(Debug, thiserror::Error)]
-pub enum UpgradeError {
-    /// A file or process could not be made.
-    #[error("{0}")]
-    Io(#[from] io::Error),
-    /// The new process ended.
-    #[error("the new process ended: {0}")]
-    Ended(String),
-    /// The new process did not serve in time.
-    #[error("the new process is not ready")]
-    NotReady,
-    /// The old process did not end as it should.
-    #[error("the old process ended with {0:?}")]
-    Old(Option<i32>),
-}
-
 impl Balancer {
-    /// Prepares a balancer, which is not started yet.
-    pub fn new(number: usize, fleet: &Fleet) -> io::Result<Balancer> {
-        let folder = fleet.folder.join(format!("b{number}"));
-        fs::create_dir_all(folder.join("orders"))?;
-        let control = folder.join("faults");
-        fs::write(&control, [0; FILE_BYTES])?;
-        let control = OpenOptions::new().write(true).open(control)?;
-        let (address, ops) = (free_address()?, free_address()?);
-        let (child, starts) = (None, 0);
+    /// Prepares a balancer without starting it.
+    pub fn new(id: BalancerId, fleet: &Fleet) -> Result<Balancer, BalancerError> {
+        let folder = fleet.folder.join(format!("b{id}"));
+        let temporary_folder = folder.join(TEMPORARY_FOLDER);
+        fs::create_dir_all(&temporary_folder)
+            .map_err(|source| BalancerError::file(temporary_folder, source))?;
+        let control_path = folder.join(CONTROL_FILE_NAME);
+        let control_file = create_control_file(&control_path)
+            .map_err(|source| BalancerError::file(control_path, source))?;
         Ok(Balancer {
-            number,
-            address,
-            ops,
+            id,
+            address: free_address()?,
+            admin: AdminClient::new(free_address()?),
             fleet: fleet.clone(),
             folder,
-            control,
-            child,
-            starts,
+            control_file,
+            child: None,
+            starts: 0,
         })
     }
 
-    /// Sets how likely a fault is, in millionths, or how far the wall clock is off, in milliseconds.
-    pub fn fault(&self, fault: Fault, word: i64) -> io::Result<()> {
-        self.control
-            .write_all_at(&word.to_le_bytes(), fault.offset())
+    /// Its id.
+    pub fn id(&self) -> BalancerId {
+        self.id
     }
 
-    /// No call fails from now on; the wall clock stays as it is.
-    pub fn clear_faults(&self) -> io::Result<()> {
-        self.control.write_all_at(&[0; FILE_BYTES - 8], 0)
+    /// Where it serves clients.
+    pub fn address(&self) -> SocketAddr {
+        self.address
     }
 
-    /// Writes the configuration, which names this address of discovery and this known list.
-    pub fn configure(&self, discovery: SocketAddr, known: &str) -> io::Result<()> {
-        let text = self.configuration(discovery, known);
-        let fresh = self.folder.join("config.new");
-        fs::write(&fresh, text)?;
-        fs::rename(fresh, self.folder.join("config.json"))
+    /// Sets the probability of a system call fault, in millionths, or the offset of the wall clock, in milliseconds.
+    pub fn set_syscall_fault(&self, fault: SyscallFault, value: i64) -> Result<(), BalancerError> {
+        self.control_file
+            .write_all_at(&value.to_le_bytes(), fault.offset())
+            .map_err(|source| self.control_file_error(source))
     }
 
-    fn configuration(&self, discovery: SocketAddr, known: &str) -> String {
-        let settings = &self.fleet.settings;
-        let known: serde_json::Value = serde_json::from_str(known).unwrap_or_default();
-        let mode = match self.fleet.mode {
-            Mode::Push => "pushed",
-            Mode::Ask => "on_request",
-        };
-        let class = |name: &str, effect: &str| {
-            json!({
-                "name": name, "objective": 600, "deadline": 2000, "effect": effect, "dedup_scope": "all",
-                "repeat_window": settings.repeat_window.as_millis() as u64, "late_worth": 0.5,
-            })
-        };
-        json!({
-            "name": format!("b{}", self.number), "listen": self.address, "discovery": discovery, "ops": self.ops,
-            "seed": format!("{:016x}", self.number as u64 + 1),
-            "limits": { "cores": 1.0, "memory_mb": 192, "sockets": 512 },
-            "known": known,
-            "settings": {
-                "balancers": self.fleet.balancers, "index": self.number, "stage": 0, "membership_mode": mode,
-                "dcs": ["a"], "kinds": ["m"],
-                "classes": [class("read", "free"), class("order", "guarded"), class("pay", "single_shot")],
-                "tenants": [{ "name": "club", "share": 1.0, "quota_per_s": settings.quota_per_second }],
-                "permissions": {
-                    "attempts_cap": 5, "cancel": true, "retry_after": true, "max_retry_after": 2000,
-                    "idle_close": settings.idle_close.as_millis() as u64, "dial_timeout": 250,
-                },
-                "invariants": {
-                    "cold_from": settings.cold_from, "ramp_time": settings.ramp.as_millis() as u64,
-                    "tip_multiple": settings.tip_multiple, "fall": settings.fall.as_millis() as u64,
-                    "drain_grace": settings.drain_grace.as_millis() as u64,
-                },
+    /// Ends all system call faults. The offset of the wall clock, which is the last word, stays.
+    pub fn clear_syscall_faults(&self) -> Result<(), BalancerError> {
+        self.control_file
+            .write_all_at(&[0; FILE_BYTES - 8], 0)
+            .map_err(|source| self.control_file_error(source))
+    }
+
+    fn control_file_error(&self, source: io::Error) -> BalancerError {
+        BalancerError::file(self.folder.join(CONTROL_FILE_NAME), source)
+    }
+
+    /// Writes a configuration with this address of discovery and this list (JSON, `null` for none).
+    pub fn configure(&self, discovery: SocketAddr, known_list: &str) -> Result<(), BalancerError> {
+        let text = configuration::format_configuration(
+            &self.fleet,
+            self.id,
+            configuration::Addresses {
+                clients: self.address,
+                admin: self.admin.address(),
+                discovery,
             },
-        })
-        .to_string()
+            known_list,
+        );
+        let path = self.folder.join(CONFIGURATION_FILE_NAME);
+        let new_path = self.folder.join("config.new");
+        fs::write(&new_path, text)
+            .and_then(|()| fs::rename(new_path, &path))
+            .map_err(|source| BalancerError::file(path, source))
+    }
+
+    /// Starts its process.
+    pub fn start(&mut self, seed: u64) -> Result<(), BalancerError> {
+        self.starts += 1;
+        let log_path = self.folder.join(LOG_FILE_NAME);
+        let log = self
+            .open_log(&log_path)
+            .map_err(|source| BalancerError::file(log_path, source))?;
+        let mut command = Command::new(&self.fleet.program);
+        command
+            .env("NODE_CONFIG", self.folder.join(CONFIGURATION_FILE_NAME))
+            .env("NODE_LOG", "debug")
+            .env("TMPDIR", self.folder.join(TEMPORARY_FOLDER))
+            .env("LD_PRELOAD", &self.fleet.library)
+            .env(CONTROL_FILE, self.folder.join(CONTROL_FILE_NAME))
+            .env(SEED, (seed ^ u64::from(self.starts)).to_string())
+            .stdin(Stdio::null())
+            .stdout(Stdio::null())
+            .stderr(log)
+            .kill_on_drop(true);
+        let child = command.spawn().map_err(|source| BalancerError::Spawn {
+            program: self.fleet.program.clone(),
+            source,
+        })?;
+        self.child = Some(child);
+        Ok(())
+    }
+
+    /// Opens the log and marks the start of a process in it.
+    fn open_log(&self, path: &PathBuf) -> io::Result<File> {
+        let mut log = OpenOptions::new().create(true).append(true).open(path)?;
+        writeln!(log, "--- start {}", self.starts)?;
+        Ok(log)
     }
 
-    /// Starts another process beside its own, tells the old one to end once the new one serves, and waits until it has.
+    /// Replaces its process: starts a successor beside it, ends it once the successor serves, and waits until it has exited.
     pub async fn upgrade(
         &mut self,
         discovery: SocketAddr,
-        known: &str,
+        known_list: &str,
         seed: u64,
     ) -> Result<(), UpgradeError> {
-        let old_ops = std::mem::replace(&mut self.ops, free_address()?);
-        self.configure(discovery, known)?;
-        let old = self.child.take();
-        let started = Instant::now();
+        let successor_admin = AdminClient::new(free_address()?);
+        let old_admin = std::mem::replace(&mut self.admin, successor_admin);
+        self.configure(discovery, known_list)?;
+        let old_child = self.child.take();
+        let started_at = Instant::now();
         self.start(seed)?;
-        while !self
-            .ask("STATUS")
-            .await
-            .is_ok_and(|status| status.starts_with("YES"))
-        {
-            if let Some(how) = self.ended() {
-                (self.child, self.ops) = (old, old_ops);
-                return Err(UpgradeError::Ended(how));
+        while !self.admin.is_serving().await {
+            if let Some(status) = self.exit_status() {
+                self.child = old_child;
+                self.admin = old_admin;
+                return Err(UpgradeError::SuccessorExited { status });
             }
-            if started.elapsed() > READY_WITHIN {
-                return Err(UpgradeError::NotReady);
+            if started_at.elapsed() > READINESS_TIMEOUT {
+                return Err(UpgradeError::SuccessorNotReady);
             }
-            sleep(LOOK).await;
+            sleep(READINESS_INTERVAL).await;
         }
-        let new = std::mem::replace(&mut self.child, old);
+        let successor = std::mem::replace(&mut self.child, old_child);
         self.signal(Signal::Terminate);
-        let code = self.exited(UPGRADED_WITHIN).await;
+        let exit_code = self.wait_for_exit(HANDOFF_TIMEOUT).await;
         self.kill().await;
-        self.child = new;
-        match code {
+        self.child = successor;
+        match exit_code {
             Some(0) => Ok(()),
-            code => Err(UpgradeError::Old(code)),
+            exit_code => Err(UpgradeError::OldProcessFailed { exit_code }),
         }
     }
 
-    /// Starts its process.
-    pub fn start(&mut self, seed: u64) -> io::Result<()> {
-        self.starts += 1;
-        let log = OpenOptions::new()
-            .create(true)
-            .append(true)
-            .open(self.folder.join("log"))?;
-        let mut marker = log.try_clone()?;
-        writeln!(marker, "--- start {}", self.starts)?;
-        let mut command = Command::new(&self.fleet.program);
-        command
-            .env("NODE_CONFIG", self.folder.join("config.json"))
-            .env("NODE_LOG", "debug")
-            .env("TMPDIR", self.folder.join("orders"))
-            .stdin(Stdio::null())
-            .stdout(Stdio::null())
-            .stderr(log)
-            .kill_on_drop(true);
-        if let Some(library) = &self.fleet.library {
-            command
-                .env("LD_PRELOAD", library)
-                .env(CONTROL_FILE, self.folder.join("faults"))
-                .env(SEED, (seed ^ u64::from(self.starts)).to_string());
-        }
-        self.child = Some(command.spawn()?);
-        Ok(())
-    }
-
-    /// Waits until it is ready; how long that took, or none if it was not ready in time.
-    pub async fn ready(&mut self) -> Option<Duration> {
-        let started = Instant::now();
-        while started.elapsed() < READY_WITHIN {
+    /// Waits until it is ready. Returns whether it was in time.
+    pub async fn wait_until_ready(&mut self) -> bool {
+        let started_at = Instant::now();
+        while started_at.elapsed() < READINESS_TIMEOUT {
             if self.is_ready().await {
-                return Some(started.elapsed());
+                return true;
             }
-            sleep(LOOK).await;
+            sleep(READINESS_INTERVAL).await;
         }
-        None
+        false
     }
 
     async fn is_ready(&self) -> bool {
-        let asked = async {
+        let request = async {
             let mut stream = TcpStream::connect(self.address).await?;
             stream
                 .write_all(b"GET /-/ready HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n")
                 .await?;
-            let mut answer = String::new();
-            stream.read_to_string(&mut answer).await?;
-            Ok::<_, io::Error>(answer.starts_with("HTTP/1.1 200"))
+            let mut response = String::new();
+            stream.read_to_string(&mut response).await?;
+            Ok::<_, io::Error>(response.starts_with("HTTP/1.1 200"))
         };
-        timeout(Duration::from_secs(1), asked)
-            .await
-            .is_ok_and(|ready| ready.unwrap_or(false))
+        matches!(
+            timeout(READINESS_REQUEST_TIMEOUT, request).await,
+            Ok(Ok(true))
+        )
     }
 
     /// Sends its process a signal.
     pub fn signal(&self, signal: Signal) {
-        let Some(pid) = self.child.as_ref().and_then(Child::id) else {
-            return;
-        };
-        // The process was started here and not waited for yet, so that the id is still its own.
-        let name = signal.name();
-        let _ = std::process::Command::new("kill")
-            .args([name, &pid.to_string()])
-            .status();
+        // The process has not been waited for, so that its id cannot belong to another process.
+        if let Some(process_id) = self.child.as_ref().and_then(Child::id) {
+            signal.send(process_id);
+        }
     }
 
-    /// Waits until its process has ended, for so long at most. Tells the exit code; none if it was killed or still runs.
-    pub async fn exited(&mut self, most: Duration) -> Option<i32> {
+    /// Waits until its process has exited. Returns the exit code; none if it was killed or still runs at the time limit.
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> Option<i32> {
         let child = self.child.as_mut()?;
-        let status = timeout(most, child.wait()).await.ok()?.ok()?;
+        let status = timeout(limit, child.wait()).await.ok()?.ok()?;
         self.child = None;
         status.code()
     }
 
-    /// Kills its process outright.
+    /// Kills its process with SIGKILL.
     pub async fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill().await;
@@ -304,93 +246,25 @@
     }
 
     /// Whether it has a process.
-    pub fn runs(&self) -> bool {
+    pub fn has_process(&self) -> bool {
         self.child.is_some()
     }
 
-    /// Whether its process has ended by itself, and how.
-    pub fn ended(&mut self) -> Option<String> {
+    /// The exit status of its process, if that has exited by itself. The balancer has no process then.
+    pub fn exit_status(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
         Some(status.to_string())
     }
 
-    /// What the door answers to a call.
-    pub async fn ask(&self, call: &str) -> Result<String, DoorError> {
-        let asked = async {
-            let mut stream = TcpStream::connect(self.ops).await?;
-            stream.write_all(format!("{call}\n").as_bytes()).await?;
-            let mut answer = String::new();
-            stream.read_to_string(&mut answer).await?;
-            Ok::<_, io::Error>(answer)
-        };
-        Ok(timeout(DOOR_WAIT, asked)
-            .await
-            .map_err(|_| DoorError::NoAnswer)??)
-    }
-
-    /// The violations that it has counted itself.
-    pub async fn violations(&self) -> Vec<String> {
-        let metrics = self.ask("METRICS").await.unwrap_or_default();
-        let broken = |line: &&str| line.starts_with("node_violations") && !line.ends_with(" 0");
-        metrics.lines().filter(broken).map(str::to_string).collect()
-    }
-
-    /// Where its log is.
-    pub fn log(&self) -> PathBuf {
-        self.folder.join("log")
-    }
-}
-
-/// A signal that a run sends.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Signal {
-    /// SIGTERM.
-    Terminate,
-    /// SIGHUP.
-    Hangup,
-    /// SIGSTOP.
-    Stop,
-    /// SIGCONT.
-    Continue,
-}
-
-impl Signal {
-    fn name(self) -> &'static str {
-        match self {
-            Signal::Terminate => "-TERM",
-            Signal::Hangup => "-HUP",
-            Signal::Stop => "-STOP",
-            Signal::Continue => "-CONT",
-        }
-    }
-}
-
-/// An address of loopback that other runs at the same time do not use.
-fn own_address() -> Ipv4Addr {
-    let [.., high, low] = std::process::id().to_be_bytes();
-    Ipv4Addr::new(127, high % 200 + 10, low, 3)
-}
-
-/// An address that nobody else in this process is given, where connections that go out take no port.
-fn free_address() -> io::Result<SocketAddr> {
-    static NEXT: AtomicU16 = AtomicU16::new(FIRST_PORT);
-    loop {
-        let port = NEXT.fetch_add(1, Ordering::Relaxed).max(FIRST_PORT);
-        match std::net::TcpListener::bind((own_address(), port)) {
-            Ok(listener) => return listener.local_addr(),
-            Err(e) if e.kind() == io::ErrorKind::AddrInUse => {}
-            Err(e) => return Err(e),
-        }
+    /// The interface for operators.
+    pub fn admin(&self) -> &AdminClient {
+        &self.admin
     }
 }
 
-/// Finds a file that the workspace's build has made, beside this program.
-pub fn built(name: &str) -> Option<PathBuf> {
-    let own = std::env::current_exe().ok()?;
-    own.ancestors()
-        .skip(1)
-        .take(2)
-        .map(|folder: &Path| folder.join(name))
-        .find(|path| path.is_file())
+/// Creates a control file in which no fault is set.
+fn create_control_file(path: &PathBuf) -> io::Result<File> {
+    fs::write(path, [0; FILE_BYTES])?;
+    OpenOptions::new().write(true).open(path)
 }
--- /dev/null
+++ b/soak/src/balancer/address.rs
@@ -0,0 +1,27 @@
+//! Addresses on which balancers listen.
+use super::error::BalancerError;
+use std::io;
+use std::net::{Ipv4Addr, SocketAddr, TcpListener};
+use std::sync::atomic::{AtomicU16, Ordering};
+
+/// The first port. It lies below the ports that outgoing connections take.
+const FIRST_PORT: u16 = 20_000;
+
+/// Finds an address that is free and that no other balancer of this process gets.
+pub(super) fn free_address() -> Result<SocketAddr, BalancerError> {
+    static NEXT_PORT: AtomicU16 = AtomicU16::new(FIRST_PORT);
+    loop {
+        let port = NEXT_PORT.fetch_add(1, Ordering::Relaxed).max(FIRST_PORT);
+        match TcpListener::bind((loopback_address(), port)) {
+            Ok(listener) => return listener.local_addr().map_err(BalancerError::Address),
+            Err(error) if error.kind() == io::ErrorKind::AddrInUse => {}
+            Err(error) => return Err(BalancerError::Address(error)),
+        }
+    }
+}
+
+/// A loopback address that soaks running at the same time do not use.
+fn loopback_address() -> Ipv4Addr {
+    let [.., high, low] = std::process::id().to_be_bytes();
+    Ipv4Addr::new(127, high % 200 + 10, low, 3)
+}
--- /dev/null
+++ b/soak/src/checker/attempts.rs
@@ -0,0 +1,126 @@
+//! Checks of the attempts of a request: their number, times, deadlines and repeats.
+use super::Checker;
+use crate::limits::{
+    DISCONNECT_SLACK, FORWARDED_DEADLINE_SLACK, MAX_ATTEMPTS, OVERLAP_SLACK, SCHEDULING_SLACK,
+};
+use crate::observations::{Attempt, ClientOutcome, Request};
+use crate::request_class::Idempotency;
+use crate::rules::{Rule, Violation};
+use tokio::time::Instant;
+
+impl Checker<'_> {
+    /// Checks the number of attempts.
+    pub(super) fn check_attempt_count(&self, id: &str, request: &Request) -> Option<Violation> {
+        let count = request.attempts.len();
+        if count <= MAX_ATTEMPTS {
+            return None;
+        }
+        let last = request.attempts.last()?;
+        let details = format!("{id}: {count} attempts");
+        Some(self.violation(Rule::TooManyAttempts, last.started_at, details))
+    }
+
+    /// Checks that no attempt starts after the client has disconnected.
+    pub(super) fn check_attempts_after_disconnect(
+        &self,
+        id: &str,
+        request: &Request,
+    ) -> Vec<Violation> {
+        let Some((ClientOutcome::Disconnected, disconnected_at)) = request.outcome else {
+            return Vec::new();
+        };
+        let mut violations = Vec::new();
+        for (number, attempt) in request.attempts.iter().enumerate() {
+            if attempt.started_at <= disconnected_at + DISCONNECT_SLACK + SCHEDULING_SLACK {
+                continue;
+            }
+            let delay = attempt.started_at - disconnected_at;
+            let details =
+                format!("{id}: attempt {number} starts {delay:?} after its client disconnected");
+            violations.push(self.violation(
+                Rule::AttemptAfterDisconnect,
+                attempt.started_at,
+                details,
+            ));
+        }
+        violations
+    }
+
+    /// Checks that no upstream is given more time than the client has left.
+    pub(super) fn check_forwarded_deadlines(&self, id: &str, request: &Request) -> Vec<Violation> {
+        let expires_at = request.sent_at + request.start.deadline;
+        let mut violations = Vec::new();
+        for (number, attempt) in request.attempts.iter().enumerate() {
+            let remaining = expires_at.saturating_duration_since(attempt.started_at);
+            let Some(forwarded) = attempt.forwarded_deadline else {
+                continue;
+            };
+            if forwarded <= remaining + FORWARDED_DEADLINE_SLACK + SCHEDULING_SLACK {
+                continue;
+            }
+            let details = format!(
+                "{id}: attempt {number} was given {forwarded:?} of {remaining:?}, sent {:.3}",
+                self.seconds(request.sent_at)
+            );
+            violations.push(self.violation(Rule::ForwardedDeadline, attempt.started_at, details));
+        }
+        violations
+    }
+
+    /// Checks that each attempt ends before the next one starts.
+    pub(super) fn check_concurrent_attempts(&self, id: &str, request: &Request) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        for (index, pair) in request.attempts.windows(2).enumerate() {
+            let [previous, next] = pair else {
+                continue;
+            };
+            let previous_ended_at = previous.outcome.map(|(_, at)| at);
+            let overlap_limit = next.started_at + OVERLAP_SLACK;
+            if previous_ended_at.is_some_and(|ended_at| ended_at <= overlap_limit) {
+                continue;
+            }
+            let details = format!(
+                "{id}: attempt {} starts while the previous one is in flight, which ended at {previous_ended_at:?}",
+                index + 1
+            );
+            violations.push(self.violation(Rule::ConcurrentAttempts, next.started_at, details));
+        }
+        violations
+    }
+
+    /// Checks that a request that may have run is repeated only where that is safe.
+    pub(super) fn check_duplicate_executions(&self, id: &str, request: &Request) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        let mut first_run_at: Option<Instant> = None;
+        for (number, attempt) in request.attempts.iter().enumerate() {
+            let is_unsafe = first_run_at
+                .is_some_and(|first_run_at| !self.may_repeat(request, attempt, first_run_at));
+            if is_unsafe {
+                let details = format!(
+                    "{id}: attempt {number} may run again: {:?}",
+                    request.attempts
+                );
+                violations.push(self.violation(
+                    Rule::DuplicateExecution,
+                    attempt.started_at,
+                    details,
+                ));
+            }
+            if attempt.may_have_run() {
+                first_run_at.get_or_insert(attempt.started_at);
+            }
+        }
+        violations
+    }
+
+    /// Whether an attempt may follow another one that started at `first_run_at` and may have run.
+    fn may_repeat(&self, request: &Request, attempt: &Attempt, first_run_at: Instant) -> bool {
+        match request.start.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::IdempotencyKey => {
+                attempt.started_at < first_run_at + self.limits.repeat_window + SCHEDULING_SLACK
+            }
+            Idempotency::NonIdempotent => attempt.received_at.is_none(),
+        }
+    }
+}
--- /dev/null
+++ b/soak/src/checker/availability.rs
@@ -0,0 +1,55 @@
+//! Checks that balancers send nothing to upstreams that drain, were removed or are suspended.
+use super::Checker;
+use crate::limits::SCHEDULING_SLACK;
+use crate::observations::{Attempt, Request, Route, UnavailabilityCause, UnavailablePeriod};
+use crate::rules::{Rule, Violation};
+
+impl Checker<'_> {
+    /// Checks that no attempt goes to an upstream that is unavailable, for either cause.
+    pub(super) fn check_unavailable_upstreams(
+        &self,
+        id: &str,
+        request: &Request,
+    ) -> Vec<Violation> {
+        let mut violations = Vec::new();
+        for attempt in &request.attempts {
+            for cause in UnavailabilityCause::ALL {
+                violations.extend(self.check_unavailable_upstream(id, request, attempt, cause));
+            }
+        }
+        violations
+    }
+
+    fn check_unavailable_upstream(
+        &self,
+        id: &str,
+        request: &Request,
+        attempt: &Attempt,
+        cause: UnavailabilityCause,
+    ) -> Option<Violation> {
+        let route = Route {
+            balancer: request.start.balancer,
+            upstream: attempt.upstream,
+            cause,
+        };
+        let period = self
+            .observations
+            .unavailable_periods(route)
+            .iter()
+            .find(|period| self.is_within(attempt, period))?;
+        let details = format!(
+            "{id}: balancer {} sent to upstream {} {:?} after it counts as knowing that it is unavailable ({cause:?})",
+            route.balancer,
+            route.upstream,
+            attempt.started_at - period.start
+        );
+        Some(self.violation(Rule::UnavailableUpstream, attempt.started_at, details))
+    }
+
+    /// Whether an attempt starts within a period, after the grace period.
+    fn is_within(&self, attempt: &Attempt, period: &UnavailablePeriod) -> bool {
+        let grace = self.limits.drain_grace + SCHEDULING_SLACK;
+        attempt.started_at > period.start + grace
+            && period.end.is_none_or(|end| attempt.started_at < end)
+    }
+}
--- /dev/null
+++ b/soak/src/discovery/queue.rs
@@ -0,0 +1,49 @@
+//! The queue in which discovery serves the requests of all balancers in poll mode.
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Discovery fails requests that have waited this long.
+pub(super) const MAX_QUEUE_WAIT: Duration = Duration::from_secs(2);
+/// Discovery rejects requests at once that would wait longer than this.
+const MAX_QUEUE_LENGTH: Duration = Duration::from_millis(2300);
+
+/// How a request waits for its turn.
+pub(super) enum Admission {
+    /// Its turn comes at this time.
+    ServedAt(Instant),
+    /// It fails after it has waited for [`MAX_QUEUE_WAIT`].
+    TimesOut,
+    /// The queue is full.
+    Rejected,
+}
+
+/// A queue that serves one request after the other.
+pub(super) struct RequestQueue {
+    /// Time that one request takes.
+    service_time: Duration,
+    /// When all admitted requests will have been served.
+    free_at: Instant,
+}
+
+impl RequestQueue {
+    pub(super) fn new(service_time: Duration, now: Instant) -> RequestQueue {
+        RequestQueue {
+            service_time,
+            free_at: now,
+        }
+    }
+
+    /// Admits a request. A request that times out is served all the same.
+    pub(super) fn admit(&mut self, now: Instant) -> Admission {
+        let turn = self.free_at.max(now);
+        let wait = turn - now;
+        if wait > MAX_QUEUE_LENGTH {
+            return Admission::Rejected;
+        }
+        self.free_at = turn + self.service_time;
+        if wait > MAX_QUEUE_WAIT {
+            return Admission::TimesOut;
+        }
+        Admission::ServedAt(turn)
+    }
+}
--- /dev/null
+++ b/soak/src/fault.rs
@@ -0,0 +1,127 @@
+//! The kinds of fault that a run injects, and their names on the command line and in the report.
+use std::fmt;
+use std::str::FromStr;
+
+/// A kind of fault.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Fault {
+    /// A balancer shuts down gracefully and starts again.
+    Restart,
+    /// A balancer is killed and starts again.
+    Kill,
+    /// A balancer's new configuration names another address of discovery.
+    Reload,
+    /// A balancer's process is stopped for a moment, again and again.
+    Stall,
+    /// Upstreams drain, disappear and come back, warming up.
+    Release,
+    /// An upstream crashes and comes back at once, warming up.
+    UpstreamCrash,
+    /// Upstreams reset connections, truncate responses, do not respond or send malformed responses.
+    BadUpstreams,
+    /// Discovery is down.
+    DiscoveryDown,
+    /// Discovery sends no more updates to the watches that are open.
+    SilentWatches,
+    /// Discovery's responses are malformed, split or missing.
+    MalformedLists,
+    /// Reads and writes of a balancer are short.
+    ShortTransfers,
+    /// System calls of a balancer are interrupted.
+    Interrupted,
+    /// `accept`, `connect` and `socket` of a balancer fail.
+    FailingSockets,
+    /// Connections of a balancer break with unusual errors.
+    BrokenReads,
+    /// The wall clock of a balancer steps.
+    ClockStep,
+    /// A balancer starts with a wrong wall clock.
+    ClockOffset,
+    /// A balancer cannot write or read files while operators suspend and restore endpoints.
+    Disk,
+    /// Operators suspend and restore endpoints.
+    Overrides,
+    /// Clients send several times their usual rate.
+    Burst,
+    /// Idle clients use up a balancer's descriptors.
+    IdleConnections,
+    /// A successor process replaces a balancer's process after it has served beside it.
+    Upgrade,
+}
+
+impl Fault {
+    /// All kinds. A seed draws from them by position.
+    pub const ALL: [Fault; 21] = [
+        Fault::Restart,
+        Fault::Kill,
+        Fault::Reload,
+        Fault::Stall,
+        Fault::Release,
+        Fault::UpstreamCrash,
+        Fault::BadUpstreams,
+        Fault::DiscoveryDown,
+        Fault::SilentWatches,
+        Fault::MalformedLists,
+        Fault::ShortTransfers,
+        Fault::Interrupted,
+        Fault::FailingSockets,
+        Fault::BrokenReads,
+        Fault::ClockStep,
+        Fault::ClockOffset,
+        Fault::Disk,
+        Fault::Overrides,
+        Fault::Burst,
+        Fault::IdleConnections,
+        Fault::Upgrade,
+    ];
+
+    /// The name for `--only` and in the report. Some names are older than the terms of the code and stay for those who use them.
+    pub fn name(self) -> &'static str {
+        match self {
+            Fault::Restart => "restart",
+            Fault::Kill => "kill",
+            Fault::Reload => "reload",
+            Fault::Stall => "holdup",
+            Fault::Release => "release",
+            Fault::UpstreamCrash => "upstreamcrash",
+            Fault::BadUpstreams => "badupstreams",
+            Fault::DiscoveryDown => "discoverydown",
+            Fault::SilentWatches => "silentwatches",
+            Fault::MalformedLists => "spoiltlists",
+            Fault::ShortTransfers => "shorttransfers",
+            Fault::Interrupted => "interrupted",
+            Fault::FailingSockets => "failingsockets",
+            Fault::BrokenReads => "brokenreads",
+            Fault::ClockStep => "clockstep",
+            Fault::ClockOffset => "clockoff",
+            Fault::Disk => "disk",
+            Fault::Overrides => "orders",
+            Fault::Burst => "burst",
+            Fault::IdleConnections => "idlecrowd",
+            Fault::Upgrade => "upgrade",
+        }
+    }
+}
+
+impl fmt::Display for Fault {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(self.name())
+    }
+}
+
+/// A name that no kind of fault has.
+#[derive(Clone, Copy, Debug, thiserror::Error)]
+#[error("the kinds of fault are {}", Fault::ALL.map(Fault::name).join(", "))]
+pub struct UnknownFault;
+
+impl FromStr for Fault {
+    type Err = UnknownFault;
+
+    /// Finds the kind with this name. Upper and lower case are the same.
+    fn from_str(name: &str) -> Result<Fault, UnknownFault> {
+        Fault::ALL
+            .into_iter()
+            .find(|fault| fault.name() == name.to_lowercase())
+            .ok_or(UnknownFault)
+    }
+}
--- /dev/null
+++ b/soak/src/injector/system_calls.rs
@@ -0,0 +1,89 @@
+//! Faults of a balancer's system calls and of its wall clock.
+use super::FaultInjector;
+use crate::balancer::BalancerError;
+use crate::ids::BalancerId;
+use fault_injection::control::{Fault as SyscallFault, CERTAIN};
+use rand::RngExt;
+use std::ops::Range;
+use tokio::time::{sleep, Instant};
+
+/// Largest offsets of the wall clock, in milliseconds: an hour or ten seconds.
+const MAX_CLOCK_OFFSETS_MS: [i64; 2] = [3_600_000, 10_000];
+/// Time between two steps of the wall clock, in milliseconds.
+const CLOCK_STEP_PAUSE_MS: Range<u64> = 300..2000;
+
+impl FaultInjector {
+    /// Makes system calls of some balancers fail, each with a probability up to `max_probability`.
+    pub(super) async fn fail_system_calls(
+        &mut self,
+        faults: &[SyscallFault],
+        max_probability: f64,
+    ) {
+        let balancers = self.draw_balancers();
+        for &id in &balancers {
+            let balancer = self.testbed.lock_balancer(id).await;
+            for &fault in faults {
+                let probability = self.random.random_range(0.0..max_probability);
+                report_failure(balancer.set_syscall_fault(fault, in_millionths(probability)));
+            }
+        }
+        sleep(self.duration).await;
+        for &id in &balancers {
+            let balancer = self.testbed.lock_balancer(id).await;
+            report_failure(balancer.clear_syscall_faults());
+        }
+    }
+
+    /// Steps the wall clock of one balancer, again and again.
+    pub(super) async fn step_clock(&mut self) {
+        let balancer = self.draw_balancer();
+        let ends_at = self.ends_at();
+        while Instant::now() < ends_at {
+            let offset_ms = self.draw_clock_offset_ms();
+            self.set_clock_offset(balancer, offset_ms).await;
+            sleep(self.draw_duration(CLOCK_STEP_PAUSE_MS)).await;
+        }
+        self.set_clock_offset(balancer, 0).await;
+    }
+
+    /// Starts a balancer with a wrong wall clock, and later with the right one again.
+    pub(super) async fn start_with_clock_offset(&mut self) {
+        let balancer = self.draw_balancer();
+        let offset_ms = self.draw_clock_offset_ms();
+        self.restart_with_clock_offset(balancer, offset_ms).await;
+        sleep(self.duration).await;
+        self.restart_with_clock_offset(balancer, 0).await;
+    }
+
+    /// Kills a balancer and starts it with this offset. The offset stays as it is if another fault uses the balancer.
+    async fn restart_with_clock_offset(&self, id: BalancerId, offset_ms: i64) {
+        let killed_at = self.testbed.kill(id).await;
+        if let Ok(balancer) = self.testbed.try_lock_balancer(id) {
+            report_failure(balancer.set_syscall_fault(SyscallFault::ClockOffset, offset_ms));
+        }
+        self.testbed.start_after_kill(id, killed_at).await;
+    }
+
+    async fn set_clock_offset(&self, id: BalancerId, offset_ms: i64) {
+        let balancer = self.testbed.lock_balancer(id).await;
+        report_failure(balancer.set_syscall_fault(SyscallFault::ClockOffset, offset_ms));
+    }
+
+    fn draw_clock_offset_ms(&mut self) -> i64 {
+        let index = self.random.random_range(0..MAX_CLOCK_OFFSETS_MS.len());
+        let max_offset_ms = MAX_CLOCK_OFFSETS_MS[index];
+        self.random.random_range(-max_offset_ms..=max_offset_ms)
+    }
+}
+
+/// Converts a probability to the unit of the control file.
+pub(super) fn in_millionths(probability: f64) -> i64 {
+    (probability * CERTAIN as f64) as i64
+}
+
+/// Reports a fault that could not be set or cleared. The run goes on without it.
+pub(super) fn report_failure(result: Result<(), BalancerError>) {
+    if let Err(error) = result {
+        eprintln!("a fault could not be set: {error}");
+    }
+}
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,14 +1,51 @@
 //! A randomized fault soak: real balancers on loopback, between stand-ins of clients, upstreams and discovery, while
-//! troubles overlap: restarts, reloads, hold-ups, releases, outages, failing system calls, a stepping clock, failing disks.
+//! faults overlap: restarts, reloads, stalls, releases, outages, failing system calls, a stepping clock, failing disks.
 //!
-//! A [`plan::plan`] is drawn from a seed, [`run::run`] plays it, and an [`oracle::Oracle`], which knows nothing of how a
-//! balancer decides, checks the rules from outside. See `docs/incidents/` for what it covers and what it has found.
+//! [`run::run`] plays one run, in this order:
+//!
+//! 1. [`plan`] draws the faults from the seed.
+//! 2. [`testbed`] starts the balancers and the stand-ins ([`client`], [`upstream`], [`discovery`]), which record what they
+//!    observe through a [`recorder::Recorder`].
+//! 3. [`injector`] makes the faults happen.
+//! 4. [`checker`] checks the rules against the [`observations`]. It knows nothing of how a balancer decides.
+//!
+//! Modules import one way: each section below imports only from the sections above it.
+//! `docs/incidents/` lists what the soak covers and what it has found.
+
+// Shared types.
+pub mod discovery_mode;
+pub mod fault;
+pub mod ids;
+pub mod limits;
+pub mod request_class;
+pub mod response_body;
+pub mod rules;
+
+// What a run draws and observes, and the messages on its connections.
+pub mod observations;
+pub mod options;
+pub mod plan;
+pub mod wire;
+
+// The record of a run and its checks.
+pub mod checker;
+pub mod recorder;
+
+// The balancers and the stand-ins around them.
 pub mod balancer;
+pub mod build_output;
 pub mod client;
 pub mod discovery;
-pub mod oracle;
-pub mod plan;
-pub mod run;
-pub mod trouble;
 pub mod upstream;
-pub mod wire;
+
+// All of them together.
+pub mod testbed;
+
+// The faults that are injected into the testbed.
+pub mod injector;
+
+// One run.
+pub mod run;
+
+// Its report.
+pub mod report;
--- /dev/null
+++ b/soak/src/limits.rs
@@ -0,0 +1,66 @@
+//! The limits that a run's settings set for balancers, and the slack that the checks add to them.
+use std::time::Duration;
+
+/// Delay between two steps of a balancer or a stand-in that every check tolerates.
+pub const SCHEDULING_SLACK: Duration = Duration::from_millis(60);
+/// Time after its deadline within which a final response must arrive.
+pub const RESPONSE_SLACK: Duration = Duration::from_millis(500);
+/// Time after its client disconnected within which an attempt may still start.
+pub const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
+/// Excess of the deadline forwarded to an upstream over the time that the client has left.
+pub const FORWARDED_DEADLINE_SLACK: Duration = Duration::from_millis(150);
+/// Time after an attempt starts within which its upstream may see the end of the previous attempt.
+pub const OVERLAP_SLACK: Duration = Duration::from_millis(100);
+/// Most attempts for one request. Balancers get the same number in their settings.
+pub const MAX_ATTEMPTS: usize = 5;
+
+/// The limits that the settings of a run state.
+#[derive(Clone, Copy, Debug)]
+pub struct Limits {
+    /// Time after a balancer learns that an upstream drains within which it may still send requests there.
+    pub drain_grace: Duration,
+    /// Time for which upstreams discard repeats of a request with an idempotency key.
+    pub repeat_window: Duration,
+    /// Requests that an upstream may get while it warms up.
+    pub slow_start: SlowStartLimits,
+}
+
+/// The limits for an upstream that warms up.
+#[derive(Clone, Copy, Debug)]
+pub struct SlowStartLimits {
+    /// Requests a second that a warm upstream can serve.
+    pub capacity_per_second: f64,
+    /// Fraction of the capacity that an upstream has when it starts.
+    pub initial_fraction: f64,
+    /// Time until an upstream has its full capacity.
+    pub duration: Duration,
+    /// An upstream fails when it gets this many times its capacity within the overload window.
+    pub overload_factor: f64,
+    /// Period over which requests are counted against the overload factor.
+    pub overload_window: Duration,
+}
+
+/// Below this number of expected requests the tolerance for random variation is wider.
+const FEW_REQUESTS: f64 = 30.0;
+/// Standard deviations, and requests, that are tolerated where few requests are expected.
+const TOLERANCE_OF_FEW: f64 = 3.0;
+/// Standard deviations, and requests, that are tolerated otherwise.
+const TOLERANCE_OF_MANY: f64 = 2.0;
+
+impl SlowStartLimits {
+    /// The requests that an upstream of this age may get within one overload window.
+    pub fn allowed_requests(&self, age: Duration) -> f64 {
+        let fraction = self.initial_fraction
+            + (1.0 - self.initial_fraction) * age.as_secs_f64() / self.duration.as_secs_f64();
+        let limit = self.capacity_per_second
+            * fraction.min(1.0)
+            * self.overload_factor
+            * self.overload_window.as_secs_f64();
+        let tolerance = if limit < FEW_REQUESTS {
+            TOLERANCE_OF_FEW
+        } else {
+            TOLERANCE_OF_MANY
+        };
+        limit + tolerance * limit.sqrt() + tolerance
+    }
+}
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,14 +1,20 @@
-//! `soak`: plays randomized fault runs and reports the rules that they broke. See the README.
+//! `soak`: plays randomized fault runs and reports the rules that balancers broke. See the README.
 use clap::{Parser, ValueEnum};
-use soak::balancer::built;
-use soak::discovery::Mode;
-use soak::plan::Trouble;
-use soak::run::{run, Options};
-use std::collections::BTreeMap;
+use soak::build_output::find_build_output;
+use soak::discovery_mode::DiscoveryMode;
+use soak::fault::Fault;
+use soak::options::RunOptions;
+use soak::report::Report;
+use soak::run::run;
+use soak::testbed::SetupError;
 use std::io;
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
+use tokio::runtime::Runtime;
+
+/// Threads of the runtime on which the stand-ins run.
+const WORKER_THREADS: usize = 3;
 
 /// Plays randomized fault runs of real balancers on loopback and checks their rules.
 #[derive(Debug, Parser)]
@@ -17,34 +23,34 @@
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// How many seeds, one after the other.
+    /// Number of seeds, played one after the other.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Seconds of troubles for each seed.
+    /// Length of the run of each seed, in seconds.
     #[arg(long, default_value_t = 20.0)]
     seconds: f64,
-    /// How balancers learn of the list; `both` takes turns.
+    /// How balancers learn of the endpoint list; `both` alternates between seeds.
     #[arg(long, value_enum, default_value_t = ModeChoice::Both)]
     mode: ModeChoice,
-    /// Balancers in a run.
+    /// Number of balancers.
     #[arg(long, default_value_t = 12)]
     balancers: usize,
-    /// Upstreams in a run.
+    /// Number of upstreams.
     #[arg(long, default_value_t = 10)]
     upstreams: usize,
-    /// Only these kinds of trouble, such as `restart,shorttransfers`.
-    #[arg(long, value_delimiter = ',', value_parser = trouble)]
-    only: Vec<Trouble>,
-    /// How many times as many troubles as usual.
+    /// Inject only these kinds of fault, such as `restart,shorttransfers`.
+    #[arg(long, value_delimiter = ',')]
+    only: Vec<Fault>,
+    /// Multiplies the number of faults.
     #[arg(long, default_value_t = 1)]
     intensity: usize,
-    /// The program; that of the workspace's build without it.
+    /// The balancer program; by default the one of the workspace's build.
     #[arg(long)]
     program: Option<PathBuf>,
-    /// Where configurations and logs go; a folder of the system's temporary one without it.
+    /// Folder for configurations and logs; by default one in the system's temporary folder.
     #[arg(long)]
     logs: Option<PathBuf>,
-    /// Violations shown for each run.
+    /// Most violations of each rule to show for a run.
     #[arg(long, default_value_t = 12)]
     show: usize,
 }
@@ -52,27 +58,64 @@
 #[derive(Clone, Copy, Debug, ValueEnum)]
 enum ModeChoice {
     Push,
-    Ask,
+    #[value(name = "ask")]
+    Poll,
     Both,
 }
 
 impl ModeChoice {
-    fn of(self, seed: u64) -> Mode {
+    fn for_seed(self, seed: u64) -> DiscoveryMode {
         match self {
-            ModeChoice::Push => Mode::Push,
-            ModeChoice::Ask => Mode::Ask,
-            ModeChoice::Both if seed.is_multiple_of(2) => Mode::Push,
-            ModeChoice::Both => Mode::Ask,
+            ModeChoice::Push => DiscoveryMode::Push,
+            ModeChoice::Poll => DiscoveryMode::Poll,
+            ModeChoice::Both if seed.is_multiple_of(2) => DiscoveryMode::Push,
+            ModeChoice::Both => DiscoveryMode::Poll,
         }
     }
 }
 
-fn trouble(name: &str) -> Result<Trouble, String> {
-    Trouble::named(name).ok_or_else(|| format!("there are {:?}", Trouble::ALL))
+/// Why runs could not be played.
+#[derive(Debug, thiserror::Error)]
+enum SoakError {
+    #[error("{file} is not built")]
+    NotBuilt { file: &'static str },
+    #[error("cannot start the runtime: {0}")]
+    Runtime(#[source] io::Error),
+    #[error("cannot create {folder}: {source}", folder = folder.display())]
+    LogFolder {
+        folder: PathBuf,
+        #[source]
+        source: io::Error,
+    },
+    #[error(transparent)]
+    Setup(#[from] SetupError),
+}
+
+/// The files of the build that runs use.
+struct BuildFiles {
+    program: PathBuf,
+    library: PathBuf,
+}
+
+impl BuildFiles {
+    fn find(arguments: &Arguments) -> Result<BuildFiles, SoakError> {
+        let program = match &arguments.program {
+            Some(program) => program.clone(),
+            None => find_built("balancer")?,
+        };
+        Ok(BuildFiles {
+            program,
+            library: find_built("libfault_injection.so")?,
+        })
+    }
+}
+
+fn find_built(file: &'static str) -> Result<PathBuf, SoakError> {
+    find_build_output(file).ok_or(SoakError::NotBuilt { file })
 }
 
 fn main() -> ExitCode {
-    match play(Arguments::parse()) {
+    match play_seeds(&Arguments::parse()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
@@ -82,74 +125,59 @@
     }
 }
 
-/// Plays all seeds; whether no rule was broken.
-fn play(arguments: Arguments) -> io::Result<bool> {
-    let missing = |what: &str| io::Error::other(format!("{what} is not built"));
-    let program = arguments.program.clone().or_else(|| built("balancer"));
-    let program = program.ok_or_else(|| missing("balancer"))?;
-    let library = built("libfault_injection.so").ok_or_else(|| missing("libfault_injection.so"))?;
-    let folder = arguments.logs.clone();
-    let folder =
-        folder.unwrap_or_else(|| std::env::temp_dir().join(format!("soak-{}", std::process::id())));
+/// Plays the runs of all seeds. Returns whether none broke a rule.
+fn play_seeds(arguments: &Arguments) -> Result<bool, SoakError> {
+    let files = BuildFiles::find(arguments)?;
+    let folder = arguments
+        .logs
+        .clone()
+        .unwrap_or_else(|| std::env::temp_dir().join(format!("soak-{}", std::process::id())));
     let runtime = tokio::runtime::Builder::new_multi_thread()
-        .worker_threads(3)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
-        .build()?;
-    let mut clean = true;
+        .build()
+        .map_err(SoakError::Runtime)?;
+    let mut passed = true;
     for seed in arguments.seed..arguments.seed + arguments.seeds {
-        let options = Options {
+        let options = RunOptions {
             seed,
             length: Duration::from_secs_f64(arguments.seconds),
-            mode: arguments.mode.of(seed),
+            mode: arguments.mode.for_seed(seed),
             balancers: arguments.balancers,
             upstreams: arguments.upstreams,
             only: arguments.only.clone(),
             intensity: arguments.intensity,
-            program: program.clone(),
-            library: library.clone(),
+            program: files.program.clone(),
+            library: files.library.clone(),
             folder: folder.join(format!("seed-{seed}")),
         };
-        clean &= play_one(&runtime, options, arguments.show)?;
+        passed &= play_seed(&runtime, options, arguments.show)?;
     }
-    Ok(clean)
+    Ok(passed)
 }
 
-fn play_one(runtime: &tokio::runtime::Runtime, options: Options, show: usize) -> io::Result<bool> {
-    let (seed, mode, folder) = (options.seed, options.mode, options.folder.clone());
-    std::fs::create_dir_all(&folder)?;
-    let verdict = runtime.block_on(run(options))?;
-    let troubles: Vec<String> = verdict
-        .plan
-        .iter()
-        .map(|p| {
-            format!(
-                "{:?} {:.1}-{:.1}",
-                p.trouble,
-                p.from.as_secs_f64(),
-                (p.from + p.lasts).as_secs_f64()
-            )
-        })
-        .collect();
-    println!("seed {seed}, {mode:?}: {}", troubles.join(", "));
-    println!("  requests: {:?}", verdict.tally);
-    let mut rules: BTreeMap<_, usize> = BTreeMap::new();
-    verdict
-        .violations
-        .iter()
-        .for_each(|violation| *rules.entry(violation.rule).or_default() += 1);
-    println!("  violations: {rules:?}");
-    let mut shown: BTreeMap<_, usize> = BTreeMap::new();
-    for violation in &verdict.violations {
-        let count = shown.entry(violation.rule).or_default();
-        *count += 1;
-        if *count <= show {
-            println!("    {violation}");
-        }
-    }
-    if verdict.violations.is_empty() {
+/// Plays one run and prints its report. Returns whether it broke no rule; its logs are removed then.
+fn play_seed(runtime: &Runtime, options: RunOptions, max_shown: usize) -> Result<bool, SoakError> {
+    let folder = options.folder.clone();
+    std::fs::create_dir_all(&folder).map_err(|source| SoakError::LogFolder {
+        folder: folder.clone(),
+        source,
+    })?;
+    let seed = options.seed;
+    let mode = options.mode;
+    let result = runtime.block_on(run(options))?;
+    let report = Report {
+        seed,
+        mode,
+        result: &result,
+        max_shown,
+    };
+    print!("{report}");
+    let passed = result.violations.is_empty();
+    if passed {
         let _ = std::fs::remove_dir_all(&folder);
     } else {
         println!("  logs: {}", folder.display());
     }
-    Ok(verdict.violations.is_empty())
+    Ok(passed)
 }
--- /dev/null
+++ b/soak/src/observations.rs
@@ -0,0 +1,220 @@
+//! What the stand-ins observed in a run: requests, their attempts, and the state of balancers and upstreams over time.
+mod period;
+mod request;
+
+pub use period::{Period, Route, UnavailabilityCause, UnavailablePeriod};
+pub use request::{Attempt, AttemptOutcome, ClientOutcome, Request, RequestStart};
+
+use crate::ids::{BalancerId, UpstreamId};
+use crate::rules::{Rule, Violation};
+use std::collections::{BTreeMap, HashMap};
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Number of requests by how they ended.
+pub type OutcomeCounts = BTreeMap<String, usize>;
+
+/// Everything observed in a run.
+#[derive(Debug)]
+pub struct Observations {
+    started_at: Instant,
+    requests: HashMap<String, Request>,
+    unavailable: HashMap<Route, Vec<UnavailablePeriod>>,
+    downtime: HashMap<BalancerId, Vec<Period>>,
+    descriptor_exhaustion: HashMap<BalancerId, Vec<Period>>,
+    upstream_starts: HashMap<UpstreamId, Vec<Instant>>,
+    violations: Vec<Violation>,
+}
+
+impl Observations {
+    /// Starts a run in which nothing has been observed.
+    pub fn new() -> Observations {
+        Observations {
+            started_at: Instant::now(),
+            requests: HashMap::new(),
+            unavailable: HashMap::new(),
+            downtime: HashMap::new(),
+            descriptor_exhaustion: HashMap::new(),
+            upstream_starts: HashMap::new(),
+            violations: Vec::new(),
+        }
+    }
+
+    /// Time from the start of the run to an instant; zero for an earlier one.
+    pub fn offset(&self, at: Instant) -> Duration {
+        at.saturating_duration_since(self.started_at)
+    }
+
+    /// All requests, by id.
+    pub fn requests(&self) -> impl Iterator<Item = (&str, &Request)> {
+        self.requests
+            .iter()
+            .map(|(id, request)| (id.as_str(), request))
+    }
+
+    /// The periods in which a balancer may not use an upstream for one cause.
+    pub fn unavailable_periods(&self, route: Route) -> &[UnavailablePeriod] {
+        self.unavailable.get(&route).map_or(&[], Vec::as_slice)
+    }
+
+    /// Whether a balancer was being killed or did not run at any time in this period.
+    pub fn was_down(&self, balancer: BalancerId, period: Period) -> bool {
+        overlaps_any(self.downtime.get(&balancer), period)
+    }
+
+    /// Whether idle connections used up a balancer's descriptors at any time in this period.
+    pub fn had_exhausted_descriptors(&self, balancer: BalancerId, period: Period) -> bool {
+        overlaps_any(self.descriptor_exhaustion.get(&balancer), period)
+    }
+
+    /// When each upstream that restarted did so.
+    pub fn upstream_starts(&self) -> impl Iterator<Item = (UpstreamId, &[Instant])> {
+        self.upstream_starts
+            .iter()
+            .map(|(&upstream, starts)| (upstream, starts.as_slice()))
+    }
+
+    /// The violations that were observed at once, in the order of their time.
+    pub fn violations(&self) -> &[Violation] {
+        &self.violations
+    }
+
+    /// Counts requests by how they ended. Requests without an outcome count as `open`.
+    pub fn count_outcomes(&self) -> OutcomeCounts {
+        let mut counts = OutcomeCounts::new();
+        for request in self.requests.values() {
+            let outcome = match request.outcome {
+                Some((outcome, _)) => format!("{outcome:?}"),
+                None => "open".to_string(),
+            };
+            *counts.entry(outcome).or_default() += 1;
+        }
+        counts
+    }
+
+    /// Records a violation that is known without a check of the recorded run.
+    pub fn record_violation(&mut self, rule: Rule, details: String) {
+        let at = self.started_at.elapsed();
+        self.violations.push(Violation { rule, at, details });
+    }
+
+    /// Records that a client is about to send a request.
+    pub fn record_request(&mut self, id: &str, start: RequestStart) {
+        let request = Request {
+            start,
+            sent_at: Instant::now(),
+            outcome: None,
+            attempts: Vec::new(),
+        };
+        self.requests.insert(id.to_string(), request);
+    }
+
+    /// Records that a client has written the last byte of a request.
+    pub fn record_request_sent(&mut self, id: &str) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.sent_at = Instant::now();
+        }
+    }
+
+    /// Records how a request ended at its client. The first outcome stays.
+    pub fn record_outcome(&mut self, id: &str, outcome: ClientOutcome) {
+        if let Some(request) = self.requests.get_mut(id) {
+            request.outcome.get_or_insert((outcome, Instant::now()));
+        }
+    }
+
+    /// Records that an attempt has started. Returns its number among the request's attempts; none if no client sent the request.
+    pub fn record_attempt(
+        &mut self,
+        request_id: &str,
+        upstream: UpstreamId,
+        started_at: Instant,
+        forwarded_deadline: Option<Duration>,
+    ) -> Option<usize> {
+        let request = self.requests.get_mut(request_id)?;
+        request.attempts.push(Attempt {
+            upstream,
+            started_at,
+            received_at: None,
+            forwarded_deadline,
+            outcome: None,
+        });
+        Some(request.attempts.len() - 1)
+    }
+
+    /// Records that the last byte of an attempt has arrived.
+    pub fn record_attempt_received(&mut self, request_id: &str, number: usize) {
+        if let Some(attempt) = self.attempt_mut(request_id, number) {
+            attempt.received_at = Some(Instant::now());
+        }
+    }
+
+    /// Records how an attempt ended. The first outcome stays.
+    pub fn record_attempt_outcome(
+        &mut self,
+        request_id: &str,
+        number: usize,
+        outcome: AttemptOutcome,
+    ) {
+        if let Some(attempt) = self.attempt_mut(request_id, number) {
+            attempt.outcome.get_or_insert((outcome, Instant::now()));
+        }
+    }
+
+    fn attempt_mut(&mut self, request_id: &str, number: usize) -> Option<&mut Attempt> {
+        self.requests.get_mut(request_id)?.attempts.get_mut(number)
+    }
+
+    /// Records that a balancer counts as knowing, from `since`, that it may use an upstream.
+    pub fn record_available(&mut self, route: Route, since: Instant) {
+        for period in self.unavailable.entry(route).or_default() {
+            period.end.get_or_insert(since);
+        }
+    }
+
+    /// Records that a balancer counts as knowing, from `since`, that it may not use an upstream.
+    pub fn record_unavailable(&mut self, route: Route, since: Instant) {
+        let periods = self.unavailable.entry(route).or_default();
+        match periods.iter_mut().find(|period| period.end.is_none()) {
+            Some(period) => period.start = period.start.min(since),
+            None => periods.push(UnavailablePeriod {
+                start: since,
+                end: None,
+            }),
+        }
+    }
+
+    /// Records that a balancer was being killed or did not run from `since` until now.
+    pub fn record_downtime(&mut self, balancer: BalancerId, since: Instant) {
+        let periods = self.downtime.entry(balancer).or_default();
+        periods.push(Period {
+            start: since,
+            end: Instant::now(),
+        });
+    }
+
+    /// Records that idle connections used up a balancer's descriptors from `since` until now.
+    pub fn record_descriptor_exhaustion(&mut self, balancer: BalancerId, since: Instant) {
+        let periods = self.descriptor_exhaustion.entry(balancer).or_default();
+        periods.push(Period {
+            start: since,
+            end: Instant::now(),
+        });
+    }
+
+    /// Records that an upstream starts now and warms up.
+    pub fn record_upstream_start(&mut self, upstream: UpstreamId) {
+        let starts = self.upstream_starts.entry(upstream).or_default();
+        starts.push(Instant::now());
+    }
+}
+
+impl Default for Observations {
+    fn default() -> Observations {
+        Observations::new()
+    }
+}
+
+fn overlaps_any(periods: Option<&Vec<Period>>, period: Period) -> bool {
+    periods.is_some_and(|periods| periods.iter().any(|other| other.overlaps(&period)))
+}
--- /dev/null
+++ b/soak/src/observations/period.rs
@@ -0,0 +1,56 @@
+//! Periods of a run: outages, and times in which a balancer may not use an upstream.
+use crate::ids::{BalancerId, UpstreamId};
+use tokio::time::Instant;
+
+/// Why an upstream may not be used.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub enum UnavailabilityCause {
+    /// The endpoint list says that it drains or removes it.
+    EndpointList,
+    /// An operator has suspended it.
+    Suspension,
+}
+
+impl UnavailabilityCause {
+    /// All causes.
+    pub const ALL: [UnavailabilityCause; 2] = [
+        UnavailabilityCause::EndpointList,
+        UnavailabilityCause::Suspension,
+    ];
+}
+
+/// The use of an upstream by a balancer, restricted by one cause.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct Route {
+    /// The balancer.
+    pub balancer: BalancerId,
+    /// The upstream.
+    pub upstream: UpstreamId,
+    /// What may make the upstream unavailable to the balancer.
+    pub cause: UnavailabilityCause,
+}
+
+/// A period in which an upstream may not be used.
+#[derive(Clone, Copy, Debug)]
+pub struct UnavailablePeriod {
+    /// When the balancer counts as knowing.
+    pub start: Instant,
+    /// When the upstream is available again; none while it is not.
+    pub end: Option<Instant>,
+}
+
+/// A period that has ended.
+#[derive(Clone, Copy, Debug)]
+pub struct Period {
+    /// Its start.
+    pub start: Instant,
+    /// Its end.
+    pub end: Instant,
+}
+
+impl Period {
+    /// Whether two periods have an instant in common.
+    pub fn overlaps(&self, other: &Period) -> bool {
+        self.start <= other.end && self.end >= other.start
+    }
+}
--- /dev/null
+++ b/soak/src/observations/request.rs
@@ -0,0 +1,88 @@
+//! Requests and their attempts, as clients and upstreams observe them.
+use crate::ids::{BalancerId, UpstreamId};
+use crate::request_class::Idempotency;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// How an attempt ended, as its upstream knows.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AttemptOutcome {
+    /// The upstream served it.
+    Success,
+    /// The upstream rejected it, with the header that says that nothing ran.
+    Rejected,
+    /// The upstream responded with an error.
+    Error,
+    /// The upstream reset or closed the connection.
+    Reset,
+    /// The balancer closed the connection.
+    Cancelled,
+}
+
+/// One attempt at one upstream.
+#[derive(Clone, Debug)]
+pub struct Attempt {
+    /// The upstream.
+    pub upstream: UpstreamId,
+    /// When its first byte arrived.
+    pub started_at: Instant,
+    /// When its last byte arrived; none if that has not arrived.
+    pub received_at: Option<Instant>,
+    /// The deadline that the balancer forwarded, as the time that is left.
+    pub forwarded_deadline: Option<Duration>,
+    /// How and when it ended.
+    pub outcome: Option<(AttemptOutcome, Instant)>,
+}
+
+impl Attempt {
+    /// Whether the request may have run at the upstream.
+    pub fn may_have_run(&self) -> bool {
+        let rejected = matches!(self.outcome, Some((AttemptOutcome::Rejected, _)));
+        self.received_at.is_some() && !rejected
+    }
+}
+
+/// How a request ended at its client.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ClientOutcome {
+    /// A complete response with this status arrived.
+    Response(u16),
+    /// A response started and was truncated.
+    TruncatedResponse,
+    /// The connection closed without a byte of a response.
+    ConnectionClosed,
+    /// The client disconnected.
+    Disconnected,
+    /// No response arrived by the deadline and some time after it.
+    NoResponse,
+}
+
+/// What is known of a request before the client sends it.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestStart {
+    /// What repeating it may do.
+    pub idempotency: Idempotency,
+    /// The balancer that it goes to.
+    pub balancer: BalancerId,
+    /// Time that the client allows for the response.
+    pub deadline: Duration,
+    /// Time within which the response can arrive. It follows the responses to earlier requests on the connection.
+    pub response_timeout: Duration,
+    /// Whether its connection has carried no request before.
+    pub new_connection: bool,
+    /// Whether the client sends the complete request.
+    pub complete: bool,
+}
+
+/// A request and everything observed of it.
+#[derive(Clone, Debug)]
+pub struct Request {
+    /// What was known before it was sent.
+    pub start: RequestStart,
+    /// When its last byte was written; until then, when the client began to write it.
+    pub sent_at: Instant,
+    /// How and when it ended at its client.
+    pub outcome: Option<(ClientOutcome, Instant)>,
+    /// Its attempts, in the order of their complete arrival.
+    pub attempts: Vec<Attempt>,
+}
--- /dev/null
+++ b/soak/src/response_body.rs
@@ -0,0 +1,16 @@
+//! The response bodies that upstreams send and clients expect.
+
+/// Requests whose id has this suffix get a large response.
+pub const LARGE_REQUEST_SUFFIX: &str = "-large";
+/// A large body repeats the small one this many times, which makes it longer than 120 KB.
+pub const LARGE_BODY_REPEATS: usize = 10_000;
+
+/// Builds the body of the response to a request. It names the request, so that a client notices another one's response.
+pub fn expected_body(request_id: &str) -> String {
+    let body = format!("served {request_id}");
+    if request_id.ends_with(LARGE_REQUEST_SUFFIX) {
+        body.repeat(LARGE_BODY_REPEATS)
+    } else {
+        body
+    }
+}
--- /dev/null
+++ b/soak/src/upstream/connection.rs
@@ -0,0 +1,245 @@
+//! One connection of an upstream: reads requests, records the attempts and responds.
+use super::profile::ResponseAction;
+use super::state::State;
+use crate::observations::AttemptOutcome;
+use crate::response_body::expected_body;
+use crate::rules::Rule;
+use crate::wire::{format_response, Message, MessageReader};
+use rand::rngs::StdRng;
+use rand::RngExt;
+use std::io;
+use std::ops::Range;
+use std::sync::Arc;
+use std::time::Duration;
+use tokio::io::AsyncWriteExt;
+use tokio::net::tcp::OwnedWriteHalf;
+use tokio::net::TcpStream;
+use tokio::time::{sleep, Instant};
+
+/// Longest time for which a request without a response, or an unresponsive connection, stays open.
+const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(8);
+/// Pause before a second response to the same request.
+const DUPLICATE_RESPONSE_PAUSE: Duration = Duration::from_millis(3);
+/// Longest time to respond, in milliseconds.
+const MAX_LATENCY_MS: f64 = 2000.0;
+/// Time after a response, in milliseconds, after which the idle connection is closed.
+const IDLE_CLOSE_DELAY_MS: Range<u64> = 0..40;
+
+/// What happens to the connection after a request.
+enum ConnectionFate {
+    Keep,
+    Close,
+    Reset,
+}
+
+impl ConnectionFate {
+    fn after_write(written: io::Result<()>) -> ConnectionFate {
+        match written {
+            Ok(()) => ConnectionFate::Keep,
+            Err(_) => ConnectionFate::Close,
+        }
+    }
+}
+
+/// One attempt that the connection serves.
+struct Attempt {
+    request_id: String,
+    /// The number among the request's attempts.
+    number: usize,
+}
+
+struct Connection {
+    state: Arc<State>,
+    random: StdRng,
+    writer: OwnedWriteHalf,
+    /// The upstream's generation when the connection was accepted.
+    generation: u64,
+}
+
+/// Serves one connection until it is closed.
+pub(super) async fn serve(stream: TcpStream, state: Arc<State>, mut random: StdRng) {
+    let _ = stream.set_nodelay(true);
+    let generation = state.generation();
+    if random.random::<f64>() < state.profile().unresponsive_connection {
+        sleep(UNRESPONSIVE_TIMEOUT).await;
+        return;
+    }
+    let (read_half, writer) = stream.into_split();
+    let mut reader = MessageReader::new(read_half);
+    let mut connection = Connection {
+        state,
+        random,
+        writer,
+        generation,
+    };
+    loop {
+        match connection.serve_request(&mut reader).await {
+            ConnectionFate::Keep => {}
+            ConnectionFate::Close => return,
+            ConnectionFate::Reset => return reader.reset_connection(connection.writer),
+        }
+    }
+}
+
+impl Connection {
+    async fn serve_request(&mut self, reader: &mut MessageReader) -> ConnectionFate {
+        let Ok(started_at) = reader.wait_for_first_byte().await else {
+            return ConnectionFate::Close;
+        };
+        if self.random.random::<f64>() < self.state.profile().early_reset {
+            return ConnectionFate::Reset;
+        }
+        let Ok(request) = reader.read_message().await else {
+            return ConnectionFate::Close;
+        };
+        if self.state.generation() != self.generation {
+            return ConnectionFate::Reset;
+        }
+        let Some(attempt) = self.record_attempt(&request, started_at) else {
+            return ConnectionFate::Close;
+        };
+        let fate = tokio::select! {
+            biased;
+            fate = self.respond(&attempt) => fate,
+            () = reader.wait_for_close() => {
+                self.record_outcome(&attempt, AttemptOutcome::Cancelled);
+                return ConnectionFate::Close;
+            }
+        };
+        if matches!(fate, ConnectionFate::Keep) && self.closes_idle_connection().await {
+            return ConnectionFate::Close;
+        }
+        fate
+    }
+
+    /// Records a complete attempt. None if the request has no id or no client has sent it.
+    fn record_attempt(&self, request: &Message, started_at: Instant) -> Option<Attempt> {
+        let request_id = request.header("req-id")?.to_string();
+        let forwarded_deadline = request.duration_header("req-deadline");
+        let mut observations = self.state.recorder().lock();
+        let number = observations.record_attempt(
+            &request_id,
+            self.state.id(),
+            started_at,
+            forwarded_deadline,
+        );
+        let Some(number) = number else {
+            observations.record_violation(
+                Rule::WrongResponse,
+                format!("a request that no client sent: {request_id}"),
+            );
+            return None;
+        };
+        observations.record_attempt_received(&request_id, number);
+        Some(Attempt { request_id, number })
+    }
+
+    fn record_outcome(&self, attempt: &Attempt, outcome: AttemptOutcome) {
+        self.state.recorder().lock().record_attempt_outcome(
+            &attempt.request_id,
+            attempt.number,
+            outcome,
+        );
+    }
+
+    async fn closes_idle_connection(&mut self) -> bool {
+        let closes = self.random.random::<f64>() < self.state.profile().idle_close;
+        if closes {
+            let delay_ms = self.random.random_range(IDLE_CLOSE_DELAY_MS);
+            sleep(Duration::from_millis(delay_ms)).await;
+        }
+        closes
+    }
+
+    async fn respond(&mut self, attempt: &Attempt) -> ConnectionFate {
+        let profile = self.state.profile();
+        let latency_ms = profile.draw_latency_ms(&mut self.random);
+        sleep(Duration::from_secs_f64(
+            latency_ms.min(MAX_LATENCY_MS) / 1000.0,
+        ))
+        .await;
+        match self.draw_action() {
+            ResponseAction::Respond { status, outcome } => {
+                self.send_response(attempt, status, outcome).await
+            }
+            ResponseAction::Reset => self.reset(attempt),
+            ResponseAction::NoResponse => {
+                sleep(UNRESPONSIVE_TIMEOUT).await;
+                self.reset(attempt)
+            }
+            ResponseAction::TruncatedResponse => self.send_truncated_response(attempt).await,
+            ResponseAction::MalformedResponse => self.send_malformed_response(attempt).await,
+            ResponseAction::DuplicateResponse => self.send_response_twice(attempt).await,
+            ResponseAction::ResponseWithoutLength => {
+                self.send_response_without_length(attempt).await
+            }
+        }
+    }
+
+    /// Draws what happens to a request. A draining upstream rejects it without a draw.
+    fn draw_action(&mut self) -> ResponseAction {
+        let profile = self.state.profile();
+        if self.state.is_draining() {
+            return ResponseAction::REJECT;
+        }
+        profile.draw_action(&mut self.random)
+    }
+
+    async fn send_response(
+        &mut self,
+        attempt: &Attempt,
+        status: &str,
+        outcome: AttemptOutcome,
+    ) -> ConnectionFate {
+        let body = match outcome {
+            AttemptOutcome::Success => expected_body(&attempt.request_id),
+            _ => String::new(),
+        };
+        self.record_outcome(attempt, outcome);
+        ConnectionFate::after_write(self.write(&format_response(status, &body)).await)
+    }
+
+    fn reset(&self, attempt: &Attempt) -> ConnectionFate {
+        self.record_outcome(attempt, AttemptOutcome::Reset);
+        ConnectionFate::Reset
+    }
+
+    async fn send_truncated_response(&mut self, attempt: &Attempt) -> ConnectionFate {
+        let body = expected_body(&attempt.request_id);
+        let response = format_response("200 OK", &body);
+        let sent_bytes = response.len() - body.len() / 2;
+        let _ = self
+            .writer
+            .write_all(&response.as_bytes()[..sent_bytes])
+            .await;
+        self.reset(attempt)
+    }
+
+    async fn send_malformed_response(&mut self, attempt: &Attempt) -> ConnectionFate {
+        let _ = self.write("SMTP ready\r\n\r\n").await;
+        self.record_outcome(attempt, AttemptOutcome::Error);
+        ConnectionFate::Close
+    }
+
+    async fn send_response_twice(&mut self, attempt: &Attempt) -> ConnectionFate {
+        self.record_outcome(attempt, AttemptOutcome::Success);
+        let response = format_response("200 OK", &expected_body(&attempt.request_id));
+        if self.write(&response).await.is_err() {
+            return ConnectionFate::Close;
+        }
+        sleep(DUPLICATE_RESPONSE_PAUSE).await;
+        ConnectionFate::after_write(self.write(&response).await)
+    }
+
+    async fn send_response_without_length(&mut self, attempt: &Attempt) -> ConnectionFate {
+        self.record_outcome(attempt, AttemptOutcome::Success);
+        let body = expected_body(&attempt.request_id);
+        let response = format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}");
+        let _ = self.write(&response).await;
+        ConnectionFate::Close
+    }
+
+    async fn write(&mut self, response: &str) -> io::Result<()> {
+        self.writer.write_all(response.as_bytes()).await
+    }
+}
--- /dev/null
+++ b/soak/src/upstream/state.rs
@@ -0,0 +1,83 @@
+//! What the connections of an upstream share.
+use super::profile::UpstreamProfile;
+use crate::ids::UpstreamId;
+use crate::recorder::Recorder;
+use rand::rngs::StdRng;
+use rand::SeedableRng;
+use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
+use std::sync::{Arc, Mutex, PoisonError};
+
+/// Spreads the connections of an upstream over the seeds.
+const SEED_MULTIPLIER: u64 = 1_000_003;
+
+/// What the connections of an upstream share, over all of its restarts.
+pub(super) struct State {
+    id: UpstreamId,
+    recorder: Arc<Recorder>,
+    profile: Mutex<UpstreamProfile>,
+    /// Whether new requests are rejected.
+    draining: AtomicBool,
+    /// Number of stops so far. Connections of an earlier generation are dead.
+    generation: AtomicU64,
+    seed: u64,
+    accepted_connections: AtomicU64,
+}
+
+impl State {
+    pub(super) fn new(
+        id: UpstreamId,
+        seed: u64,
+        profile: UpstreamProfile,
+        recorder: Arc<Recorder>,
+    ) -> State {
+        State {
+            id,
+            recorder,
+            profile: Mutex::new(profile),
+            draining: AtomicBool::new(false),
+            generation: AtomicU64::new(0),
+            seed,
+            accepted_connections: AtomicU64::new(0),
+        }
+    }
+
+    pub(super) fn id(&self) -> UpstreamId {
+        self.id
+    }
+
+    pub(super) fn recorder(&self) -> &Recorder {
+        &self.recorder
+    }
+
+    pub(super) fn profile(&self) -> UpstreamProfile {
+        *self.profile.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    pub(super) fn set_profile(&self, profile: UpstreamProfile) {
+        *self.profile.lock().unwrap_or_else(PoisonError::into_inner) = profile;
+    }
+
+    pub(super) fn is_draining(&self) -> bool {
+        self.draining.load(Ordering::Relaxed)
+    }
+
+    pub(super) fn set_draining(&self, draining: bool) {
+        self.draining.store(draining, Ordering::Relaxed);
+    }
+
+    pub(super) fn generation(&self) -> u64 {
+        self.generation.load(Ordering::Relaxed)
+    }
+
+    /// Marks all connections of this generation as dead.
+    pub(super) fn start_generation(&self) {
+        self.generation.fetch_add(1, Ordering::Relaxed);
+    }
+
+    /// The generator of the next connection's random choices.
+    pub(super) fn next_connection_random(&self) -> StdRng {
+        let number = self.accepted_connections.fetch_add(1, Ordering::Relaxed);
+        let seed = self.seed.wrapping_mul(SEED_MULTIPLIER).wrapping_add(number);
+        StdRng::seed_from_u64(seed)
+    }
+}
--- a/soak/tests/smoke.rs
+++ b/soak/tests/smoke.rs
@@ -1,54 +1,48 @@
-//! The soak itself, on real balancers of the workspace's build: short runs with the system calls that once lost requests.
+//! Short runs of the soak on real balancers of the workspace's build, with the system call faults that once lost requests.
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
-use std::sync::Mutex;
+use std::sync::{Mutex, PoisonError};
 
-/// One run at a time: each needs the processors.
-static ALONE: Mutex<()> = Mutex::new(());
+/// Held during a run: each needs the processors alone.
+static RUN_LOCK: Mutex<()> = Mutex::new(());
 
-fn root() -> &'static Path {
+fn workspace_root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR"))
         .parent()
         .expect("the workspace's root")
 }
 
-/// Builds what a run starts. With the arguments of the deployment file this finds what `.ci/run` has built.
-fn build() -> PathBuf {
+/// Builds the programs of a run. With the arguments of the deployment file this finds what `.ci/run` has built.
+fn build_soak() -> PathBuf {
     let cargo = std::env::var_os("CARGO").expect("tests are run by cargo");
     let arguments = ["build", "--release", "--locked", "--workspace"];
-    let built = Command::new(cargo)
+    let status = Command::new(cargo)
         .args(arguments)
-        .current_dir(root())
+        .current_dir(workspace_root())
         .status()
         .expect("cargo runs");
-    assert!(built.success(), "the workspace is built");
-    root().join("target/release/soak")
+    assert!(status.success(), "the workspace is built");
+    workspace_root().join("target/release/soak")
 }
 
-fn soak(arguments: &[&str]) -> Output {
-    let logs = Path::new(env!("CARGO_TARGET_TMPDIR")).join(arguments.join("-").replace(',', "_"));
-    let mut command = Command::new(build());
+fn run_soak(arguments: &[&str]) -> Output {
+    let folder_name = arguments.join("-").replace(',', "_");
+    let logs = Path::new(env!("CARGO_TARGET_TMPDIR")).join(folder_name);
+    let mut command = Command::new(build_soak());
     command
-        .args([
-            "--seconds",
-            "5",
-            "--balancers",
-            "4",
-            "--upstreams",
-            "4",
-            "--logs",
-        ])
+        .args(["--seconds", "5"])
+        .args(["--balancers", "4"])
+        .args(["--upstreams", "4"])
+        .arg("--logs")
         .arg(logs)
         .args(arguments);
     command.output().expect("runs")
 }
 
-/// Plays a run and checks that it broke no rule and did serve.
-fn holds(arguments: &[&str]) {
-    let _alone = ALONE
-        .lock()
-        .unwrap_or_else(std::sync::PoisonError::into_inner);
-    let output = soak(arguments);
+/// Plays a run and checks that it broke no rule and served requests.
+fn assert_run_passes(arguments: &[&str]) {
+    let _run = RUN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
+    let output = run_soak(arguments);
     let report = String::from_utf8_lossy(&output.stdout);
     assert!(
         output.status.success(),
@@ -56,37 +50,25 @@
         String::from_utf8_lossy(&output.stderr)
     );
     assert!(
-        report.contains("\"Answered(200)\": ") && report.contains("violations: {}"),
+        report.contains("\"Response(200)\": ") && report.contains("violations: {}"),
         "{report}"
     );
 }
 
 #[test]
-fn short_and_interrupted_transfers_lose_no_request() {
-    holds(&[
-        "--seed",
-        "31",
-        "--mode",
-        "push",
-        "--only",
-        "shorttransfers,interrupted,brokenreads",
-    ]);
+fn loses_no_request_with_short_and_interrupted_transfers() {
+    let faults = "shorttransfers,interrupted,brokenreads";
+    assert_run_passes(&["--seed", "31", "--mode", "push", "--only", faults]);
 }
 
 #[test]
-fn failing_sockets_and_disks_keep_no_balancer_from_restarting() {
-    holds(&[
-        "--seed",
-        "32",
-        "--mode",
-        "ask",
-        "--only",
-        "failingsockets,disk,kill",
-    ]);
+fn balancers_restart_while_sockets_and_disks_fail() {
+    let faults = "failingsockets,disk,kill";
+    assert_run_passes(&["--seed", "32", "--mode", "ask", "--only", faults]);
 }
 
 #[test]
-fn an_unknown_trouble_is_refused() {
-    let output = soak(&["--only", "sunshine"]);
+fn rejects_an_unknown_fault() {
+    let output = run_soak(&["--only", "sunshine"]);
     assert!(!output.status.success() && output.stdout.is_empty());
 }
