--- a/soak/src/balancer.rs
+++ b/soak/src/balancer.rs
@@ -17,7 +17,7 @@
 use std::io::{self, Write};
 use std::net::SocketAddr;
 use std::os::unix::fs::FileExt;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use std::process::Stdio;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -153,7 +153,7 @@
     }
 
     /// Opens the log and marks the start of a process in it.
-    fn open_log(&self, path: &PathBuf) -> io::Result<File> {
+    fn open_log(&self, path: &Path) -> io::Result<File> {
         let mut log = OpenOptions::new().create(true).append(true).open(path)?;
         writeln!(log, "--- start {}", self.starts)?;
         Ok(log)
@@ -173,7 +173,7 @@
         let started_at = Instant::now();
         self.start(seed)?;
         while !self.admin.is_serving().await {
-            if let Some(status) = self.exit_status() {
+            if let Some(status) = self.take_exit_status() {
                 self.child = old_child;
                 self.admin = old_admin;
                 return Err(UpgradeError::SuccessorExited { status });
@@ -250,8 +250,8 @@
         self.child.is_some()
     }
 
-    /// The exit status of its process, if that has exited by itself. The balancer has no process then.
-    pub fn exit_status(&mut self) -> Option<String> {
+    /// Takes the exit status of its process, if that has exited by itself. The balancer has no process then.
+    pub fn take_exit_status(&mut self) -> Option<String> {
         let status = self.child.as_mut()?.try_wait().ok()??;
         self.child = None;
         Some(status.to_string())
@@ -264,7 +264,7 @@
 }
 
 /// Creates a control file in which no fault is set.
-fn create_control_file(path: &PathBuf) -> io::Result<File> {
+fn create_control_file(path: &Path) -> io::Result<File> {
     fs::write(path, [0; FILE_BYTES])?;
     OpenOptions::new().write(true).open(path)
 }
--- a/soak/src/checker.rs
+++ b/soak/src/checker.rs
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Returns all violations in the order of time, also those that were recorded during the run.
+    /// Returns all violations in the order of time, including those that were recorded during the run.
     pub fn check(&self) -> Vec<Violation> {
         let mut violations = self.observations.violations().to_vec();
         for (id, request) in self.observations.requests() {
--- a/soak/src/client/request.rs
+++ b/soak/src/client/request.rs
@@ -18,7 +18,7 @@
     pub(super) id: String,
     /// The complete message.
     pub(super) bytes: Vec<u8>,
-    /// What is recorded of it when it is sent.
+    /// Its properties, which are recorded when it is sent.
     pub(super) start: RequestStart,
 }
 
--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -62,7 +62,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets what discovery does with requests from now on, also with those that wait.
+    /// Sets the condition of discovery, which also decides about requests that wait.
     pub fn set_condition(&self, condition: DiscoveryCondition) {
         self.state().set_condition(condition);
         self.changes.send_modify(|_| ());
--- a/soak/src/discovery/endpoint_list.rs
+++ b/soak/src/discovery/endpoint_list.rs
@@ -94,7 +94,7 @@
         self.version
     }
 
-    /// All entries, also those that have been removed.
+    /// All entries, including removed endpoints.
     pub(super) fn entries(&self) -> impl Iterator<Item = (UpstreamId, &Entry)> {
         self.entries
             .iter()
--- a/soak/src/injector/system_calls.rs
+++ b/soak/src/injector/system_calls.rs
@@ -55,7 +55,7 @@
         self.restart_with_clock_offset(balancer, 0).await;
     }
 
-    /// Kills a balancer and starts it with this offset. The offset stays as it is if another fault uses the balancer.
+    /// Kills a balancer and starts it with this offset. The offset does not change if another fault uses the balancer.
     async fn restart_with_clock_offset(&self, id: BalancerId, offset_ms: i64) {
         let killed_at = self.testbed.kill(id).await;
         if let Ok(balancer) = self.testbed.try_lock_balancer(id) {
--- a/soak/src/observations/period.rs
+++ b/soak/src/observations/period.rs
@@ -26,7 +26,7 @@
     pub balancer: BalancerId,
     /// The upstream.
     pub upstream: UpstreamId,
-    /// What may make the upstream unavailable to the balancer.
+    /// The cause that may make the upstream unavailable to the balancer.
     pub cause: UnavailabilityCause,
 }
 
--- a/soak/src/observations/request.rs
+++ b/soak/src/observations/request.rs
@@ -57,7 +57,7 @@
     NoResponse,
 }
 
-/// What is known of a request before the client sends it.
+/// The properties of a request that its client knows before it sends it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestStart {
     /// What repeating it may do.
@@ -77,7 +77,7 @@
 /// A request and everything observed of it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// What was known before it was sent.
+    /// The properties that its client knew before it sent it.
     pub start: RequestStart,
     /// When its last byte was written; until then, when the client began to write it.
     pub sent_at: Instant,
--- a/soak/src/response_body.rs
+++ b/soak/src/response_body.rs
@@ -2,7 +2,7 @@
 
 /// Requests whose id has this suffix get a large response.
 pub const LARGE_REQUEST_SUFFIX: &str = "-large";
-/// A large body repeats the small one this many times, which makes it longer than 120 KB.
+/// A large body repeats the small one this many times, which makes it at least 120 KB long.
 pub const LARGE_BODY_REPEATS: usize = 10_000;
 
 /// Builds the body of the response to a request. It names the request, so that a client notices another one's response.
--- a/soak/src/rules.rs
+++ b/soak/src/rules.rs
@@ -40,7 +40,7 @@
     pub rule: Rule,
     /// Time since the start of the run.
     pub at: Duration,
-    /// What was observed.
+    /// Describes the observation.
     pub details: String,
 }
 
--- a/soak/src/testbed/lifecycle.rs
+++ b/soak/src/testbed/lifecycle.rs
@@ -32,7 +32,7 @@
             return;
         }
         if !balancer.wait_until_ready().await {
-            let status = balancer.exit_status();
+            let status = balancer.take_exit_status();
             let status = status.unwrap_or_else(|| "it runs".to_string());
             let details = format!("balancer {id} is not ready: {status}");
             self.record_violation(Rule::NotReady, details);
@@ -127,7 +127,7 @@
     /// Checks that a balancer still runs and has counted no violation of its own invariants.
     async fn check_balancer(&self, balancer: &mut Balancer) {
         let id = balancer.id();
-        if let Some(status) = balancer.exit_status() {
+        if let Some(status) = balancer.take_exit_status() {
             let details = format!("balancer {id} ended by itself: {status}");
             self.record_violation(Rule::Crash, details);
             return;
