--- a/balancer-core/src/policy.rs
+++ b/balancer-core/src/policy.rs
@@ -1,217 +1,253 @@
-//! Every decision of the balancer. The types it speaks in are in `src/interface.rs`.
-//! Ordinary path of a request: admit it if its tenant is within its limit or capacity is not used up; send it
-//! to the less busy of two random ready endpoints. All else is an exception, and says what it guards against.
+//! Every decision of the balancer.
+//!
+//! A request is admitted if its tenant is within its limit or the learned capacity is not used up. Each
+//! attempt goes to the less busy of two random endpoints that may receive it. The other modules handle
+//! exceptions: slow start, outliers, overload, stale connections, retries and a stale endpoint list.
 mod admission;
+mod attempt;
+mod attempts;
 mod capacity;
+mod endpoint_polling;
 mod endpoints;
-mod health;
 mod latency;
-mod picker;
+mod pending_request;
+mod random;
 mod requests;
-mod start_times;
-mod subscription;
+mod retry_budget;
+mod tenant_limits;
 
-pub use admission::limits;
+pub use tenant_limits::tenant_limits;
 
-use crate::interface::*;
-use rand_core::{RngCore, SeedableRng};
-use rand_pcg::Pcg64Mcg;
-use std::collections::{BTreeMap, BTreeSet};
-use std::{cmp::Ordering, sync::Arc};
-use {
-    admission::*, capacity::*, endpoints::*, health::*, latency::*, picker::*, requests::*,
-    start_times::*, subscription::*,
-};
+use crate::action::Action;
+use crate::endpoint::{EndpointCounts, EndpointEvent, UpstreamId};
+use crate::event::Event;
+use crate::request::RequestId;
+use crate::settings::{Settings, SettingsError};
+use crate::time::Millis;
+use admission::Admission;
+use attempts::AttemptEnd;
+use capacity::ADMISSION_CYCLE;
+use endpoint_polling::{CallFailure, EndpointPolling};
+use endpoints::Endpoints;
+use pending_request::PendingRequest;
+use random::Random;
+use retry_budget::RetryBudget;
+use std::collections::BTreeMap;
+use std::sync::Arc;
 
-const TIMER_CYCLE: u32 = 0;
-const TIMER_ASK: u32 = 1;
+/// Token of the timer that ends an admission cycle.
+const ADMISSION_CYCLE_TIMER: u32 = 0;
+/// Token of the timer that ends a backoff of polling.
+const POLL_TIMER: u32 = 1;
+/// Smallest random fraction of the first cycle, so that replicas that start together do not stay in step.
+const MIN_FIRST_CYCLE: f64 = 0.5;
 
 /// One instance of the decision logic.
 pub struct Balancer {
     settings: Arc<Settings>,
-    rng: Pcg64Mcg,
+    random: Random,
     admission: Admission,
     endpoints: Endpoints,
     pending: BTreeMap<RequestId, PendingRequest>,
-    retries: f64,
-    started: bool,
-    subscription: Subscription,
-    late: bool,
+    retry_budget: RetryBudget,
+    polling: EndpointPolling,
+    /// Whether the first event was handled.
+    is_started: bool,
+    /// Whether the last log line said that capacity is reduced.
+    is_degraded: bool,
 }
 
 impl Balancer {
-    /// A fresh instance that knows nothing yet. `seed` feeds its random choices.
+    /// Creates an instance without endpoints. `seed` determines its random choices.
+    ///
+    /// # Errors
+    ///
+    /// Returns the first invalid field of `settings`.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Result<Self, SettingsError> {
         settings.validate()?;
         let settings = Arc::new(settings);
         let admission = Admission::new(&settings, now);
         let mut endpoints = Endpoints::new(Arc::clone(&settings));
-        endpoints.resize_subset(admission.capacity.admitted_mean);
-        let (rng, pending) = (Pcg64Mcg::seed_from_u64(seed), BTreeMap::new());
-        let (retries, subscription, started, late) =
-            (RETRY_BURST, Subscription::default(), false, false);
+        endpoints.resize_subset(admission.capacity().admitted_mean());
         Ok(Balancer {
             settings,
-            rng,
+            random: Random::new(seed),
             admission,
             endpoints,
-            pending,
-            retries,
-            started,
-            subscription,
-            late,
+            pending: BTreeMap::new(),
+            retry_budget: RetryBudget::new(),
+            polling: EndpointPolling::default(),
+            is_started: false,
+            is_degraded: false,
         })
     }
 
-    /// Whether staff have left an upstream out.
+    /// Whether an operator suspended an upstream.
     pub fn is_suspended(&self, id: UpstreamId) -> bool {
-        self.endpoints.suspended.contains(&id)
+        self.endpoints.is_suspended(id)
     }
 
-    /// How many endpoints are listed, and how many of them requests avoid now.
+    /// Number of listed endpoints and of avoided ones.
     pub fn endpoint_counts(&self, now: Millis) -> EndpointCounts {
-        let mut counts = EndpointCounts {
-            listed: 0,
-            avoided: 0,
-        };
-        for &index in self.endpoints.by_id.values() {
-            let member = &self.endpoints.slots[index].member;
-            if member.availability == Availability::Gone {
-                continue;
-            }
-            counts.listed += 1;
-            if self.is_suspended(member.id) || self.endpoints.is_avoided(index, now) {
-                counts.avoided += 1;
-            }
-        }
-        counts
+        self.endpoints.counts(now)
     }
 
-    /// Takes one event and appends what is to be done. `now` must not go back.
+    /// Handles one event and appends the resulting actions. `now` must not decrease.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         let now = if now.is_finite() { now } else { 0.0 };
-        if !std::mem::replace(&mut self.started, true) {
-            // Replicas started together must not recompute in step.
-            let after = CYCLE * (0.5 + 0.5 * unit(&mut self.rng));
-            actions.push(Action::SetTimer {
-                after,
-                token: TIMER_CYCLE,
-            });
-            actions.extend(
-                self.settings
-                    .poll_endpoints
-                    .then_some(Action::PollEndpoints),
-            );
+        if !self.is_started {
+            self.is_started = true;
+            self.start(actions);
         }
+        self.dispatch(now, event, actions);
+    }
+
+    fn dispatch(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         match event {
-            Event::Endpoints(update) => self.record_update(update, now, actions),
-            Event::Request(request) => self.request(now, request, actions),
+            Event::Endpoints(update) => self.handle_endpoints(now, update, actions),
+            Event::Request(request) => self.handle_request(now, request, actions),
             Event::RequestBodyComplete { request, deadline } => {
-                self.complete(now, request, deadline)
-            }
-            Event::BodyDiscarded(id) => {
-                let spent = self.pending.get_mut(&id);
-                spent
-                    .into_iter()
-                    .for_each(|pending| pending.sends = self.settings.max_attempts);
+                self.handle_body_complete(now, request, deadline);
             }
+            Event::BodyDiscarded(request) => self.handle_body_discarded(request),
             Event::ResponseStarted { request, attempt } => {
-                self.response_started(now, request, attempt)
+                self.handle_response_started(now, request, attempt);
+            }
+            Event::AttemptEnded {
+                request,
+                attempt,
+                outcome,
+                duration,
+                request_completed,
+            } => {
+                let end = AttemptEnd {
+                    request,
+                    attempt,
+                    outcome,
+                    duration,
+                    request_completed,
+                };
+                self.handle_attempt_ended(now, end, actions);
             }
-            Event::AttemptEnded { .. } => self.attempt_ended(now, event, actions),
-            Event::ClientDisconnected(id) => self.client_gone(id, actions),
-            Event::Suspend(id) => {
-                self.endpoints.suspended.insert(id);
-                self.endpoints.choose_subset();
-                self.record_load(now);
+            Event::ClientDisconnected(request) => {
+                self.handle_client_disconnected(request, actions);
             }
+            Event::Suspend(upstream) => self.handle_suspend(now, upstream),
             Event::Restore {
                 upstream,
                 restored_at,
-            } => {
-                self.endpoints
-                    .restore(upstream, restored_at, now, &mut self.rng);
-                self.record_load(now);
-            }
-            Event::Timer(TIMER_CYCLE) => self.end_cycle(now, actions),
-            Event::Timer(TIMER_ASK) => actions.push(Action::PollEndpoints),
-            Event::Timer(_) => {}
+            } => self.handle_restore(now, upstream, restored_at),
+            Event::Timer(token) => self.handle_timer(now, token, actions),
         }
     }
 
-    fn record_update(&mut self, update: EndpointEvent, now: Millis, actions: &mut Vec<Action>) {
+    fn start(&mut self, actions: &mut Vec<Action>) {
+        let fraction = MIN_FIRST_CYCLE + (1.0 - MIN_FIRST_CYCLE) * self.random.fraction();
+        actions.push(Action::SetTimer {
+            after: ADMISSION_CYCLE * fraction,
+            token: ADMISSION_CYCLE_TIMER,
+        });
+        if self.settings.poll_endpoints {
+            actions.push(Action::PollEndpoints);
+        }
+    }
+
+    fn handle_endpoints(&mut self, now: Millis, update: EndpointEvent, actions: &mut Vec<Action>) {
         match update {
+            EndpointEvent::Snapshot(_) | EndpointEvent::Delta(_) => {
+                self.confirm_endpoints(now);
+                self.apply_endpoints(now, update);
+            }
+            EndpointEvent::CachedSnapshot(_) => self.apply_endpoints(now, update),
+            EndpointEvent::Unchanged => self.confirm_endpoints(now),
             EndpointEvent::DiscoveryFailed => {
-                return self.subscribe_again(CallFailure::Failed, now, actions)
+                self.poll_after_failure(now, CallFailure::Failed, actions);
             }
             EndpointEvent::DiscoveryRejected => {
-                return self.subscribe_again(CallFailure::Refused, now, actions)
-            }
-            EndpointEvent::DiscoveryMigrated => return self.subscription.record_move(now),
-            EndpointEvent::CachedSnapshot(_) => {}
-            EndpointEvent::Unchanged | EndpointEvent::Snapshot(_) | EndpointEvent::Delta(_) => {
-                self.subscription.record_answer(now);
-                self.endpoints.confirm();
+                self.poll_after_failure(now, CallFailure::Rejected, actions);
             }
+            EndpointEvent::DiscoveryMigrated => self.polling.record_migration(now),
         }
-        if update != EndpointEvent::Unchanged {
-            self.endpoints.apply(update, now, &mut self.rng);
-            self.record_load(now);
+    }
+
+    fn confirm_endpoints(&mut self, now: Millis) {
+        self.polling.record_response(now);
+        self.endpoints.confirm();
+    }
+
+    fn apply_endpoints(&mut self, now: Millis, update: EndpointEvent) {
+        self.endpoints.apply(update, now, &mut self.random);
+        self.record_load(now);
+    }
+
+    fn poll_after_failure(&mut self, now: Millis, failure: CallFailure, actions: &mut Vec<Action>) {
+        if !self.settings.poll_endpoints {
+            return;
         }
+        let backoff = self.polling.record_failure(
+            failure,
+            self.endpoints.has_ready_endpoint(),
+            now,
+            &self.settings,
+            &mut self.random,
+        );
+        actions.push(Action::SetTimer {
+            after: backoff,
+            token: POLL_TIMER,
+        });
     }
 
-    fn subscribe_again(&mut self, failure: CallFailure, now: Millis, actions: &mut Vec<Action>) {
-        if self.settings.poll_endpoints {
-            let known = self.endpoints.ready > 0;
-            let after = self
-                .subscription
-                .pause(failure, known, now, &self.settings, &mut self.rng);
-            actions.push(Action::SetTimer {
-                after,
-                token: TIMER_ASK,
-            });
+    fn handle_suspend(&mut self, now: Millis, upstream: UpstreamId) {
+        self.endpoints.suspend(upstream);
+        self.record_load(now);
+    }
+
+    fn handle_restore(&mut self, now: Millis, upstream: UpstreamId, restored_at: Millis) {
+        self.endpoints
+            .restore(upstream, restored_at, now, &mut self.random);
+        self.record_load(now);
+    }
+
+    fn handle_timer(&mut self, now: Millis, token: u32, actions: &mut Vec<Action>) {
+        match token {
+            ADMISSION_CYCLE_TIMER => self.end_cycle(now, actions),
+            POLL_TIMER => actions.push(Action::PollEndpoints),
+            _ => {}
         }
     }
 
     fn record_load(&mut self, now: Millis) {
-        self.admission.load = self.endpoints.admissible_load(now);
         self.admission
-            .capacity
-            .record_endpoints(self.admission.load.endpoints);
+            .record_load(self.endpoints.admissible_load(now));
     }
 
     fn end_cycle(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        self.record_overdue(now);
+        self.record_overdue_requests(now);
         self.admission
-            .capacity
-            .record_latency(self.endpoints.latency.mean);
+            .record_latency(self.endpoints.latency().mean());
         self.record_load(now);
         self.admission.end_cycle(now);
-        let late = self.admission.capacity.success < SUCCESS_WANTED;
-        if std::mem::replace(&mut self.late, late) != late {
-            let state = if late {
-                "late or failed: capacity is cut"
-            } else {
-                "in time again"
-            };
-            actions.push(Action::Log(format!(
-                "answers of tier {} {state}",
-                self.settings.tier
-            )));
-        }
-        self.endpoints
-            .resize_subset(self.admission.capacity.admitted_mean);
+        self.log_change_of_capacity(actions);
+        let requests_per_cycle = self.admission.capacity().admitted_mean();
+        self.endpoints.resize_subset(requests_per_cycle);
         actions.push(Action::SetTimer {
-            after: CYCLE,
-            token: TIMER_CYCLE,
+            after: ADMISSION_CYCLE,
+            token: ADMISSION_CYCLE_TIMER,
         });
     }
-}
 
-fn unit(rng: &mut Pcg64Mcg) -> f64 {
-    (rng.next_u64() >> 11) as f64 / (1u64 << 53) as f64
-}
-
-fn below(rng: &mut Pcg64Mcg, count: usize) -> usize {
-    ((u128::from(rng.next_u64()) * count as u128) >> 64) as usize
+    fn log_change_of_capacity(&mut self, actions: &mut Vec<Action>) {
+        let is_degraded = self.admission.capacity().is_degraded();
+        if is_degraded == self.is_degraded {
+            return;
+        }
+        self.is_degraded = is_degraded;
+        let state = if is_degraded {
+            "late or failed: capacity is cut"
+        } else {
+            "in time again"
+        };
+        let tier = self.settings.tier;
+        actions.push(Action::Log(format!("answers of tier {tier} {state}")));
+    }
 }
--- a/balancer-core/src/policy/admission.rs
+++ b/balancer-core/src/policy/admission.rs
@@ -1,115 +1,147 @@
 //! Admission control: which requests pass, by tenants' limits, learned capacity and requests in flight.
-use super::*;
+use crate::policy::capacity::{Capacity, ADMISSION_CYCLE, CYCLE_GAIN};
+use crate::policy::endpoints::AdmissibleLoad;
+use crate::policy::tenant_limits::tenant_limits;
+use crate::settings::{Settings, Tenant};
+use crate::time::Millis;
 
-/// Length of a cycle. The published 10 s is too slow for capacity that is learned instead of benchmarked.
-pub(super) const CYCLE: Millis = 1000.0;
-/// Share of a tenant's default that is never lent (as published).
+/// Fraction of a tenant's default limit that is never lent.
 const RESERVATION: f64 = 0.1;
-/// Weight of the newest cycle in a tenant's demand: one replica sees few requests of a tenant per cycle.
-pub(super) const DEMAND_GAIN: f64 = 0.3;
-/// Cycles' worth of limit that a tenant may save up; evens out the chance arrivals of tiny counts.
+/// Unused limit that a tenant may save, in cycles; evens out chance arrivals of small counts.
 const BURST_CYCLES: f64 = 6.0;
-
-/// A new limit for each tenant from last cycle's demand, lending what others leave unused of their share
-/// by `weights` (alike as published). Limits are not negative and sum to `capacity` at most, up to rounding.
-pub fn limits(capacity: f64, demands: &[f64], weights: &[f64], reservation: f64) -> Vec<f64> {
-    let share = |of: f64, total: f64, other: f64| if total > 0.0 { of / total } else { other };
-    let total: f64 = weights.iter().sum();
-    let even = 1.0 / weights.len() as f64;
-    let defaults: Vec<f64> = weights
-        .iter()
-        .map(|&weight| capacity * share(weight, total, even))
-        .collect();
-    let reserved = |(&demand, &default): (&f64, &f64)| demand.max(default * reservation);
-    let wanted: Vec<f64> = demands.iter().zip(&defaults).map(reserved).collect();
-    let gaps: Vec<f64> = defaults
-        .iter()
-        .zip(&wanted)
-        .map(|(default, wanted)| default - wanted)
-        .collect();
-    let deficit: f64 = gaps.iter().filter(|&&gap| gap < 0.0).map(|gap| -gap).sum();
-    let surplus: f64 = gaps.iter().filter(|&&gap| gap > 0.0).sum();
-    let limit = |i: usize| match gaps[i] {
-        gap if gap <= 0.0 => defaults[i] + (-gap).min(share(-gap, deficit, 0.0) * surplus),
-        gap => wanted[i] + share(gap, surplus, 0.0) * (surplus - deficit).max(0.0),
-    };
-    (0..demands.len()).map(limit).collect()
-}
+/// Shortest part of a cycle from which capacity is learned.
+const MIN_LEARNING_CYCLES: f64 = 0.5;
 
 #[derive(Default)]
 struct TenantState {
     weight: f64,
-    seen: bool,
-    /// Requests this cycle, also rejected ones; and their smoothed number per cycle.
+    has_requests: bool,
+    /// Requests in this cycle, including rejected ones.
     requests: f64,
+    /// Smoothed requests per cycle, including rejected ones.
     demand: f64,
+    /// Admitted requests that count against the limit; negative for saved limit.
     admitted: f64,
     limit: f64,
 }
 
-/// One replica's view of the tenants' limits within the next tier's capacity.
-#[derive(Default)]
+impl TenantState {
+    fn new(weight: f64) -> Self {
+        TenantState {
+            weight,
+            ..TenantState::default()
+        }
+    }
+
+    /// Demand by which the limit is computed. Counts are small, and a limit at the mean would reject half the
+    /// cycles of a steady tenant, so one standard deviation is added.
+    fn expected_demand(&self) -> f64 {
+        self.demand + self.demand.sqrt()
+    }
+
+    fn record_demand(&mut self, elapsed_cycles: f64, gain: f64) {
+        let requests = std::mem::take(&mut self.requests);
+        self.demand += gain * (per_cycle(requests, elapsed_cycles) - self.demand);
+    }
+
+    fn start_cycle(&mut self, limit: f64, elapsed_cycles: f64) {
+        let remaining = self.admitted - self.limit * elapsed_cycles;
+        self.admitted = remaining.clamp(-BURST_CYCLES * limit, limit);
+        self.limit = limit;
+    }
+}
+
+/// One replica's admission control within the next tier's capacity.
 pub(super) struct Admission {
+    /// The listed tenants, and one entry for all others.
     tenants: Vec<TenantState>,
-    pub(super) capacity: Capacity,
-    admitted: f64,
-    cycle_start: Millis,
+    capacity: Capacity,
+    cycle_started_at: Millis,
+    /// Requests admitted in this cycle.
     cycle_admitted: f64,
-    pub(super) load: AdmissibleLoad,
-    pub(super) inflight_lost: f64,
+    /// Admitted requests that count against capacity.
+    admitted: f64,
+    load: AdmissibleLoad,
+    /// Requests in flight whose connection is probably lost.
+    lost_inflight: f64,
     rejected_within_limit: bool,
 }
 
 impl Admission {
     pub(super) fn new(settings: &Settings, now: Millis) -> Self {
-        let unnamed = [Tenant {
+        let single_tenant = [Tenant {
             weight: 1.0,
             quota_per_s: 0.0,
         }];
         let listed: &[Tenant] = if settings.tenants.is_empty() {
-            &unnamed
+            &single_tenant
         } else {
             &settings.tenants
         };
-        // One further entry for tenants that the settings do not list, however many they are.
-        let least = listed
+        let smallest_weight = listed
             .iter()
             .map(|tenant| tenant.weight)
             .fold(f64::INFINITY, f64::min);
-        let weights = listed.iter().map(|tenant| tenant.weight).chain([least]);
-        let tenants = weights
-            .map(|weight| TenantState {
-                weight,
-                ..TenantState::default()
-            })
-            .collect();
-        let capacity = Capacity::new(
-            settings,
-            listed.iter().map(|tenant| tenant.quota_per_s).sum(),
-        );
+        let weights = listed.iter().map(|tenant| tenant.weight);
+        let quota_per_s = listed.iter().map(|tenant| tenant.quota_per_s).sum();
         Admission {
-            tenants,
-            capacity,
-            cycle_start: now,
-            ..Admission::default()
+            tenants: weights
+                .chain([smallest_weight])
+                .map(TenantState::new)
+                .collect(),
+            capacity: Capacity::new(settings, quota_per_s),
+            cycle_started_at: now,
+            cycle_admitted: 0.0,
+            admitted: 0.0,
+            load: AdmissibleLoad::default(),
+            lost_inflight: 0.0,
+            rejected_within_limit: false,
         }
     }
 
-    /// Counts the request as demand and decides whether it passes.
+    pub(super) fn capacity(&self) -> &Capacity {
+        &self.capacity
+    }
+
+    /// Whether requests should leave this replica's zone; see [`Capacity::exceeds_local_quota`].
+    pub(super) fn exceeds_local_quota(&self, local_fraction: f64) -> bool {
+        self.capacity
+            .exceeds_local_quota(self.load.local_inflight, local_fraction)
+    }
+
+    pub(super) fn record_load(&mut self, load: AdmissibleLoad) {
+        self.capacity.record_endpoints(load.endpoints);
+        self.load = load;
+    }
+
+    pub(super) fn record_lost_inflight(&mut self, lost_inflight: f64) {
+        self.lost_inflight = lost_inflight;
+    }
+
+    pub(super) fn record_latency(&mut self, latency: Millis) {
+        self.capacity.record_latency(latency);
+    }
+
+    pub(super) fn record_response(&mut self, latency_ratio: f64) {
+        self.capacity.record_response(latency_ratio);
+    }
+
+    /// Counts the request as demand and decides whether to admit it.
     pub(super) fn admit(&mut self, tenant: usize, now: Millis) -> bool {
         let tenant = tenant.min(self.tenants.len() - 1);
-        if !std::mem::replace(&mut self.tenants[tenant].seen, true) {
-            // A new tenant ends the cycle early, so that it has a limit at once (as published).
+        if !self.tenants[tenant].has_requests {
+            // A new tenant ends the cycle early, so that it has a limit at once.
+            self.tenants[tenant].has_requests = true;
             self.end_cycle(now);
         }
-        let (soft, hard) = self.capacity.inflight_limits();
+        let limits = self.capacity.inflight_limits();
+        let inflight = self.load.inflight - self.lost_inflight;
+        let is_full = self.admitted >= self.capacity.per_cycle() || inflight >= limits.soft;
         let tenant = &mut self.tenants[tenant];
         tenant.requests += 1.0;
-        let inflight = self.load.inflight - self.inflight_lost;
-        let full = self.admitted >= self.capacity.per_cycle || inflight >= soft;
-        let within_limit = tenant.admitted < tenant.limit;
-        if inflight >= hard || (full && !within_limit) {
-            self.rejected_within_limit |= within_limit;
+        let is_within_limit = tenant.admitted < tenant.limit;
+        if inflight >= limits.hard || (is_full && !is_within_limit) {
+            self.rejected_within_limit |= is_within_limit;
             return false;
         }
         tenant.admitted += 1.0;
@@ -119,41 +151,47 @@
     }
 
     pub(super) fn end_cycle(&mut self, now: Millis) {
-        // A cycle that a new tenant cut short counts for the share of it that passed.
-        let elapsed = ((now - self.cycle_start) / CYCLE).clamp(0.0, 1.0);
-        self.cycle_start = now;
-        let per_cycle = |count: f64| if elapsed > 0.0 { count / elapsed } else { 0.0 };
-        let gain = elapsed * DEMAND_GAIN;
-        for tenant in self.tenants.iter_mut().filter(|tenant| tenant.seen) {
-            tenant.demand +=
-                gain * (per_cycle(std::mem::take(&mut tenant.requests)) - tenant.demand);
+        // A cycle that a new tenant ended early counts by the part of it that passed.
+        let elapsed_cycles = ((now - self.cycle_started_at) / ADMISSION_CYCLE).clamp(0.0, 1.0);
+        self.cycle_started_at = now;
+        let gain = elapsed_cycles * CYCLE_GAIN;
+        for tenant in self.tenants.iter_mut().filter(|tenant| tenant.has_requests) {
+            tenant.record_demand(elapsed_cycles, gain);
         }
-        let admitted = per_cycle(std::mem::take(&mut self.cycle_admitted));
-        self.capacity.admitted_mean += gain * (admitted - self.capacity.admitted_mean);
-        if elapsed >= 0.5 {
-            self.capacity
-                .end_cycle(admitted, std::mem::take(&mut self.rejected_within_limit));
+        let cycle_admitted = std::mem::take(&mut self.cycle_admitted);
+        let admitted = per_cycle(cycle_admitted, elapsed_cycles);
+        self.capacity.record_admitted(admitted, gain);
+        if elapsed_cycles >= MIN_LEARNING_CYCLES {
+            let rejected_within_limit = std::mem::take(&mut self.rejected_within_limit);
+            self.capacity.end_cycle(admitted, rejected_within_limit);
         }
-        let capacity = self.capacity.per_cycle;
-        let mut seen: Vec<&mut TenantState> = self
+        self.assign_limits(elapsed_cycles);
+        let capacity = self.capacity.per_cycle();
+        self.admitted = (self.admitted - capacity * elapsed_cycles).clamp(0.0, capacity);
+    }
+
+    fn assign_limits(&mut self, elapsed_cycles: f64) {
+        let mut active: Vec<&mut TenantState> = self
             .tenants
             .iter_mut()
-            .filter(|tenant| tenant.seen)
+            .filter(|tenant| tenant.has_requests)
             .collect();
-        // Tiny counts: a limit at the mean rejects half the cycles of a steady tenant, so one deviation more.
-        let demands: Vec<f64> = seen
+        let demands: Vec<f64> = active
             .iter()
-            .map(|tenant| tenant.demand + tenant.demand.sqrt())
+            .map(|tenant| tenant.expected_demand())
             .collect();
-        let weights: Vec<f64> = seen.iter().map(|tenant| tenant.weight).collect();
-        for (tenant, limit) in
-            seen.iter_mut()
-                .zip(limits(capacity, &demands, &weights, RESERVATION))
-        {
-            tenant.admitted =
-                (tenant.admitted - tenant.limit * elapsed).clamp(-BURST_CYCLES * limit, limit);
-            tenant.limit = limit;
+        let weights: Vec<f64> = active.iter().map(|tenant| tenant.weight).collect();
+        let limits = tenant_limits(self.capacity.per_cycle(), &demands, &weights, RESERVATION);
+        for (tenant, limit) in active.iter_mut().zip(limits) {
+            tenant.start_cycle(limit, elapsed_cycles);
         }
-        self.admitted = (self.admitted - capacity * elapsed).clamp(0.0, capacity);
+    }
+}
+
+fn per_cycle(count: f64, elapsed_cycles: f64) -> f64 {
+    if elapsed_cycles > 0.0 {
+        count / elapsed_cycles
+    } else {
+        0.0
     }
 }
--- /dev/null
+++ b/balancer-core/src/policy/attempts.rs
@@ -0,0 +1,243 @@
+//! Attempts: where and when they are sent, their timeouts and outcomes, and retries.
+use crate::action::Action;
+use crate::class::Idempotency;
+use crate::policy::attempt::{Attempt, RetryConstraint};
+use crate::policy::capacity::ADMISSION_CYCLE;
+use crate::policy::endpoints::{PickRequest, ZoneChoice};
+use crate::policy::latency::{latency_ratio, MAX_LATENCY_RATIO};
+use crate::policy::pending_request::PendingRequest;
+use crate::policy::Balancer;
+use crate::request::{AttemptOutcome, RequestId};
+use crate::time::Millis;
+
+/// Fraction of requests that still use connections that seem stale, to find out whether they are.
+const STALE_PROBE_FRACTION: f64 = 0.02;
+/// Failure rate of an endpoint from which attempts time out early, so that a retry is in time.
+const SUSPECT_FAILURE_RATE: f64 = 0.2;
+/// The same for the fraction of attempts lost on connections that were idle as long.
+const SUSPECT_LOSS: f64 = SUSPECT_FAILURE_RATE / 4.0;
+/// Largest relative latency of an endpoint that extends its early timeouts.
+const MAX_TIMEOUT_FACTOR: f64 = 3.0;
+
+/// How an attempt ended, as the host reports it.
+pub(super) struct AttemptEnd {
+    pub(super) request: RequestId,
+    pub(super) attempt: u32,
+    pub(super) outcome: AttemptOutcome,
+    pub(super) duration: Millis,
+    pub(super) request_completed: bool,
+}
+
+/// Whether and where a request may be sent again.
+enum RetryRule {
+    Anywhere,
+    Within(RetryConstraint),
+    Forbidden,
+}
+
+impl Balancer {
+    /// Sends an attempt, and returns whether an endpoint could be found.
+    pub(super) fn send_attempt(
+        &mut self,
+        now: Millis,
+        id: RequestId,
+        actions: &mut Vec<Action>,
+    ) -> bool {
+        let Some(index) = self.pick_endpoint(now, id) else {
+            return false;
+        };
+        let idle_step = self.choose_connection(now, index, actions);
+        let Some(pending) = self.pending.get_mut(&id) else {
+            return false;
+        };
+        let endpoint = self.endpoints.endpoint(index);
+        let upstream = endpoint.id;
+        let attempt = pending.start_attempt(index, endpoint, idle_step, now);
+        self.endpoints.record_send(attempt, now);
+        let timeout = self.attempt_timeout(&self.pending[&id], index, idle_step, now);
+        actions.push(Action::Send {
+            request: id,
+            upstream,
+            timeout,
+        });
+        true
+    }
+
+    fn pick_endpoint(&mut self, now: Millis, id: RequestId) -> Option<usize> {
+        let pending = self.pending.get(&id)?;
+        if !pending.has_remaining_attempts(self.settings.max_attempts)
+            || now >= pending.expires_at()
+        {
+            return None;
+        }
+        let retry_constraint = match self.retry_rule(pending, now) {
+            RetryRule::Forbidden => return None,
+            RetryRule::Anywhere => None,
+            RetryRule::Within(constraint) => Some(constraint),
+        };
+        let usual = PickRequest {
+            now,
+            class: pending.class(),
+            even_rate: self.even_rate(),
+            previous: pending.previous_endpoint(),
+            is_last_resort: false,
+            retry_constraint,
+        };
+        let last_resort = PickRequest {
+            previous: None,
+            is_last_resort: true,
+            ..usual
+        };
+        let local_fraction = self.endpoints.local_fraction();
+        let [first, second] = if self.admission.exceeds_local_quota(local_fraction) {
+            [ZoneChoice::Other, ZoneChoice::Preferred]
+        } else {
+            [ZoneChoice::Preferred, ZoneChoice::Other]
+        };
+        let picks = [
+            (first, usual),
+            (second, usual),
+            (ZoneChoice::Preferred, last_resort),
+            (ZoneChoice::Other, last_resort),
+        ];
+        picks.iter().find_map(|(zone_choice, request)| {
+            self.endpoints.pick(*zone_choice, request, &mut self.random)
+        })
+    }
+
+    fn retry_rule(&self, pending: &PendingRequest, now: Millis) -> RetryRule {
+        let Some(first_run) = pending.first_run() else {
+            return RetryRule::Anywhere;
+        };
+        match self.settings.classes[pending.class()].idempotency {
+            Idempotency::Idempotent => RetryRule::Anywhere,
+            Idempotency::NonIdempotent => RetryRule::Forbidden,
+            Idempotency::IdempotencyKey { scope, window } => {
+                // The retry may wait for a connection, and must arrive while upstreams still discard it.
+                let latest_arrival = now + self.settings.connect_timeout;
+                if latest_arrival >= first_run.sent_at + window {
+                    return RetryRule::Forbidden;
+                }
+                RetryRule::Within(RetryConstraint { scope, first_run })
+            }
+        }
+    }
+
+    /// Requests per millisecond that this replica sends each endpoint with full capacity.
+    fn even_rate(&self) -> f64 {
+        let max_candidates = self.endpoints.max_candidates() as f64;
+        let ready_fraction = self.endpoints.ready_fraction();
+        let sent_per_cycle = self.admission.capacity().sent_per_cycle(ready_fraction);
+        sent_per_cycle / ADMISSION_CYCLE / max_candidates
+    }
+
+    /// Returns the idle step of the connection for a request; closes idle connections first if they are stale.
+    fn choose_connection(&mut self, now: Millis, index: usize, actions: &mut Vec<Action>) -> usize {
+        let idle_step = self.endpoints.idle_step(index, now);
+        let is_stale = self.endpoints.idle_losses().is_stale_within(idle_step);
+        if is_stale && self.random.fraction() > STALE_PROBE_FRACTION {
+            let upstream = self.endpoints.endpoint(index).id;
+            actions.push(Action::CloseIdleConnections(upstream));
+            return 0;
+        }
+        idle_step
+    }
+
+    /// The timeout of an attempt: the end of its request, or earlier if responses were lost and a retry is
+    /// allowed and would be in time. Zero: none.
+    fn attempt_timeout(
+        &self,
+        pending: &PendingRequest,
+        index: usize,
+        idle_step: usize,
+        now: Millis,
+    ) -> Millis {
+        if pending.is_body_incomplete() {
+            return 0.0;
+        }
+        let loss = self.endpoints.idle_losses().fraction(idle_step);
+        let is_suspect = self.endpoints.endpoint_failure_rate(index) > SUSPECT_FAILURE_RATE
+            || loss > SUSPECT_LOSS;
+        let idempotency = self.settings.classes[pending.class()].idempotency;
+        let may_retry = idempotency != Idempotency::NonIdempotent
+            && pending.has_remaining_attempts(self.settings.max_attempts)
+            && self.retry_budget.allows_retry();
+        let expected = self.endpoints.latency().class(pending.class());
+        let mean = expected.mean();
+        let relative_latency = self.endpoints.relative_latency(index);
+        let early_timeout =
+            mean * relative_latency.clamp(1.0, MAX_TIMEOUT_FACTOR) + expected.margin().max(mean);
+        if is_suspect && may_retry && now + early_timeout + mean < pending.expires_at() {
+            return early_timeout;
+        }
+        pending.expires_at() - now
+    }
+
+    pub(super) fn handle_attempt_ended(
+        &mut self,
+        now: Millis,
+        end: AttemptEnd,
+        actions: &mut Vec<Action>,
+    ) {
+        let Some(pending) = self.pending.get_mut(&end.request) else {
+            return;
+        };
+        let Some(attempt) = pending.remove_attempt(end.attempt) else {
+            return;
+        };
+        self.endpoints.record_attempt_ended(&attempt);
+        let is_last = !pending.has_attempts();
+        // Upstreams that also shed requests they have started prove nothing by a rejection.
+        let may_have_run =
+            end.outcome == AttemptOutcome::Rejected && self.settings.rejects_after_start;
+        if end.outcome.never_ran() && !may_have_run && is_last {
+            pending.record_never_ran(attempt.number);
+        }
+        if end.request_completed {
+            pending.close();
+        }
+        let is_closed = pending.is_closed();
+        self.record_attempt_outcome(&attempt, end.outcome, end.duration, now);
+        if !is_last {
+            return;
+        }
+        if is_closed {
+            self.pending.remove(&end.request);
+            return;
+        }
+        let may_retry = end.outcome != AttemptOutcome::Success && self.retry_budget.allows_retry();
+        if may_retry && self.send_attempt(now, end.request, actions) {
+            self.retry_budget.record_retry();
+            return;
+        }
+        self.reject_or_fail(end.request, actions);
+    }
+
+    fn record_attempt_outcome(
+        &mut self,
+        attempt: &Attempt,
+        outcome: AttemptOutcome,
+        duration: Millis,
+        now: Millis,
+    ) {
+        let is_own_fault =
+            self.endpoints
+                .record_outcome(attempt, outcome, duration, now, &mut self.random);
+        if outcome == AttemptOutcome::Rejected && self.polling.is_stale(&self.settings, now) {
+            self.endpoints.mark_may_be_draining(attempt.endpoint);
+        }
+        self.endpoints.remove_if_gone(attempt.endpoint);
+        // Faults of a single endpoint or connection do not reduce the capacity of the tier.
+        let is_stale = self.endpoints.idle_losses().is_stale(attempt.idle_step);
+        let ratio = match outcome {
+            AttemptOutcome::Success => {
+                let objective = self.settings.classes[attempt.class].objective;
+                latency_ratio(duration, objective)
+            }
+            AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return,
+            _ if is_own_fault || is_stale => return,
+            _ => MAX_LATENCY_RATIO,
+        };
+        self.admission.record_response(ratio);
+    }
+}
--- a/balancer-core/src/policy/capacity.rs
+++ b/balancer-core/src/policy/capacity.rs
@@ -1,197 +1,294 @@
 //! The learned capacity of the next tier, and the requests in flight that it allows.
-use super::*;
+use crate::policy::latency::{initial_mean_latency, mean_objective, ON_TIME_FRACTION};
+use crate::settings::Settings;
+use crate::time::Millis;
 
-/// Mean latency ratio at which capacity stays: the tail that heavy work and slow servers have anyway.
-const LATENCY_RATIO_STEADY: f64 = 0.08;
-/// Capacity before anything was learned: in the first tier the stated quotas, below it this multiple of them.
-const INITIAL_MULTIPLE_BELOW: f64 = 4.0;
-/// Growth of capacity per cycle when no response is late; its fall per unit of latency ratio, and at most.
+/// Period at which limits and capacity are computed anew.
+pub(super) const ADMISSION_CYCLE: Millis = 1000.0;
+/// Weight of a complete cycle in means over cycles: one replica sees few requests of a tenant per cycle.
+pub(super) const CYCLE_GAIN: f64 = 0.3;
+const MS_PER_SECOND: Millis = 1000.0;
+
+/// Mean latency ratio at which capacity stays: heavy requests and slow endpoints cause that much anyway.
+const STEADY_LATENCY_RATIO: f64 = 0.08;
+/// Initial capacity below the first tier, as a multiple of the stated quotas: a rejection there wastes the
+/// work of the tiers above.
+const INITIAL_MULTIPLE_BELOW_FIRST_TIER: f64 = 4.0;
+/// Initial capacity per cycle if no quotas are stated.
+const INITIAL_CAPACITY_WITHOUT_QUOTAS: f64 = 1000.0;
+const MIN_QUOTA_PER_CYCLE: f64 = 0.1;
+
+/// Growth of capacity per cycle when no response is late.
 const CAPACITY_GROWTH: f64 = 0.2;
-const CAPACITY_FALL: f64 = 0.6;
-const CAPACITY_FALL_MAX: f64 = 0.35;
-/// Share of responses in time below which the floor at the stated quotas gives way; and its least share.
-pub(super) const SUCCESS_WANTED: f64 = 0.7;
-const FLOOR_MIN: f64 = 0.3;
-const RESPONSES_MIN: f64 = 4.0;
-/// Requests in flight allowed beyond what capacity takes, since a replica cannot send parts of a request.
-const INFLIGHT_SPARE: f64 = 1.0;
-/// Latency, as a multiple of the unloaded one, at which requests in flight are what capacity takes, and at
-/// which tenants within limits are rejected too. More is a queue, and overloaded servers slow for long.
-const INFLIGHT_FULL: f64 = 1.6;
-const INFLIGHT_HARD: f64 = 2.2;
-/// The latter where many replicas share the first tier; there the former is the unloaded latency itself.
-const INFLIGHT_HARD_SHARED: f64 = 1.3;
-/// Requests in flight always allowed: a replica that carries little gets them in pairs by chance.
-const INFLIGHT_MIN: f64 = 2.0;
-/// Growth per cycle of what one of many replicas may carry beyond an even share of the quotas, and its fall.
+/// Reduction of capacity per cycle and unit of latency ratio.
+const CAPACITY_REDUCTION: f64 = 0.6;
+const MAX_CAPACITY_REDUCTION: f64 = 0.35;
+/// Fewest responses in a cycle that change capacity.
+const MIN_RESPONSES: f64 = 4.0;
+/// Capacity is at most this multiple of the recent peak of admitted requests.
+const CAPACITY_HEADROOM: f64 = 2.0;
+/// Fraction of the peak that is kept each cycle.
+const PEAK_RETENTION: f64 = 0.95;
+
+/// Fraction of responses within objective below which the minimum capacity drops below the stated quotas.
+const WANTED_SUCCESS: f64 = 0.7;
+/// Smallest minimum capacity, as a fraction of the stated quotas.
+const MIN_CAPACITY_FRACTION: f64 = 0.3;
+
+/// Requests in flight allowed beyond those of capacity: a replica cannot send fractions of a request.
+const SPARE_INFLIGHT: f64 = 1.0;
+/// Requests in flight always allowed: a replica with little traffic receives them in pairs by chance.
+const MIN_INFLIGHT: f64 = 2.0;
+/// Latency, as a multiple of the unloaded one, for which the soft limit leaves room. More means a queue, and
+/// overloaded endpoints stay slow for long.
+const SOFT_LATENCY_MULTIPLE: f64 = 1.6;
+/// The same for the soft limit where many replicas share the first tier.
+const SOFT_LATENCY_MULTIPLE_SHARED: f64 = 1.0;
+/// The same for the hard limit.
+const HARD_LATENCY_MULTIPLE: f64 = 2.2;
+/// The same for the hard limit where many replicas share the first tier.
+const HARD_LATENCY_MULTIPLE_SHARED: f64 = 1.3;
+
+/// Change per cycle of the multiple of its even quota that one of many replicas may use.
 const QUOTA_MULTIPLE_STEP: f64 = 1.5;
-/// Growth per cycle of the unloaded latency, the least mean of late; share of responses in time for that.
+/// Growth per cycle of the unloaded latency.
 const UNLOADED_GROWTH: f64 = 0.02;
+/// Fraction of responses within objective required for that growth.
 const UNLOADED_SUCCESS: f64 = 0.92;
-/// Capacity stays within this multiple of the recent peak admitted, of which this much is kept each cycle.
-const CAPACITY_HEADROOM: f64 = 2.0;
-const PEAK_KEPT: f64 = 0.95;
 
-/// This replica's share of the next tier's capacity. Rates are in requests per cycle.
+/// Limits of requests in flight.
+pub(super) struct InflightLimits {
+    /// From here on, tenants above their limits are rejected.
+    pub(super) soft: f64,
+    /// From here on, all requests are rejected.
+    pub(super) hard: f64,
+}
+
+/// The responses of one cycle.
 #[derive(Default)]
+struct ResponseSample {
+    count: f64,
+    within_objective: f64,
+    latency_ratio_sum: f64,
+}
+
+/// This replica's part of the next tier's capacity. Rates are in requests per cycle.
 pub(super) struct Capacity {
-    pub(super) per_cycle: f64,
-    pub(super) quota: f64,
-    pub(super) success: f64,
+    per_cycle: f64,
+    /// The stated quotas of all tenants, divided evenly among replicas.
+    quota: f64,
+    /// Multiple of `quota` that this replica may use.
+    quota_multiple: f64,
+    /// Smoothed fraction of responses within objective.
+    success: f64,
+    /// Endpoints that accept requests, those in slow start by their fraction of full capacity.
     endpoints: f64,
-    endpoints_max: f64,
-    pub(super) admitted_mean: f64,
+    max_endpoints: f64,
+    admitted_mean: f64,
     admitted_peak: f64,
-    responses: f64,
-    latency_ratios: f64,
-    in_time: f64,
-    /// Mean latency of responses that did not queue; latency on time for a mean class; whether none queue.
-    unloaded: Millis,
-    on_time: Millis,
-    unqueued: bool,
-    /// Whether clients come here first, with quotas stated; and the replicas that share these.
-    pub(super) first_tier: bool,
+    responses: ResponseSample,
+    /// Mean latency of responses that did not queue.
+    unloaded_latency: Millis,
+    /// Latency that is on time for the mean objective.
+    on_time_latency: Millis,
+    /// Whether no requests queue.
+    is_unqueued: bool,
+    /// Whether this is the first tier and quotas are stated.
+    is_first_tier: bool,
+    /// The replicas that share the first tier; one in other tiers.
     replicas: f64,
-    quota_multiple: f64,
 }
 
 impl Capacity {
     pub(super) fn new(settings: &Settings, quota_per_s: f64) -> Self {
         let replicas = f64::from(settings.balancers);
-        let quota = quota_per_s / replicas;
-        // Tiers below start with more room: a rejection there wastes the work done above.
+        let replica_quota_per_s = quota_per_s / replicas;
         let multiple = if settings.tier == 0 {
             1.0
         } else {
-            INITIAL_MULTIPLE_BELOW
+            INITIAL_MULTIPLE_BELOW_FIRST_TIER
         };
-        let stated = multiple * quota * CYCLE / 1000.0;
-        let first_tier = settings.tier == 0 && stated > 0.0;
-        let objective = mean_objective(settings);
-        let (unloaded, on_time) = (objective / 4.0, ON_TIME * objective);
-        // Without stated quotas nothing is known: the first cycle rejects no one, shows what is carried.
-        let per_cycle = if stated > 0.0 { stated } else { 1000.0 };
-        let quota = (quota * CYCLE / 1000.0).max(0.1);
-        let replicas = if first_tier { replicas } else { 1.0 };
-        let ratios = Capacity {
-            success: 1.0,
+        let stated = multiple * replica_quota_per_s * ADMISSION_CYCLE / MS_PER_SECOND;
+        let is_first_tier = settings.tier == 0 && stated > 0.0;
+        let quota = replica_quota_per_s * ADMISSION_CYCLE / MS_PER_SECOND;
+        Capacity {
+            per_cycle: if stated > 0.0 {
+                stated
+            } else {
+                INITIAL_CAPACITY_WITHOUT_QUOTAS
+            },
+            quota: quota.max(MIN_QUOTA_PER_CYCLE),
             quota_multiple: 1.0,
-            ..Capacity::default()
-        };
-        let rates = Capacity {
-            per_cycle,
-            quota,
+            success: 1.0,
+            endpoints: 0.0,
+            max_endpoints: 0.0,
             admitted_mean: stated,
             admitted_peak: stated,
-            ..ratios
-        };
-        Capacity {
-            unloaded,
-            on_time,
-            first_tier,
-            replicas,
-            ..rates
+            responses: ResponseSample::default(),
+            unloaded_latency: initial_mean_latency(settings),
+            on_time_latency: ON_TIME_FRACTION * mean_objective(settings),
+            is_unqueued: false,
+            is_first_tier,
+            replicas: if is_first_tier { replicas } else { 1.0 },
         }
     }
 
-    /// Requests in flight at which tenants above their limits are rejected, and at which all are. More than
-    /// capacity takes in the unloaded latency wait somewhere, long before late responses tell of it.
-    pub(super) fn inflight_limits(&self) -> (f64, f64) {
-        let stated = self.quota * self.endpoint_share() * self.quota_multiple;
-        let rate = if self.first_tier {
+    pub(super) fn per_cycle(&self) -> f64 {
+        self.per_cycle
+    }
+
+    /// Mean of requests admitted per cycle.
+    pub(super) fn admitted_mean(&self) -> f64 {
+        self.admitted_mean
+    }
+
+    /// Whether so many responses are late or failed that capacity may drop below the stated quotas.
+    pub(super) fn is_degraded(&self) -> bool {
+        self.success < WANTED_SUCCESS
+    }
+
+    /// Limits of requests in flight. More requests than capacity needs at the unloaded latency form a queue,
+    /// long before a late response shows it.
+    pub(super) fn inflight_limits(&self) -> InflightLimits {
+        let soft_multiple = self.blend(SOFT_LATENCY_MULTIPLE, SOFT_LATENCY_MULTIPLE_SHARED);
+        let hard_alone = (self.unloaded_latency * HARD_LATENCY_MULTIPLE).max(self.on_time_latency);
+        let hard_shared = self.unloaded_latency * HARD_LATENCY_MULTIPLE_SHARED;
+        InflightLimits {
+            soft: self.inflight_limit(self.unloaded_latency * soft_multiple),
+            hard: self.inflight_limit(self.blend(hard_alone, hard_shared)),
+        }
+    }
+
+    /// Requests in flight at the allowed rate and this latency.
+    fn inflight_limit(&self, latency: Millis) -> f64 {
+        let stated = self.quota * self.endpoint_fraction() * self.quota_multiple;
+        let rate = if self.is_first_tier {
             self.per_cycle.min(stated)
         } else {
             self.per_cycle
         };
-        // One replica keeps endpoints level; many load them by chance, and all hold as much as they may.
-        let blend = |alone: f64, shared: f64| shared + (alone - shared) / self.replicas;
-        let limit = |latency: Millis| {
-            (rate / CYCLE * latency + blend(INFLIGHT_SPARE, 0.0)).max(INFLIGHT_MIN)
-        };
-        let hard_alone = (self.unloaded * INFLIGHT_HARD).max(self.on_time);
-        let hard = blend(hard_alone, self.unloaded * INFLIGHT_HARD_SHARED);
-        (
-            limit(self.unloaded * blend(INFLIGHT_FULL, 1.0)),
-            limit(hard),
-        )
+        let spare = self.blend(SPARE_INFLIGHT, 0.0);
+        (rate / ADMISSION_CYCLE * latency + spare).max(MIN_INFLIGHT)
     }
 
-    /// Whether the own zone is full for this replica: others idle where clients come unevenly.
-    pub(super) fn spills(&self, local_inflight: f64, local_share: f64) -> bool {
-        let even = self.quota * self.endpoint_share() * local_share / CYCLE * self.unloaded;
-        self.first_tier && local_inflight >= even.max(INFLIGHT_MIN)
+    /// Blends the value for a single replica with that for many. One replica spreads its requests evenly over
+    /// endpoints; many replicas load them by chance, and each may use its full limit.
+    fn blend(&self, alone: f64, shared: f64) -> f64 {
+        shared + (alone - shared) / self.replicas
     }
 
-    /// Unloaded latency: the least mean of late. Let up in a jam, it would keep overloaded servers so.
+    /// Whether requests should leave this replica's zone, because its endpoints there have as many in flight
+    /// as its quota needs. `local_fraction` is the fraction of the quota that the zone carries.
+    pub(super) fn exceeds_local_quota(&self, local_inflight: f64, local_fraction: f64) -> bool {
+        let even_inflight = self.quota * self.endpoint_fraction() * local_fraction
+            / ADMISSION_CYCLE
+            * self.unloaded_latency;
+        self.is_first_tier && local_inflight >= even_inflight.max(MIN_INFLIGHT)
+    }
+
+    /// Requests per cycle that this replica sends all endpoints. Rejections of an overload do not reduce it
+    /// below the stated quotas.
+    pub(super) fn sent_per_cycle(&self, ready_fraction: f64) -> f64 {
+        let stated = if self.is_first_tier {
+            self.quota * ready_fraction
+        } else {
+            f64::INFINITY
+        };
+        stated.min(self.admitted_mean)
+    }
+
+    /// Updates the unloaded latency, which is the smallest mean latency of the recent past. It does not grow
+    /// in an overload: higher limits would keep endpoints overloaded.
     pub(super) fn record_latency(&mut self, latency: Millis) {
         let succeeds = self.success >= UNLOADED_SUCCESS;
-        self.unqueued = succeeds && latency <= self.unloaded * INFLIGHT_HARD_SHARED;
-        let jams = !succeeds || latency > self.unloaded * INFLIGHT_FULL;
-        let fallen = (self.quota_multiple / QUOTA_MULTIPLE_STEP).max(1.0);
-        self.quota_multiple = if jams { fallen } else { self.quota_multiple };
-        let growth = if succeeds { 1.0 + UNLOADED_GROWTH } else { 1.0 };
-        self.unloaded = (self.unloaded * growth).min(latency);
+        self.is_unqueued =
+            succeeds && latency <= self.unloaded_latency * HARD_LATENCY_MULTIPLE_SHARED;
+        let is_overloaded = !succeeds || latency > self.unloaded_latency * SOFT_LATENCY_MULTIPLE;
+        if is_overloaded {
+            self.quota_multiple = (self.quota_multiple / QUOTA_MULTIPLE_STEP).max(1.0);
+        }
+        if succeeds {
+            self.unloaded_latency *= 1.0 + UNLOADED_GROWTH;
+        }
+        self.unloaded_latency = self.unloaded_latency.min(latency);
     }
 
-    /// Capacity goes at once with the endpoints that take requests.
+    /// Changes capacity at once with the number of endpoints that accept requests.
     pub(super) fn record_endpoints(&mut self, endpoints: f64) {
         if endpoints > 0.0 {
-            let change = if self.endpoints > 0.0 {
-                endpoints / self.endpoints
-            } else {
-                1.0
-            };
-            (self.per_cycle, self.admitted_peak) =
-                (self.per_cycle * change, self.admitted_peak * change);
-            (self.endpoints, self.endpoints_max) = (endpoints, self.endpoints_max.max(endpoints));
+            if self.endpoints > 0.0 {
+                let change = endpoints / self.endpoints;
+                self.per_cycle *= change;
+                self.admitted_peak *= change;
+            }
+            self.endpoints = endpoints;
+            self.max_endpoints = self.max_endpoints.max(endpoints);
         }
     }
 
     pub(super) fn record_response(&mut self, latency_ratio: f64) {
-        self.in_time += f64::from(u8::from(latency_ratio < 1.0));
-        self.latency_ratios += latency_ratio;
-        self.responses += 1.0;
+        self.responses.within_objective += f64::from(latency_ratio < 1.0);
+        self.responses.latency_ratio_sum += latency_ratio;
+        self.responses.count += 1.0;
     }
 
+    /// Updates the mean of admitted requests per cycle; `gain` is the weight of the newest cycle.
+    pub(super) fn record_admitted(&mut self, admitted: f64, gain: f64) {
+        self.admitted_mean += gain * (admitted - self.admitted_mean);
+    }
+
+    /// Computes the capacity of the next cycle. `rejected_within_limit`: whether a tenant within its limit was
+    /// rejected.
     pub(super) fn end_cycle(&mut self, admitted: f64, rejected_within_limit: bool) {
-        self.admitted_peak = admitted.max(self.admitted_peak * PEAK_KEPT);
-        if self.responses >= RESPONSES_MIN {
+        self.admitted_peak = admitted.max(self.admitted_peak * PEAK_RETENTION);
+        if self.responses.count >= MIN_RESPONSES {
             self.adapt(admitted);
         }
-        if rejected_within_limit && self.unqueued && self.quota_multiple < self.replicas {
-            // Clients come unevenly: more than an even share, and endpoints have room.
-            self.quota_multiple = (self.quota_multiple * QUOTA_MULTIPLE_STEP).min(self.replicas);
-            self.per_cycle = self.per_cycle.max(self.admitted_peak) * QUOTA_MULTIPLE_STEP;
-        } else if rejected_within_limit {
-            // More is lent than can be carried: back to that, so that limits decide who is rejected.
-            self.per_cycle = self.per_cycle.min(admitted);
+        if rejected_within_limit {
+            self.record_rejection_within_limit(admitted);
         }
         self.per_cycle = self
             .per_cycle
             .min(self.admitted_peak * CAPACITY_HEADROOM + 1.0)
-            .max(self.floor());
+            .max(self.minimum());
+    }
+
+    fn record_rejection_within_limit(&mut self, admitted: f64) {
+        if self.is_unqueued && self.quota_multiple < self.replicas {
+            // Clients are spread unevenly over replicas: this one has more than its quota, and endpoints have
+            // spare capacity.
+            self.quota_multiple = (self.quota_multiple * QUOTA_MULTIPLE_STEP).min(self.replicas);
+            self.per_cycle = self.per_cycle.max(self.admitted_peak) * QUOTA_MULTIPLE_STEP;
+        } else {
+            // Limits exceed what the tier carries: reduce them, so that they decide which tenant is rejected.
+            self.per_cycle = self.per_cycle.min(admitted);
+        }
     }
 
     fn adapt(&mut self, admitted: f64) {
-        let mean = self.latency_ratios / self.responses;
-        self.success += DEMAND_GAIN * (self.in_time / self.responses - self.success);
-        if mean > LATENCY_RATIO_STEADY {
-            let fall = (CAPACITY_FALL * (mean - LATENCY_RATIO_STEADY)).min(CAPACITY_FALL_MAX);
-            self.per_cycle = (self.per_cycle * (1.0 - fall)).max(self.floor());
+        let responses = std::mem::take(&mut self.responses);
+        let mean = responses.latency_ratio_sum / responses.count;
+        let success = responses.within_objective / responses.count;
+        self.success += CYCLE_GAIN * (success - self.success);
+        if mean > STEADY_LATENCY_RATIO {
+            let reduction = CAPACITY_REDUCTION * (mean - STEADY_LATENCY_RATIO);
+            let kept = 1.0 - reduction.min(MAX_CAPACITY_REDUCTION);
+            self.per_cycle = (self.per_cycle * kept).max(self.minimum());
         } else {
-            let growth = 1.0 + CAPACITY_GROWTH * (1.0 - mean / LATENCY_RATIO_STEADY);
+            let growth = 1.0 + CAPACITY_GROWTH * (1.0 - mean / STEADY_LATENCY_RATIO);
             self.per_cycle = self.per_cycle.max(admitted) * growth;
         }
-        (self.latency_ratios, self.in_time, self.responses) = (0.0, 0.0, 0.0);
     }
 
-    /// What takes requests, as a share of the most that did. (`min` passes over the NaN before any did.)
-    fn endpoint_share(&self) -> f64 {
-        (self.endpoints / self.endpoints_max).min(1.0)
+    /// Endpoints that accept requests, as a fraction of the most that did; one before any did.
+    fn endpoint_fraction(&self) -> f64 {
+        // `min` ignores the NaN of zero by zero.
+        (self.endpoints / self.max_endpoints).min(1.0)
     }
 
-    /// Least capacity: the stated quotas, less where most responses are late and where endpoints went away.
-    fn floor(&self) -> f64 {
-        self.quota * self.endpoint_share() * (self.success / SUCCESS_WANTED).clamp(FLOOR_MIN, 1.0)
+    /// The minimum capacity: the stated quotas, less where many responses are late or endpoints are missing.
+    fn minimum(&self) -> f64 {
+        let fraction = (self.success / WANTED_SUCCESS).clamp(MIN_CAPACITY_FRACTION, 1.0);
+        self.quota * self.endpoint_fraction() * fraction
     }
 }
--- /dev/null
+++ b/balancer-core/src/policy/endpoints/idle_connections.rs
@@ -0,0 +1,116 @@
+//! Idle connections: which ones a request may get, and after which idle time connections are stale.
+use crate::request::AttemptOutcome;
+use crate::time::Millis;
+
+/// Idle time is counted in steps that double from this.
+const FIRST_IDLE_STEP: Millis = 125.0;
+const IDLE_STEPS: usize = 10;
+/// Weight of the newest attempt in the fraction of lost ones.
+const LOSS_GAIN: f64 = 0.1;
+/// The same for an immediate reset, which proves that the connection was stale.
+const RESET_GAIN: f64 = 0.5;
+/// A reset within this time is an immediate one.
+const IMMEDIATE_RESET: Millis = 10.0;
+/// Fraction of lost attempts from which connections are stale.
+const STALE_LOSS: f64 = 0.2;
+/// Connections are stale only if they lose this multiple of the attempts that new connections lose.
+const STALE_LOSS_RATIO: f64 = 2.0;
+
+/// The connections to one endpoint, estimated from the requests sent.
+pub(super) struct IdleConnections {
+    /// Connections that should be open, in use or idle.
+    open: u32,
+    /// Since when one of them may have been idle.
+    idle_since: Millis,
+}
+
+impl IdleConnections {
+    pub(super) fn new(now: Millis) -> Self {
+        IdleConnections {
+            open: 0,
+            idle_since: now,
+        }
+    }
+
+    /// Idle step of the connection that the next request gets; zero for a new connection.
+    pub(super) fn idle_step(&self, inflight: u32, idle_close: Millis, now: Millis) -> usize {
+        let idle = now - self.idle_since;
+        if self.open <= inflight || idle >= idle_close {
+            return 0;
+        }
+        let step = ((idle / FIRST_IDLE_STEP).max(0.5).log2() + 2.0) as usize;
+        step.min(IDLE_STEPS - 1)
+    }
+
+    /// A request is sent; `inflight` is the number of earlier requests in flight.
+    pub(super) fn record_send(&mut self, idle_step: usize, inflight: u32, now: Millis) {
+        if idle_step == 0 {
+            self.open = inflight;
+        }
+        let in_use = inflight + 1;
+        if self.open <= in_use {
+            self.open = in_use;
+            self.idle_since = now;
+        }
+    }
+
+    /// A request ended; `inflight` is the number of requests in flight including it.
+    pub(super) fn record_end(&mut self, outcome: AttemptOutcome, inflight: u32, now: Millis) {
+        if inflight >= self.open {
+            self.idle_since = now;
+        }
+        let is_closed = matches!(
+            outcome,
+            AttemptOutcome::Timeout
+                | AttemptOutcome::Reset
+                | AttemptOutcome::Cancelled
+                | AttemptOutcome::ConnectFailed
+        );
+        if is_closed {
+            self.open = self.open.saturating_sub(1);
+        }
+    }
+}
+
+/// Fraction of attempts that got no response, by the idle step of their connection.
+#[derive(Default)]
+pub(crate) struct IdleLosses {
+    by_step: [f64; IDLE_STEPS],
+}
+
+impl IdleLosses {
+    pub(crate) fn fraction(&self, step: usize) -> f64 {
+        self.by_step[step]
+    }
+
+    /// Whether connections of this idle step are stale: an intermediary closed them without notice.
+    pub(crate) fn is_stale(&self, step: usize) -> bool {
+        let loss = self.by_step[step];
+        loss > STALE_LOSS && loss > STALE_LOSS_RATIO * self.by_step[0]
+    }
+
+    /// Whether connections of this idle step or a shorter one are stale.
+    pub(crate) fn is_stale_within(&self, step: usize) -> bool {
+        (1..=step).any(|shorter| self.is_stale(shorter))
+    }
+
+    pub(crate) fn record(&mut self, step: usize, outcome: AttemptOutcome, duration: Millis) {
+        let is_unrelated = matches!(
+            outcome,
+            AttemptOutcome::Cancelled | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
+        );
+        if is_unrelated {
+            return;
+        }
+        // A later reset shows that the connection was usable.
+        let is_immediate_reset = outcome == AttemptOutcome::Reset && duration < IMMEDIATE_RESET;
+        let is_lost = is_immediate_reset || outcome == AttemptOutcome::Timeout;
+        let gain = if is_immediate_reset && step > 0 {
+            RESET_GAIN
+        } else {
+            LOSS_GAIN
+        };
+        let loss = &mut self.by_step[step];
+        *loss += gain * (f64::from(is_lost) - *loss);
+    }
+}
--- /dev/null
+++ b/balancer-core/src/policy/endpoints/in_flight.rs
@@ -0,0 +1,83 @@
+//! Requests in flight to one endpoint.
+use crate::time::Millis;
+
+/// Requests in flight, and since when the endpoint has been expected to respond.
+#[derive(Default)]
+pub(super) struct InFlight {
+    count: u32,
+    /// Requests whose body is incomplete or whose response has started.
+    unawaited: u32,
+    /// The class of each request.
+    classes: Vec<usize>,
+    awaited_since: Millis,
+}
+
+impl InFlight {
+    pub(super) fn new(now: Millis) -> Self {
+        InFlight {
+            awaited_since: now,
+            ..InFlight::default()
+        }
+    }
+
+    pub(super) fn count(&self) -> u32 {
+        self.count
+    }
+
+    /// Requests that the endpoint is expected to respond to now.
+    pub(super) fn awaited(&self) -> u32 {
+        self.count.saturating_sub(self.unawaited)
+    }
+
+    pub(super) fn classes(&self) -> &[usize] {
+        &self.classes
+    }
+
+    /// Time since the endpoint last responded, or since it was first expected to after that.
+    pub(super) fn wait(&self, now: Millis) -> Millis {
+        now - self.awaited_since
+    }
+
+    pub(super) fn add(&mut self, class: usize, is_awaited: bool, now: Millis) {
+        self.classes.push(class);
+        self.start_waiting(now);
+        self.count += 1;
+        if !is_awaited {
+            self.unawaited += 1;
+        }
+    }
+
+    pub(super) fn remove(&mut self, class: usize) {
+        self.count = self.count.saturating_sub(1);
+        let position = self.classes.iter().position(|&other| other == class);
+        if let Some(position) = position {
+            self.classes.swap_remove(position);
+        }
+    }
+
+    pub(super) fn record_response(&mut self, now: Millis) {
+        self.awaited_since = now;
+    }
+
+    /// A request in flight is awaited no longer.
+    pub(super) fn add_unawaited(&mut self) {
+        self.unawaited += 1;
+    }
+
+    /// An unawaited request is about to be removed.
+    pub(super) fn remove_unawaited(&mut self) {
+        self.unawaited = self.unawaited.saturating_sub(1);
+    }
+
+    /// An unawaited request is awaited from now on.
+    pub(super) fn await_unawaited(&mut self, now: Millis) {
+        self.start_waiting(now);
+        self.remove_unawaited();
+    }
+
+    fn start_waiting(&mut self, now: Millis) {
+        if self.awaited() == 0 {
+            self.awaited_since = now;
+        }
+    }
+}
--- /dev/null
+++ b/balancer-core/src/policy/endpoints/picker.rs
@@ -0,0 +1,155 @@
+//! The pick of an endpoint for an attempt.
+use crate::policy::attempt::RetryConstraint;
+use crate::policy::endpoints::slow_start::send_rate;
+use crate::policy::endpoints::subset::ZoneChoice;
+use crate::policy::endpoints::Endpoints;
+use crate::policy::random::Random;
+use crate::time::Millis;
+use std::cmp::Ordering;
+
+/// Random draws before a search of all candidates.
+const DRAWS: usize = 6;
+/// Ratio of relative latencies that decides between two endpoints with as many requests in flight.
+const SLOWER_RATIO: f64 = 1.25;
+
+/// What an attempt needs.
+#[derive(Clone, Copy)]
+pub(crate) struct PickRequest {
+    pub(crate) now: Millis,
+    pub(crate) class: usize,
+    /// Requests per millisecond that this replica sends each endpoint with full capacity.
+    pub(crate) even_rate: f64,
+    /// The endpoint of the previous attempt.
+    pub(crate) previous: Option<usize>,
+    /// Whether ejected and unresponsive endpoints are acceptable; overloaded ones are not.
+    pub(crate) is_last_resort: bool,
+    pub(crate) retry_constraint: Option<RetryConstraint>,
+}
+
+impl Endpoints {
+    /// Picks the less busy of two random candidates that may receive the attempt.
+    pub(in crate::policy) fn pick(
+        &mut self,
+        zone_choice: ZoneChoice,
+        request: &PickRequest,
+        random: &mut Random,
+    ) -> Option<usize> {
+        let count = self.subset.candidates(request.class, zone_choice).len();
+        if count == 0 {
+            return None;
+        }
+        let start = random.index(count);
+        if request.now < self.slow_start_ends_at {
+            let unused = self.find_unused_in_slow_start(start, zone_choice, request);
+            if unused.is_some() {
+                return unused;
+            }
+        }
+        let mut first = None;
+        for _ in 0..DRAWS {
+            let index = self.candidate(request.class, zone_choice, random.index(count));
+            let is_repeated = first == Some(index) && count > 1;
+            if is_repeated || !self.may_send(index, request) {
+                continue;
+            }
+            let Some(other) = first else {
+                first = Some(index);
+                continue;
+            };
+            if self.is_less_busy(index, other, request.now) {
+                return Some(index);
+            }
+            return first;
+        }
+        first.or_else(|| self.find_allowed(start + DRAWS, zone_choice, request))
+    }
+
+    /// An endpoint in slow start without requests in flight. Its tokens expire before random draws would find
+    /// it where traffic is low.
+    fn find_unused_in_slow_start(
+        &mut self,
+        start: usize,
+        zone_choice: ZoneChoice,
+        request: &PickRequest,
+    ) -> Option<usize> {
+        let count = self.subset.candidates(request.class, zone_choice).len();
+        for position in start..start + count {
+            let index = self.candidate(request.class, zone_choice, position);
+            let is_unused = self.slots[index].in_flight.count() == 0
+                && self.capacity_fraction(index, request.now) < 1.0;
+            if is_unused && self.may_send(index, request) {
+                return Some(index);
+            }
+        }
+        None
+    }
+
+    /// The first candidate from `start` on that may receive the attempt.
+    fn find_allowed(
+        &mut self,
+        start: usize,
+        zone_choice: ZoneChoice,
+        request: &PickRequest,
+    ) -> Option<usize> {
+        let count = self.subset.candidates(request.class, zone_choice).len();
+        for position in start..start + count {
+            let index = self.candidate(request.class, zone_choice, position);
+            if self.may_send(index, request) {
+                return Some(index);
+            }
+        }
+        None
+    }
+
+    /// The candidate at a position, counted round and round.
+    fn candidate(&self, class: usize, zone_choice: ZoneChoice, position: usize) -> usize {
+        let candidates = self.subset.candidates(class, zone_choice);
+        candidates[position % candidates.len()]
+    }
+
+    /// Whether an endpoint may receive this attempt now. In slow start, this uses up the tokens that expire.
+    fn may_send(&mut self, index: usize, request: &PickRequest) -> bool {
+        if self.is_excluded(index, request) {
+            return false;
+        }
+        let capacity_fraction = self.capacity_fraction(index, request.now);
+        if capacity_fraction >= 1.0 {
+            return true;
+        }
+        let rate = send_rate(&self.settings, request.even_rate, capacity_fraction);
+        let window = self.settings.slow_start_overload_window;
+        self.slots[index]
+            .send_tokens
+            .refill(rate, window, request.now)
+    }
+
+    fn is_excluded(&self, index: usize, request: &PickRequest) -> bool {
+        let endpoint = &self.slots[index].endpoint;
+        let constraint = request.retry_constraint;
+        let discards_retry = constraint.is_none_or(|constraint| constraint.allows(endpoint));
+        request.previous == Some(index)
+            || !discards_retry
+            || self.is_overloaded(index, request.now)
+            || (!request.is_last_resort && self.is_avoided(index, request.now))
+    }
+
+    /// Compares by requests in flight, then by relative latency, then by the time of last use.
+    fn is_less_busy(&self, index: usize, other: usize, now: Millis) -> bool {
+        let one = &self.slots[index];
+        let two = &self.slots[other];
+        match one.in_flight.count().cmp(&two.in_flight.count()) {
+            Ordering::Less => return true,
+            Ordering::Greater => return false,
+            Ordering::Equal => {}
+        }
+        let one_latency = one.faded_relative_latency(now);
+        let two_latency = two.faded_relative_latency(now);
+        if one_latency > SLOWER_RATIO * two_latency {
+            return false;
+        }
+        if two_latency > SLOWER_RATIO * one_latency {
+            return true;
+        }
+        one.last_used_at() < two.last_used_at()
+    }
+}
--- /dev/null
+++ b/balancer-core/src/policy/tenant_limits.rs
@@ -0,0 +1,56 @@
+//! Division of capacity among tenants.
+
+/// The limit of each tenant for the next cycle, from its demand in the last one.
+///
+/// Each tenant has a default limit by its weight. What a tenant does not use of it is lent to the others, but
+/// for the fraction `reservation`. Limits are not negative, and their sum is at most `capacity`, up to
+/// rounding.
+pub fn tenant_limits(
+    capacity: f64,
+    demands: &[f64],
+    weights: &[f64],
+    reservation: f64,
+) -> Vec<f64> {
+    let defaults = default_limits(capacity, weights);
+    let wanted: Vec<f64> = demands
+        .iter()
+        .zip(&defaults)
+        .map(|(&demand, &default)| demand.max(default * reservation))
+        .collect();
+    let gaps: Vec<f64> = defaults
+        .iter()
+        .zip(&wanted)
+        .map(|(default, wanted)| default - wanted)
+        .collect();
+    let deficit: f64 = gaps.iter().filter(|&&gap| gap < 0.0).map(|gap| -gap).sum();
+    let surplus: f64 = gaps.iter().filter(|&&gap| gap > 0.0).sum();
+    let limit = |tenant: usize| {
+        let gap = gaps[tenant];
+        if gap <= 0.0 {
+            let borrowed = fraction_of(-gap, deficit, 0.0) * surplus;
+            defaults[tenant] + (-gap).min(borrowed)
+        } else {
+            let returned = fraction_of(gap, surplus, 0.0) * (surplus - deficit).max(0.0);
+            wanted[tenant] + returned
+        }
+    };
+    (0..demands.len()).map(limit).collect()
+}
+
+/// Capacity divided by weight, or evenly if all weights are zero.
+fn default_limits(capacity: f64, weights: &[f64]) -> Vec<f64> {
+    let total: f64 = weights.iter().sum();
+    let even = 1.0 / weights.len() as f64;
+    weights
+        .iter()
+        .map(|&weight| capacity * fraction_of(weight, total, even))
+        .collect()
+}
+
+fn fraction_of(part: f64, total: f64, if_total_is_zero: f64) -> f64 {
+    if total > 0.0 {
+        part / total
+    } else {
+        if_total_is_zero
+    }
+}
--- a/balancer-core/tests/limits.rs
+++ b/balancer-core/tests/limits.rs
@@ -1,5 +1,5 @@
 //! The published rule as a pure function: the post's worked table, edges, and what always holds.
-use balancer_core::limits;
+use balancer_core::tenant_limits;
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
@@ -16,7 +16,7 @@
 #[test]
 fn the_posts_worked_table() {
     let equal = [1.0; 4];
-    let next = |demands: &[f64]| limits(40.0, demands, &equal, 0.1);
+    let next = |demands: &[f64]| tenant_limits(40.0, demands, &equal, 0.1);
     // The first cycle splits equally: nothing was asked yet, and all that is left goes back in parts.
     near(&next(&[0.0; 4]), &[10.0; 4]);
     near(&next(&[2.0, 15.0, 10.0, 10.0]), &[5.0, 15.0, 10.0, 10.0]);
@@ -26,25 +26,25 @@
 
 #[test]
 fn edges() {
-    assert_eq!(limits(0.0, &[3.0, 0.0], &[1.0, 1.0], 0.1), [0.0, 0.0]);
+    assert_eq!(tenant_limits(0.0, &[3.0, 0.0], &[1.0, 1.0], 0.1), [0.0, 0.0]);
     assert_eq!(
-        limits(12.0, &[50.0], &[1.0], 0.1),
+        tenant_limits(12.0, &[50.0], &[1.0], 0.1),
         [12.0],
         "one tenant has it all and no one to borrow from"
     );
-    assert_eq!(limits(12.0, &[0.0], &[1.0], 0.1), [12.0]);
+    assert_eq!(tenant_limits(12.0, &[0.0], &[1.0], 0.1), [12.0]);
     assert_eq!(
-        limits(30.0, &[90.0, 40.0, 70.0], &[1.0; 3], 0.1),
+        tenant_limits(30.0, &[90.0, 40.0, 70.0], &[1.0; 3], 0.1),
         [10.0; 3],
         "all over: the defaults"
     );
     assert_eq!(
-        limits(10.0, &[5.0, 5.0], &[0.0, 0.0], 0.1),
+        tenant_limits(10.0, &[5.0, 5.0], &[0.0, 0.0], 0.1),
         [5.0, 5.0],
         "shares of an empty total"
     );
-    assert!(limits(10.0, &[], &[], 0.1).is_empty());
-    let unequal = limits(100.0, &[500.0, 5.0], &[3.0, 1.0], 0.1);
+    assert!(tenant_limits(10.0, &[], &[], 0.1).is_empty());
+    let unequal = tenant_limits(100.0, &[500.0, 5.0], &[3.0, 1.0], 0.1);
     assert_eq!(
         unequal,
         [95.0, 5.0],
@@ -61,7 +61,7 @@
         let capacity = draw(1000.0);
         let demands: Vec<f64> = (0..n).map(|_| draw(2.0).floor() * draw(900.0)).collect();
         let weights: Vec<f64> = (0..n).map(|_| draw(3.0).floor() * draw(1.0)).collect();
-        let got = limits(capacity, &demands, &weights, draw(1.0));
+        let got = tenant_limits(capacity, &demands, &weights, draw(1.0));
         assert!(
             got.iter().all(|&l| l >= 0.0 && l.is_finite()),
             "{capacity} {demands:?} {weights:?}: {got:?}"
