--- a/balancer/src/admin/mod.rs
+++ b/balancer/src/admin/mod.rs
@@ -1,4 +1,14 @@
-//! The admin endpoint, and the administrative overrides it keeps.
+//! The admin endpoint, and the administrative overrides that staff set through it.
+//!
+//! An override holds for every process of this balancer, so that it outlasts an upgrade. [`override_store`] keeps the
+//! overrides in a file, [`override_sync`] puts them in force, and [`process_coordinator`] hands over between processes.
 
-pub(crate) mod overrides;
+pub(crate) mod override_store;
+pub(crate) mod override_sync;
+pub(crate) mod process_coordinator;
 pub(crate) mod server;
+
+mod command;
+mod override_error;
+mod overrides;
+mod response;
--- /dev/null
+++ b/balancer/src/admin/override_store.rs
@@ -0,0 +1,145 @@
+//! The store of the overrides: a small file that every process of this balancer reads and writes.
+use crate::admin::override_error::{OverrideError, OverrideReadError};
+use crate::admin::overrides::{Overrides, FORMAT_VERSION};
+use std::fs::{File, TryLockError};
+use std::io::{self, ErrorKind};
+use std::path::{Path, PathBuf};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
+
+/// The overrides. The name stays: processes of other versions share the file during an upgrade.
+const OVERRIDES_FILE: &str = "herondock-orders.json";
+/// The next overrides until they are complete. The name stays: it belongs to [`OVERRIDES_FILE`].
+const NEW_OVERRIDES_FILE: &str = "herondock-orders.new";
+/// Locked during a change. The name stays: processes of other versions take the same lock.
+const CHANGE_LOCK_FILE: &str = "herondock-orders.lock";
+/// Locked by the process that serves alone. The name stays: processes of other versions take the same lock.
+const PROCESS_LOCK_FILE: &str = "herondock-process.lock";
+/// Largest file that is read, in bytes: enough for thousands of upstreams.
+const MAX_FILE_SIZE: u64 = 1 << 20;
+
+/// Keeps the overrides. Its methods block on the disk.
+#[derive(Clone)]
+pub struct OverrideStore {
+    /// Where the files are; `None` keeps the overrides in this process only.
+    folder: Option<PathBuf>,
+    /// The newest overrides that this process has seen.
+    newest: Arc<Mutex<Overrides>>,
+}
+
+impl OverrideStore {
+    /// A store in a folder that all processes of this balancer share, and no other balancer.
+    pub fn new(folder: Option<PathBuf>) -> OverrideStore {
+        OverrideStore {
+            folder,
+            newest: Arc::default(),
+        }
+    }
+
+    fn newest(&self) -> MutexGuard<'_, Overrides> {
+        // Overrides are replaced as a whole, so they are valid after a panic elsewhere.
+        self.newest.lock().unwrap_or_else(PoisonError::into_inner)
+    }
+
+    /// Reads the newest overrides. After an error those that were read before stay in force.
+    pub fn read(&self) -> Result<Overrides, OverrideReadError> {
+        let Some(folder) = &self.folder else {
+            return Ok(self.newest().clone());
+        };
+        let stored = read_file(&folder.join(OVERRIDES_FILE))?;
+        let mut newest = self.newest();
+        if let Some(stored) = stored {
+            if stored.newer_than(&newest) {
+                *newest = stored;
+            }
+        }
+        Ok(newest.clone())
+    }
+
+    /// Changes the overrides. They are stored once this returns.
+    pub fn change(&self, change: impl FnOnce(&mut Overrides)) -> Result<Overrides, OverrideError> {
+        let Some(folder) = &self.folder else {
+            let mut newest = self.newest();
+            change(&mut newest);
+            newest.increment_revision();
+            return Ok(newest.clone());
+        };
+        let not_stored = |source: io::Error| OverrideError::NotStored {
+            folder: folder.clone(),
+            source,
+        };
+        // Keeps two processes from changing the file at once. The lock file is left, as another process may hold it.
+        let lock = File::create(folder.join(CHANGE_LOCK_FILE)).map_err(not_stored)?;
+        lock.lock().map_err(not_stored)?;
+        let mut overrides = match self.read() {
+            Ok(overrides) => overrides,
+            // A file that the system failed to read may be valid, and must not be overwritten.
+            Err(OverrideReadError::Unreadable { source, .. }) => return Err(not_stored(source)),
+            // An invalid file is replaced by what this process knows.
+            Err(_) => self.newest().clone(),
+        };
+        change(&mut overrides);
+        overrides.increment_revision();
+        write_file(folder, &overrides).map_err(not_stored)?;
+        *self.newest() = overrides.clone();
+        Ok(overrides)
+    }
+
+    /// Takes the lock of this balancer's only process; `None` while another process has it.
+    pub fn try_lock_process(&self) -> Option<ProcessLock> {
+        let Some(folder) = &self.folder else {
+            return Some(ProcessLock { _file: None });
+        };
+        let file = File::create(folder.join(PROCESS_LOCK_FILE)).ok()?;
+        match file.try_lock() {
+            Err(TryLockError::WouldBlock) => None,
+            // Where files cannot be locked, another process cannot be detected.
+            Ok(()) | Err(TryLockError::Error(_)) => Some(ProcessLock { _file: Some(file) }),
+        }
+    }
+}
+
+/// The lock of this balancer's only process. The system releases it when the process ends, however it ends.
+pub struct ProcessLock {
+    _file: Option<File>,
+}
+
+/// Reads the stored overrides; `None` if there is no file.
+fn read_file(path: &Path) -> Result<Option<Overrides>, OverrideReadError> {
+    let unreadable = |source: io::Error| OverrideReadError::Unreadable {
+        file_name: OVERRIDES_FILE,
+        source,
+    };
+    let path_buf = || path.to_path_buf();
+    let size = match std::fs::metadata(path) {
+        Ok(metadata) => metadata.len(),
+        Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
+        Err(error) => return Err(unreadable(error)),
+    };
+    if size > MAX_FILE_SIZE {
+        return Err(OverrideReadError::TooLarge { path: path_buf() });
+    }
+    let text = std::fs::read(path).map_err(unreadable)?;
+    let overrides: Overrides =
+        serde_json::from_slice(&text).map_err(|source| OverrideReadError::Malformed {
+            path: path_buf(),
+            source,
+        })?;
+    if overrides.format_version() != FORMAT_VERSION {
+        return Err(OverrideReadError::UnsupportedVersion {
+            path: path_buf(),
+            found: overrides.format_version(),
+            supported: FORMAT_VERSION,
+        });
+    }
+    Ok(Some(overrides))
+}
+
+/// Writes the file so that it is complete whenever the process ends.
+fn write_file(folder: &Path, overrides: &Overrides) -> io::Result<()> {
+    let new_file = folder.join(NEW_OVERRIDES_FILE);
+    std::fs::write(&new_file, serde_json::to_vec(overrides)?)?;
+    std::fs::rename(new_file, folder.join(OVERRIDES_FILE))
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/balancer/src/admin/override_store/tests.rs
@@ -0,0 +1,103 @@
+//! Overrides that processes share, and files that cannot be read or written.
+use super::*;
+
+/// An empty folder for one test.
+fn empty_folder(name: &str) -> PathBuf {
+    let folder = std::env::temp_dir().join(format!("balancer-{}-{name}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder);
+    std::fs::create_dir(&folder).expect("a folder");
+    folder
+}
+
+#[test]
+fn overrides_hold_for_every_process_and_the_next_one() {
+    let folder = empty_folder("hold");
+    let first = OverrideStore::new(Some(folder.clone()));
+    let second = OverrideStore::new(Some(folder.clone()));
+    first.change(|o| o.suspend("s-1")).expect("stored");
+    second.change(|o| o.suspend("s-2")).expect("stored");
+    second
+        .change(|o| o.restore("s-1", 5.0, 9.0))
+        .expect("stored");
+    first.change(|o| o.set_paused(true)).expect("stored");
+    let overrides = OverrideStore::new(Some(folder.clone()))
+        .read()
+        .expect("a valid file");
+    assert_eq!(overrides.suspended().len(), 1);
+    assert_eq!(overrides.restored().len(), 1);
+    assert!(overrides.is_paused());
+    assert_eq!(overrides, first.read().expect("a valid file"));
+    assert_eq!(overrides, second.read().expect("a valid file"));
+    std::fs::remove_dir_all(folder).expect("removes");
+}
+
+#[test]
+fn names_invalid_file_and_replaces_it_with_the_next_change() {
+    let folder = empty_folder("torn");
+    for text in ["", "{\"version\":1,\"rev", "{}", "\u{0}"] {
+        std::fs::write(folder.join(OVERRIDES_FILE), text).expect("writes");
+        let store = OverrideStore::new(Some(folder.clone()));
+        assert!(
+            store
+                .read()
+                .is_err_and(|e| e.to_string().contains(OVERRIDES_FILE)),
+            "{text:?}"
+        );
+        assert!(store.change(|o| o.suspend("s-1")).is_ok());
+        assert!(store.read().is_ok_and(|o| o.suspended().contains("s-1")));
+    }
+    let later = std::fs::read_to_string(folder.join(OVERRIDES_FILE))
+        .expect("reads")
+        .replace("n\":1", "n\":2");
+    std::fs::write(folder.join(OVERRIDES_FILE), later).expect("writes");
+    let error = OverrideStore::new(Some(folder.clone()))
+        .read()
+        .expect_err("another version");
+    assert!(error.to_string().contains("version 2"), "{error}");
+    std::fs::remove_dir_all(folder).expect("removes");
+}
+
+#[test]
+fn reports_change_that_cannot_be_stored() {
+    let folder = empty_folder("gone");
+    std::fs::remove_dir_all(&folder).expect("removes");
+    let error = OverrideStore::new(Some(folder))
+        .change(|o| o.set_paused(true))
+        .expect_err("no folder");
+    assert!(
+        error.to_string().starts_with("the order is not kept"),
+        "{error}"
+    );
+}
+
+/// A file that the system fails to read for a moment may be valid. Overwriting it would lose all overrides.
+#[test]
+fn does_not_overwrite_file_that_cannot_be_read_for_a_moment() {
+    let folder = empty_folder("moment");
+    OverrideStore::new(Some(folder.clone()))
+        .change(|o| o.suspend("s-1"))
+        .expect("stored");
+    let file = folder.join(OVERRIDES_FILE);
+    let aside = folder.join("aside");
+    std::fs::rename(&file, &aside).expect("renames");
+    // A link to itself can be replaced but not read.
+    std::os::unix::fs::symlink(&file, &file).expect("links");
+    let store = OverrideStore::new(Some(folder.clone()));
+    assert!(store.change(|o| o.suspend("s-2")).is_err());
+    std::fs::rename(&aside, &file).expect("renames");
+    let overrides = store.change(|o| o.suspend("s-2")).expect("stored");
+    assert_eq!(overrides.suspended().len(), 2, "{overrides:?}");
+    std::fs::remove_dir_all(folder).expect("removes");
+}
+
+#[test]
+fn only_one_process_at_a_time_has_the_process_lock() {
+    let folder = empty_folder("alone");
+    let first = OverrideStore::new(Some(folder.clone()));
+    let second = OverrideStore::new(Some(folder.clone()));
+    let lock = first.try_lock_process();
+    assert!(lock.is_some() && second.try_lock_process().is_none());
+    drop(lock);
+    assert!(second.try_lock_process().is_some());
+    std::fs::remove_dir_all(folder).expect("removes");
+}
--- /dev/null
+++ b/balancer/src/admin/override_sync.rs
@@ -0,0 +1,125 @@
+//! Puts the stored overrides in force, whichever process of this balancer they were set at.
+use crate::admin::override_error::{OverrideError, OverrideReadError};
+use crate::admin::override_store::{OverrideStore, ProcessLock};
+use crate::admin::overrides::Overrides;
+use crate::control::driver::DriverHandle;
+use crate::inbound::server::Phase;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use tokio::sync::watch;
+use tokio::task::JoinError;
+
+/// Keeps the overrides in force in step with the store.
+pub struct OverrideSync {
+    driver: DriverHandle,
+    phase: Rc<watch::Sender<Phase>>,
+    store: OverrideStore,
+    /// The overrides in force.
+    applied: RefCell<Overrides>,
+    /// Whether the last read failed. An error is logged only once.
+    last_read_failed: Cell<bool>,
+}
+
+impl OverrideSync {
+    /// Before the first read no override is in force.
+    pub fn new(
+        driver: DriverHandle,
+        phase: Rc<watch::Sender<Phase>>,
+        store: OverrideStore,
+    ) -> Rc<OverrideSync> {
+        Rc::new(OverrideSync {
+            driver,
+            phase,
+            store,
+            applied: RefCell::default(),
+            last_read_failed: Cell::new(false),
+        })
+    }
+
+    /// How many processes of this balancer have started to serve.
+    pub fn processes(&self) -> u64 {
+        self.applied.borrow().processes()
+    }
+
+    /// Whether clients are sent away.
+    pub fn is_paused(&self) -> bool {
+        self.applied.borrow().is_paused()
+    }
+
+    /// Puts overrides in force that another process has stored. Returns whether the system could read the file, be its
+    /// content valid or not.
+    pub async fn refresh(&self) -> bool {
+        let error = match self.on_disk(|store| store.read()).await {
+            Ok(Ok(overrides)) => {
+                self.last_read_failed.set(false);
+                self.apply(overrides);
+                return true;
+            }
+            Ok(Err(error)) => error,
+            Err(_) => return false,
+        };
+        self.log_read_error(&error);
+        error.is_content_invalid()
+    }
+
+    fn log_read_error(&self, error: &OverrideReadError) {
+        if !self.last_read_failed.replace(true) {
+            eprintln!("orders: {error}: passed over");
+        }
+    }
+
+    /// Changes the overrides. They are stored and in force once this returns.
+    pub async fn change(
+        &self,
+        change: impl FnOnce(&mut Overrides) + Send + 'static,
+    ) -> Result<(), OverrideError> {
+        let overrides = self.on_disk(|store| store.change(change)).await??;
+        self.apply(overrides);
+        Ok(())
+    }
+
+    /// Takes the lock of this balancer's only process; `None` while another process has it.
+    pub async fn try_lock_process(&self) -> Option<ProcessLock> {
+        let lock = self.on_disk(|store| store.try_lock_process()).await;
+        lock.ok().flatten()
+    }
+
+    /// Runs work that may block on the disk.
+    async fn on_disk<T: Send + 'static>(
+        &self,
+        work: impl FnOnce(OverrideStore) -> T + Send + 'static,
+    ) -> Result<T, JoinError> {
+        let store = self.store.clone();
+        tokio::task::spawn_blocking(move || work(store)).await
+    }
+
+    fn apply(&self, overrides: Overrides) {
+        let mut applied = self.applied.borrow_mut();
+        if !overrides.newer_than(&applied) {
+            return;
+        }
+        for name in overrides.suspended().difference(applied.suspended()) {
+            self.driver.suspend(name);
+        }
+        for (name, &restored_at) in overrides.restored() {
+            if applied.restored().get(name) != Some(&restored_at) {
+                self.driver.restore(name, restored_at);
+            }
+        }
+        self.apply_pause(overrides.is_paused());
+        *applied = overrides;
+    }
+
+    fn apply_pause(&self, paused: bool) {
+        self.phase.send_if_modified(|phase| {
+            let next = match *phase {
+                Phase::Serving | Phase::Paused if paused => Phase::Paused,
+                Phase::Serving | Phase::Paused => Phase::Serving,
+                // Clients of a process that has handed off are sent away too.
+                Phase::HandedOff if paused => Phase::Closing,
+                other => other,
+            };
+            std::mem::replace(phase, next) != next
+        });
+    }
+}
--- /dev/null
+++ b/balancer/src/admin/process_coordinator.rs
@@ -0,0 +1,137 @@
+//! Handoff between two processes of one balancer during an upgrade.
+use crate::admin::override_error::OverrideError;
+use crate::admin::override_store::ProcessLock;
+use crate::admin::override_sync::OverrideSync;
+use crate::control::driver::DriverHandle;
+use crate::inbound::server::Phase;
+use crate::net::descriptor_budget::DescriptorBudget;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::time::{sleep, timeout, Instant};
+
+/// How often the store is read. It is much shorter than the grace period of a suspension.
+const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
+/// How long a process that starts waits until the system can read the overrides.
+const OVERRIDE_READ_TIMEOUT: Duration = Duration::from_secs(1);
+/// How long a process that starts beside another one waits for its first endpoint list.
+const ENDPOINT_LIST_TIMEOUT: Duration = Duration::from_secs(2);
+
+/// Coordinates this process with a predecessor and a successor.
+pub struct ProcessCoordinator {
+    driver: DriverHandle,
+    sockets: DescriptorBudget,
+    phase: Rc<watch::Sender<Phase>>,
+    overrides: Rc<OverrideSync>,
+    /// This process's number among those of this balancer; zero until it is registered.
+    process_number: Cell<u64>,
+    /// Held once no other process of this balancer runs.
+    process_lock: RefCell<Option<ProcessLock>>,
+    /// Whether half of the descriptors was left to a successor.
+    has_yielded: Cell<bool>,
+}
+
+impl ProcessCoordinator {
+    /// A coordinator for a process that is not registered yet.
+    pub fn new(
+        driver: DriverHandle,
+        sockets: DescriptorBudget,
+        phase: Rc<watch::Sender<Phase>>,
+        overrides: Rc<OverrideSync>,
+    ) -> Rc<ProcessCoordinator> {
+        Rc::new(ProcessCoordinator {
+            driver,
+            sockets,
+            phase,
+            overrides,
+            process_number: Cell::new(0),
+            process_lock: RefCell::default(),
+            has_yielded: Cell::new(false),
+        })
+    }
+
+    /// Prepares for serving: puts the stored overrides in force. Beside another process, leaves it half of the
+    /// descriptors and waits for the first endpoint list. Returns once this process may listen.
+    pub async fn prepare(&self) {
+        let deadline = Instant::now() + OVERRIDE_READ_TIMEOUT;
+        while !self.overrides.refresh().await && Instant::now() < deadline {
+            sleep(REFRESH_INTERVAL).await;
+        }
+        if self.try_lock_process().await {
+            return;
+        }
+        eprintln!("another process of this balancer serves");
+        self.sockets.yield_half().await;
+        // Without an update by then the cached list is used: waiting longer would not bring one sooner.
+        let _ = timeout(ENDPOINT_LIST_TIMEOUT, self.driver.endpoints_notified()).await;
+    }
+
+    /// Reports to the predecessor that this process serves from now on, and starts to follow the other processes.
+    pub async fn serve(self: &Rc<ProcessCoordinator>) {
+        if let Err(error) = self.register().await {
+            eprintln!("{error}: tried again until it is");
+        }
+        let phase = if self.overrides.is_paused() {
+            Phase::Paused
+        } else {
+            Phase::Serving
+        };
+        self.phase.send_replace(phase);
+        tokio::task::spawn_local(self.clone().follow_other_processes());
+    }
+
+    /// Whether another process of this balancer has started to serve after this one.
+    pub async fn succeeded(&self) -> bool {
+        self.overrides.refresh().await;
+        self.has_successor()
+    }
+
+    /// Counts this process among those of this balancer that serve.
+    async fn register(&self) -> Result<(), OverrideError> {
+        self.overrides
+            .change(|overrides| overrides.register_process())
+            .await?;
+        self.process_number.set(self.overrides.processes());
+        Ok(())
+    }
+
+    fn is_registered(&self) -> bool {
+        self.process_number.get() > 0
+    }
+
+    fn has_successor(&self) -> bool {
+        self.is_registered() && self.overrides.processes() > self.process_number.get()
+    }
+
+    /// Puts overrides in force that were set at another process, and notices when such a process starts or ends.
+    async fn follow_other_processes(self: Rc<ProcessCoordinator>) {
+        loop {
+            sleep(REFRESH_INTERVAL).await;
+            self.overrides.refresh().await;
+            if !self.is_registered() {
+                // The folder could not be written when this process started to serve. Until it is registered, its
+                // predecessor does not hand its clients off.
+                let _ = self.register().await;
+            }
+            let holds_process_lock = self.process_lock.borrow().is_some();
+            if !holds_process_lock && self.try_lock_process().await {
+                self.sockets.reclaim();
+            }
+            if !self.has_yielded.get() && self.has_successor() {
+                self.has_yielded.set(true);
+                let sockets = self.sockets.clone();
+                tokio::task::spawn_local(async move { sockets.yield_half().await });
+            }
+        }
+    }
+
+    /// Takes the process lock unless another process has it.
+    async fn try_lock_process(&self) -> bool {
+        let Some(lock) = self.overrides.try_lock_process().await else {
+            return false;
+        };
+        *self.process_lock.borrow_mut() = Some(lock);
+        true
+    }
+}
--- /dev/null
+++ b/balancer/src/control/attempts.rs
@@ -0,0 +1,131 @@
+//! The attempts in flight.
+use crate::control::attempt_id::AttemptId;
+use crate::control::timers::TimerId;
+use balancer_core::UpstreamId;
+use std::collections::HashMap;
+use std::time::Duration;
+use tokio::task::AbortHandle;
+use tokio::time::Instant;
+
+/// An attempt in flight.
+pub struct Attempt {
+    upstream: UpstreamId,
+    started_at: Instant,
+    /// The latest of: start of the attempt, end of the request's body, connection ready. `None` while the request's
+    /// body is incomplete.
+    sent_at: Option<Instant>,
+    /// Time from `sent_at` to the start of a streamed response, once it has started.
+    response_started_after: Option<Duration>,
+    task: AbortHandle,
+    timeout: Option<TimerId>,
+}
+
+impl Attempt {
+    /// An attempt whose request's body is still incomplete: it has no time-out.
+    pub fn streaming(upstream: UpstreamId, started_at: Instant, task: AbortHandle) -> Attempt {
+        Attempt {
+            upstream,
+            started_at,
+            sent_at: None,
+            response_started_after: None,
+            task,
+            timeout: None,
+        }
+    }
+
+    /// An attempt whose request's body is complete.
+    pub fn complete(
+        upstream: UpstreamId,
+        started_at: Instant,
+        task: AbortHandle,
+        timeout: TimerId,
+    ) -> Attempt {
+        Attempt {
+            sent_at: Some(started_at),
+            timeout: Some(timeout),
+            ..Attempt::streaming(upstream, started_at, task)
+        }
+    }
+
+    /// The endpoint that the attempt goes to.
+    pub fn upstream(&self) -> UpstreamId {
+        self.upstream
+    }
+
+    /// When the attempt started.
+    pub fn started_at(&self) -> Instant {
+        self.started_at
+    }
+
+    /// Whether a streamed response has started.
+    pub fn has_response_started(&self) -> bool {
+        self.response_started_after.is_some()
+    }
+
+    /// The body of the request is complete: the attempt has a time-out from now on.
+    pub fn request_body_complete(&mut self, now: Instant, timeout: TimerId) {
+        self.sent_at = Some(now);
+        self.timeout = Some(timeout);
+    }
+
+    /// The connection is ready. Time to connect must not count as the upstream's response time: on a network that is
+    /// slow to connect, upstreams would look overloaded.
+    pub fn connected(&mut self, now: Instant) {
+        self.sent_at = self.sent_at.map(|sent_at| sent_at.max(now));
+    }
+
+    /// A streamed response has started. Returns the time-out, which no longer applies.
+    pub fn response_started(&mut self) -> Option<TimerId> {
+        self.response_started_after = Some(self.response_time());
+        self.timeout.take()
+    }
+
+    /// Time since the request was sent, up to the start of a streamed response; zero while it is not sent.
+    pub fn response_time(&self) -> Duration {
+        self.response_started_after
+            .or(self.sent_at.map(|sent_at| sent_at.elapsed()))
+            .unwrap_or_default()
+    }
+
+    /// Stops the attempt's task, which closes its connection. Returns the time-out if it is still set.
+    pub fn stop(&mut self) -> Option<TimerId> {
+        self.task.abort();
+        self.timeout.take()
+    }
+}
+
+/// All attempts in flight.
+#[derive(Default)]
+pub struct Attempts {
+    by_id: HashMap<AttemptId, Attempt>,
+}
+
+impl Attempts {
+    /// Adds an attempt.
+    pub fn insert(&mut self, id: AttemptId, attempt: Attempt) {
+        self.by_id.insert(id, attempt);
+    }
+
+    /// Removes an attempt; `None` if it has ended before.
+    pub fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
+        self.by_id.remove(&id)
+    }
+
+    /// An attempt in flight.
+    pub fn get_mut(&mut self, id: AttemptId) -> Option<&mut Attempt> {
+        self.by_id.get_mut(&id)
+    }
+
+    /// Whether any attempt to this endpoint is in flight.
+    pub fn any_to(&self, upstream: UpstreamId) -> bool {
+        self.by_id
+            .values()
+            .any(|attempt| attempt.upstream == upstream)
+    }
+
+    /// The response time so far of one attempt in flight.
+    #[cfg(test)]
+    pub fn any_response_time(&self) -> Option<Duration> {
+        self.by_id.values().map(Attempt::response_time).next()
+    }
+}
--- /dev/null
+++ b/balancer/src/control/control_plane.rs
@@ -0,0 +1,97 @@
+//! The control plane of a balancer: the driver of the decision module, and the discovery client that feeds it. The
+//! process and the hollow balancers start it alike.
+use crate::clock::{from_millis, to_millis, Clock};
+use crate::control::driver::{DriverHandle, DriverOptions};
+use crate::control::invariants::Guard;
+use crate::discovery::endpoints::EndpointUpdate;
+use crate::discovery::watch::{Discovery, DiscoveryOptions, POLL_ACKNOWLEDGE_TIMEOUT};
+use crate::outbound::dispatch::Dispatch;
+use crate::telemetry::log::Log;
+use balancer_core::{Balancer, Settings, SettingsError};
+use balancer_settings::Deployment;
+use std::net::SocketAddr;
+use tokio::sync::watch;
+use tokio::task::JoinHandle;
+
+/// What a control plane starts from.
+pub struct ControlPlaneOptions<'a> {
+    /// The settings.
+    pub deployment: &'a Deployment,
+    /// Seeds the decision module's random choices.
+    pub seed: u64,
+    /// The decision module's clock.
+    pub clock: Clock,
+    /// Carries out attempts.
+    pub dispatch: Dispatch,
+    /// Checks the decision module's actions.
+    pub guard: Guard,
+    /// The cached snapshot of the endpoints, if there is one.
+    pub known: Option<&'a EndpointUpdate>,
+    /// The newest value is discovery's address.
+    pub discovery: watch::Receiver<SocketAddr>,
+    /// Receives log lines.
+    pub log: Log,
+}
+
+/// A control plane whose timers run. The discovery client is still to be started.
+pub struct ControlPlane {
+    /// The driver of the decision module.
+    pub handle: DriverHandle,
+    /// Fires the driver's timers; ends only if it fails.
+    pub timers: JoinHandle<()>,
+    /// The discovery client.
+    pub discovery: Discovery,
+}
+
+impl ControlPlane {
+    /// Builds a control plane and starts its timers. Must be called within a `LocalSet`.
+    pub fn start(options: ControlPlaneOptions) -> Result<ControlPlane, SettingsError> {
+        let handle = DriverHandle::new(driver_options(&options)?);
+        let driver = handle.clone();
+        let timers = tokio::task::spawn_local(async move { driver.run().await });
+        handle.apply_cached(options.known);
+        let discovery = Discovery::new(DiscoveryOptions {
+            addresses: options.discovery,
+            deployment: options.deployment,
+            known_version: options.known.map(|update| update.version),
+            log: options.log,
+        });
+        Ok(ControlPlane {
+            handle,
+            timers,
+            discovery,
+        })
+    }
+}
+
+fn driver_options(options: &ControlPlaneOptions) -> Result<DriverOptions, SettingsError> {
+    let deployment = options.deployment;
+    let settings = socket_settings(&deployment.policy);
+    let idempotency_by_class = settings
+        .classes
+        .iter()
+        .map(|class| class.idempotency)
+        .collect();
+    let rejects_after_start = settings.rejects_after_start;
+    Ok(DriverOptions {
+        balancer: Balancer::new(settings, options.seed, options.clock.now())?,
+        clock: options.clock,
+        dispatch: options.dispatch.clone(),
+        drain_grace: from_millis(deployment.drain_grace),
+        max_open: usize::try_from(deployment.max_open).unwrap_or(usize::MAX),
+        idempotency_by_class,
+        rejects_after_start,
+        guard: options.guard.clone(),
+        log: options.log,
+    })
+}
+
+/// The settings of the decision module for a balancer on sockets. The time-out in the settings is that of the
+/// simulator; on sockets discovery counts a change as acknowledged sooner.
+fn socket_settings(policy: &Settings) -> Settings {
+    let mut settings = policy.clone();
+    settings.poll_acknowledge_timeout = settings
+        .poll_acknowledge_timeout
+        .min(to_millis(POLL_ACKNOWLEDGE_TIMEOUT));
+    settings
+}
--- /dev/null
+++ b/balancer/src/control/driver/event_loop.rs
@@ -0,0 +1,137 @@
+//! Where events go into the decision module and its actions come out.
+use super::DriverHandle;
+use crate::control::attempt_id::AttemptId;
+use crate::control::driver_state::attempt_lifecycle::PreparedAttempt;
+use crate::control::driver_state::DriverState;
+use crate::control::timers::TimerEvent;
+use crate::outbound::message::FinalResponse;
+use balancer_core::{Action, AttemptOutcome, Event};
+use tokio::task::AbortHandle;
+use tokio::time::{sleep_until, Instant};
+
+impl DriverHandle {
+    /// Fires timers forever.
+    pub async fn run(&self) {
+        self.0.state.borrow_mut().schedule_idle_connection_check();
+        loop {
+            let next_timer_at = self.0.state.borrow().next_timer_at();
+            match next_timer_at {
+                Some(due_at) if due_at <= Instant::now() => self.fire_next_timer(),
+                Some(due_at) => tokio::select! {
+                    () = sleep_until(due_at) => {}
+                    () = self.0.timers_changed.notified() => {}
+                },
+                None => self.0.timers_changed.notified().await,
+            }
+        }
+    }
+
+    fn fire_next_timer(&self) {
+        let Some(event) = self.0.state.borrow_mut().pop_timer() else {
+            return;
+        };
+        match event {
+            TimerEvent::DecisionModule(token) => self.handle_event(Event::Timer(token)),
+            TimerEvent::AttemptTimeout(id) => {
+                self.attempt_ended(id, AttemptOutcome::Timeout, None);
+            }
+            TimerEvent::IdleConnectionCheck => {
+                let mut state = self.0.state.borrow_mut();
+                state.close_expired_connections();
+                state.schedule_idle_connection_check();
+            }
+        }
+    }
+
+    /// Has the decision module handle an event, and carries out its actions and those of the events that follow at once.
+    pub(super) fn handle_event(&self, event: Event) {
+        let mut state = self.0.state.borrow_mut();
+        state.push_event(event);
+        self.handle_events(&mut state);
+    }
+
+    fn handle_events(&self, state: &mut DriverState) {
+        let mut actions = Vec::new();
+        while state.handle_next_event(&mut actions) {
+            for action in actions.drain(..) {
+                self.perform(state, action);
+            }
+        }
+    }
+
+    fn perform(&self, state: &mut DriverState, action: Action) {
+        match action {
+            Action::Send {
+                request,
+                upstream,
+                timeout,
+            } => {
+                if let Some(prepared) = state.prepare_attempt(request, upstream, timeout) {
+                    let task = self.spawn_attempt(state, &prepared);
+                    state.attempt_started(prepared, task);
+                    self.0.timers_changed.notify_one();
+                }
+            }
+            Action::Cancel { request, attempt } => {
+                let number = attempt;
+                let id = AttemptId { request, number };
+                state.attempt_ended(id, AttemptOutcome::Cancelled, None);
+            }
+            Action::Reject {
+                request,
+                retry_after,
+            } => state.respond(request, FinalResponse::Refused { retry_after }),
+            Action::Fail { request } => state.respond(request, FinalResponse::Failed),
+            Action::CloseIdleConnections(upstream) => state.close_idle_connections(upstream),
+            Action::PollEndpoints => self.0.poll_requested.notify_one(),
+            Action::SetTimer { after, token } => {
+                state.set_decision_timer(after, token);
+                self.0.timers_changed.notify_one();
+            }
+            Action::Log(line) => state.log().line(&line),
+        }
+    }
+
+    /// Spawns the task that carries out an attempt and reports its end.
+    fn spawn_attempt(&self, state: &DriverState, prepared: &PreparedAttempt) -> AbortHandle {
+        let handle = self.clone();
+        let dispatch = state.dispatch().clone();
+        let upstream = prepared.upstream.clone();
+        let request = prepared.request.clone();
+        let id = prepared.id;
+        let deadline = prepared.deadline;
+        let task = tokio::task::spawn_local(async move {
+            let connected = || handle.0.state.borrow_mut().attempt_connected(id);
+            let response_started = |response| handle.response_started(id, response);
+            let (outcome, response) = dispatch
+                .attempt(upstream, request, deadline, connected, response_started)
+                .await;
+            handle.attempt_ended(id, outcome, response);
+        });
+        task.abort_handle()
+    }
+
+    /// The response to an attempt has started and is relayed to the client from now on.
+    fn response_started(&self, id: AttemptId, response: FinalResponse) {
+        let in_flight = self.0.state.borrow_mut().response_started(id, response);
+        if in_flight {
+            self.handle_event(Event::ResponseStarted {
+                request: id.request,
+                attempt: id.number,
+            });
+        }
+    }
+
+    /// An attempt has ended. Does nothing if it has ended before.
+    fn attempt_ended(
+        &self,
+        id: AttemptId,
+        outcome: AttemptOutcome,
+        response: Option<FinalResponse>,
+    ) {
+        let mut state = self.0.state.borrow_mut();
+        if state.attempt_ended(id, outcome, response) {
+            self.handle_events(&mut state);
+        }
+    }
+}
--- /dev/null
+++ b/balancer/src/control/driver/submission.rs
@@ -0,0 +1,104 @@
+//! Submission of requests, and what their clients do afterwards.
+use super::DriverHandle;
+use crate::body::payload::{RequestBody, UploadObserver};
+use crate::control::driver_state::requests::NewRequest;
+use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
+use balancer_core::{Event, Millis, Request, RequestId};
+use tokio::sync::oneshot;
+
+/// A request that waits for its final response. Dropping it reports that the client has disconnected.
+pub struct ResponseFuture {
+    handle: DriverHandle,
+    id: RequestId,
+    response: oneshot::Receiver<FinalResponse>,
+    is_done: bool,
+}
+
+impl ResponseFuture {
+    /// Waits for the final response.
+    pub async fn response(mut self) -> FinalResponse {
+        let response = (&mut self.response).await.unwrap_or(FinalResponse::Failed);
+        self.is_done = true;
+        response
+    }
+}
+
+impl Drop for ResponseFuture {
+    fn drop(&mut self) {
+        if !self.is_done {
+            self.handle.client_disconnected(self.id);
+        }
+    }
+}
+
+/// Reports how the streamed body of a request proceeds.
+struct PendingUpload {
+    handle: DriverHandle,
+    id: RequestId,
+}
+
+impl UploadObserver for PendingUpload {
+    fn completed(&self) {
+        self.handle.request_body_complete(self.id);
+    }
+
+    fn released(&self) {
+        self.handle.handle_event(Event::BodyDiscarded(self.id));
+    }
+}
+
+impl DriverHandle {
+    /// Submits a request of a class and tenant, given by their positions in the settings. From now on it is owed one
+    /// final response. The client waits `client_timeout` milliseconds after the end of its request.
+    pub fn submit(
+        &self,
+        class: usize,
+        tenant: usize,
+        client_timeout: Millis,
+        request: OutboundRequest,
+    ) -> Result<ResponseFuture, SubmitError> {
+        let submitted = self.0.state.borrow_mut().submit(NewRequest {
+            class,
+            tenant,
+            client_timeout,
+            request,
+        })?;
+        let id = submitted.id;
+        if let RequestBody::Upload(upload) = &submitted.request.body {
+            upload.observe(Box::new(PendingUpload {
+                handle: self.clone(),
+                id,
+            }));
+        }
+        self.handle_event(Event::Request(Request {
+            id,
+            class,
+            tenant,
+            deadline: submitted.deadline,
+        }));
+        Ok(ResponseFuture {
+            handle: self.clone(),
+            id,
+            response: submitted.response,
+            is_done: false,
+        })
+    }
+
+    /// The body of a submitted request is complete.
+    fn request_body_complete(&self, request: RequestId) {
+        let deadline = self.0.state.borrow_mut().request_body_complete(request);
+        let Some(deadline) = deadline else {
+            return;
+        };
+        self.0.timers_changed.notify_one();
+        self.handle_event(Event::RequestBodyComplete { request, deadline });
+    }
+
+    /// The client of a request that waits for its response has disconnected.
+    fn client_disconnected(&self, id: RequestId) {
+        let was_waiting = self.0.state.borrow_mut().client_disconnected(id);
+        if was_waiting {
+            self.handle_event(Event::ClientDisconnected(id));
+        }
+    }
+}
--- a/balancer/src/control/driver/tests.rs
+++ b/balancer/src/control/driver/tests.rs
@@ -1,15 +1,22 @@
-//! What the driver tells the decision module of an attempt, with real connections.
+//! Response times that the driver reports to the decision module, with real connections.
 use super::*;
+use crate::clock::Clock;
+use crate::control::invariants::Guard;
+use crate::discovery::consumer::EndpointConsumer;
 use crate::discovery::endpoints::ListedEndpoint;
 use crate::net::descriptor_budget::DescriptorBudget;
 use crate::outbound::attempt::Transport;
 use crate::outbound::connector::Connector;
+use crate::outbound::dispatch::Dispatch;
+use crate::telemetry::log::Log;
 use crate::telemetry::metrics::Metrics;
 use crate::test_support::{get_request, FullListener};
-use balancer_core::{Endpoint, Settings};
+use balancer_core::{Balancer, Endpoint, Idempotency, Settings, UpstreamId};
 use std::net::SocketAddr;
+use tokio::time::Instant;
 
-const LONG: Duration = Duration::from_secs(20);
+/// Longer than the test runs.
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn driver_with(upstream: SocketAddr) -> DriverHandle {
     let class = balancer_core::Class {
@@ -22,13 +29,18 @@
         ..Settings::default()
     };
     let clock = Clock::start();
-    let connector = Connector::new(LONG, LONG, DescriptorBudget::new(64), Rc::default());
+    let connector = Connector::new(
+        LONG_TIMEOUT,
+        LONG_TIMEOUT,
+        DescriptorBudget::new(64),
+        Rc::default(),
+    );
     let guard = Guard::new(Metrics::new(&[]));
     let handle = DriverHandle::new(DriverOptions {
         balancer: Balancer::new(settings, 1, clock.now()).expect("valid settings"),
         clock,
         dispatch: Dispatch::Sockets(Transport::new(connector, guard.clone())),
-        drain_grace: LONG,
+        drain_grace: LONG_TIMEOUT,
         max_open: 10,
         idempotency_by_class: vec![Idempotency::Idempotent],
         rejects_after_start: false,
@@ -51,17 +63,17 @@
     handle
 }
 
-/// Guards against taking the time to connect for the upstream's answer time: a network that is slow to connect would
-/// look like overloaded upstreams, and requests would be refused that they have room for.
+/// If the time to connect counted as response time, upstreams behind a network that is slow to connect would look
+/// overloaded, and the balancer would reject requests that they have capacity for.
 #[tokio::test(flavor = "current_thread")]
-async fn the_time_to_connect_is_not_the_upstreams_answer_time() {
+async fn excludes_connect_time_from_response_time() {
     let test = async {
         let mut listener = FullListener::bind();
         let handle = driver_with(listener.address());
         let start = Instant::now();
-        let _waiting = handle
+        let _response = handle
             .submit(0, 0, 20_000.0, get_request())
-            .expect("is taken");
+            .expect("is submitted");
         tokio::time::sleep(Duration::from_millis(100)).await;
         listener.admit();
         let connection = tokio::task::spawn_blocking(move || listener.accept())
@@ -72,20 +84,15 @@
             connected_after >= Duration::from_millis(500),
             "the connection came up late"
         );
-        // The attempt is written, and its upstream has not answered yet.
+        // The attempt is written, and the upstream has not responded yet.
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let took = {
-            let driver = handle.0.driver.borrow();
-            driver
-                .attempts
-                .values()
-                .map(Attempt::took)
-                .next()
-                .expect("an attempt is out")
+        let response_time = {
+            let state = handle.0.state.borrow();
+            state.any_response_time().expect("an attempt is in flight")
         };
         assert!(
-            took < connected_after / 2,
-            "{took:?} of {connected_after:?} counted"
+            response_time < connected_after / 2,
+            "{response_time:?} of {connected_after:?} counted"
         );
         drop(connection);
     };
--- /dev/null
+++ b/balancer/src/control/driver_options.rs
@@ -0,0 +1,29 @@
+//! What a driver is built from.
+use crate::clock::Clock;
+use crate::control::invariants::Guard;
+use crate::outbound::dispatch::Dispatch;
+use crate::telemetry::log::Log;
+use balancer_core::{Balancer, Idempotency};
+use std::time::Duration;
+
+/// What a driver is built from.
+pub struct DriverOptions {
+    /// The decision module.
+    pub balancer: Balancer,
+    /// The decision module's clock.
+    pub clock: Clock,
+    /// Carries out attempts.
+    pub dispatch: Dispatch,
+    /// Attempts to an upstream that drains must end this long after the update that reported it.
+    pub drain_grace: Duration,
+    /// Most requests that may be pending at once.
+    pub max_open: usize,
+    /// The idempotency of each class, by the class's position in the settings.
+    pub idempotency_by_class: Vec<Idempotency>,
+    /// Whether upstreams also reject requests that they have started to process.
+    pub rejects_after_start: bool,
+    /// Checks the decision module's actions.
+    pub guard: Guard,
+    /// Receives the decision module's log lines.
+    pub log: Log,
+}
--- /dev/null
+++ b/balancer/src/control/driver_state.rs
@@ -0,0 +1,89 @@
+//! The driver's state: the decision module, the pending requests, the attempts in flight, the timers and the endpoints.
+//!
+//! Each method keeps these tables in step with one another. None of them decides anything.
+use crate::clock::Clock;
+use crate::control::attempts::Attempts;
+use crate::control::driver_options::DriverOptions;
+use crate::control::invariants::Guard;
+use crate::control::pending_requests::PendingRequests;
+use crate::control::timers::TimerQueue;
+use crate::outbound::dispatch::Dispatch;
+use crate::outbound::endpoint_table::EndpointTable;
+use crate::telemetry::log::Log;
+use balancer_core::{Action, Balancer, Event, Idempotency, Millis};
+use std::collections::VecDeque;
+
+pub mod attempt_lifecycle;
+mod endpoints;
+pub mod requests;
+mod timers;
+
+/// The driver's state.
+pub struct DriverState {
+    balancer: Balancer,
+    clock: Clock,
+    dispatch: Dispatch,
+    log: Log,
+    guard: Guard,
+    idempotency_by_class: Vec<Idempotency>,
+    rejects_after_start: bool,
+    /// No request's deadline is later.
+    latest_deadline: Millis,
+    pending: PendingRequests,
+    attempts: Attempts,
+    endpoints: EndpointTable,
+    timers: TimerQueue,
+    /// Events that the decision module has not handled yet.
+    events: VecDeque<Event>,
+}
+
+impl DriverState {
+    /// The state before the first event.
+    pub fn new(options: DriverOptions) -> DriverState {
+        DriverState {
+            balancer: options.balancer,
+            clock: options.clock,
+            dispatch: options.dispatch,
+            log: options.log,
+            guard: options.guard,
+            idempotency_by_class: options.idempotency_by_class,
+            rejects_after_start: options.rejects_after_start,
+            latest_deadline: f64::INFINITY,
+            pending: PendingRequests::new(options.max_open),
+            attempts: Attempts::default(),
+            endpoints: EndpointTable::new(options.drain_grace),
+            timers: TimerQueue::default(),
+            events: VecDeque::new(),
+        }
+    }
+
+    /// The decision module's time.
+    pub fn now(&self) -> Millis {
+        self.clock.now()
+    }
+
+    /// Adds an event to those that the decision module has not handled yet.
+    pub fn push_event(&mut self, event: Event) {
+        self.events.push_back(event);
+    }
+
+    /// Has the decision module handle the next event, and adds its actions. Returns whether there was an event.
+    pub fn handle_next_event(&mut self, actions: &mut Vec<Action>) -> bool {
+        let Some(event) = self.events.pop_front() else {
+            return false;
+        };
+        let now = self.now();
+        self.balancer.handle(now, event, actions);
+        true
+    }
+
+    /// Carries out attempts.
+    pub fn dispatch(&self) -> &Dispatch {
+        &self.dispatch
+    }
+
+    /// Where log lines go.
+    pub fn log(&self) -> Log {
+        self.log
+    }
+}
--- /dev/null
+++ b/balancer/src/control/driver_state/endpoints.rs
@@ -0,0 +1,66 @@
+//! The driver's endpoints and their idle connections.
+use super::DriverState;
+use crate::discovery::endpoints::EndpointUpdate;
+use balancer_core::{EndpointCounts, UpstreamId};
+
+impl DriverState {
+    /// Whether any endpoint has ever been listed.
+    pub fn has_endpoints(&self) -> bool {
+        self.endpoints.ever_listed()
+    }
+
+    /// How many endpoints are listed, and how many of them requests avoid now.
+    pub fn endpoint_counts(&self) -> EndpointCounts {
+        self.balancer.endpoint_counts(self.now())
+    }
+
+    /// Whether an endpoint is listed, or suspended by staff.
+    pub fn is_known_upstream(&self, id: UpstreamId) -> bool {
+        self.balancer.is_suspended(id) || self.endpoints.lists(id)
+    }
+
+    /// Staff have suspended an endpoint: nothing more is written to it.
+    pub fn suspend(&self, id: UpstreamId) {
+        self.endpoints.suspend(id);
+    }
+
+    /// Staff have restored an endpoint.
+    pub fn restore(&self, id: UpstreamId) {
+        self.endpoints.restore(id);
+    }
+
+    /// Takes over the addresses of an update, either as the complete list or as changes.
+    pub fn apply_endpoints(&mut self, update: &EndpointUpdate, full: bool) {
+        self.endpoints
+            .apply(update, full, |id| self.balancer.is_suspended(id));
+        for id in self.endpoints.gone() {
+            self.forget_endpoint_if_unused(id);
+        }
+    }
+
+    /// Forgets an endpoint that is no longer listed and has no attempt in flight.
+    pub(super) fn forget_endpoint_if_unused(&mut self, id: UpstreamId) {
+        if self.endpoints.is_gone(id) && !self.attempts.any_to(id) {
+            self.endpoints.forget(id);
+        }
+    }
+
+    /// Closes the idle connections of an endpoint.
+    pub fn close_idle_connections(&self, id: UpstreamId) {
+        if let Some(upstream) = self.endpoints.upstream(id) {
+            upstream.close_idle();
+        }
+    }
+
+    /// Closes the connection that has been idle longest.
+    pub fn close_oldest_idle_connection(&self) {
+        self.endpoints.close_oldest_idle();
+    }
+
+    /// Closes the connections that have been idle for too long.
+    pub fn close_expired_connections(&self) {
+        if let Some(idle_limit) = self.dispatch.idle_limit() {
+            self.endpoints.sweep(idle_limit);
+        }
+    }
+}
--- /dev/null
+++ b/balancer/src/control/driver_state/requests.rs
@@ -0,0 +1,141 @@
+//! The driver's pending requests: submission, deadlines and final responses.
+use super::DriverState;
+use crate::body::payload::RequestBody;
+use crate::clock::{from_millis, to_millis};
+use crate::control::attempt_id::AttemptId;
+use crate::control::pending_requests::PendingRequest;
+use crate::control::timers::TimerEvent;
+use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
+use balancer_core::{Idempotency, Millis, RequestId};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+/// Subtracted from a client's timeout, so that the final response reaches the client before it stops waiting.
+const RESPONSE_DELIVERY_MARGIN_MS: Millis = 5.0;
+
+/// A request as the connection's task hands it over.
+pub struct NewRequest {
+    /// Position of its class in the settings.
+    pub class: usize,
+    /// Position of its tenant in the settings.
+    pub tenant: usize,
+    /// How long the client waits after the end of its request.
+    pub client_timeout: Millis,
+    /// The request as attempts send it.
+    pub request: OutboundRequest,
+}
+
+/// A request that was added to the pending requests.
+pub struct SubmittedRequest {
+    /// Its id.
+    pub id: RequestId,
+    /// When its client stops waiting; infinite while its body is incomplete.
+    pub deadline: Millis,
+    /// The request as attempts send it.
+    pub request: Rc<OutboundRequest>,
+    /// Receives the final response.
+    pub response: oneshot::Receiver<FinalResponse>,
+}
+
+impl DriverState {
+    /// Adds a request, which from now on is owed one final response.
+    pub fn submit(&mut self, new: NewRequest) -> Result<SubmittedRequest, SubmitError> {
+        let idempotency = self
+            .idempotency_by_class
+            .get(new.class)
+            .copied()
+            .unwrap_or(Idempotency::NonIdempotent);
+        let client_timeout = (new.client_timeout - RESPONSE_DELIVERY_MARGIN_MS).max(0.0);
+        let deadline = if matches!(new.request.body, RequestBody::Whole(_)) {
+            (self.now() + client_timeout).min(self.latest_deadline)
+        } else {
+            f64::INFINITY
+        };
+        let (reply, response) = oneshot::channel();
+        let pending =
+            PendingRequest::new(reply, new.request, client_timeout, deadline, idempotency);
+        let request = pending.request().clone();
+        let id = self.pending.insert(pending)?;
+        tracing::debug!(
+            request = id.0,
+            class = new.class,
+            tenant = new.tenant,
+            client_timeout_ms = client_timeout,
+            "request taken"
+        );
+        Ok(SubmittedRequest {
+            id,
+            deadline,
+            request,
+            response,
+        })
+    }
+
+    /// How many complete requests wait for their response or for the end of it.
+    pub fn active_requests(&self) -> usize {
+        self.pending.active()
+    }
+
+    /// Requests whose body is complete from now on have their response after this time at the latest.
+    pub fn set_response_deadline(&mut self, time: Duration) {
+        self.latest_deadline = self.now() + to_millis(time);
+    }
+
+    /// Gives each request without a final response a failure. Returns their ids.
+    pub fn fail_pending(&mut self) -> Vec<RequestId> {
+        self.pending.fail_all()
+    }
+
+    /// Removes a request that is answered and has no attempt in flight.
+    pub fn remove_if_finished(&mut self, id: RequestId) {
+        self.pending.remove_if_finished(id);
+    }
+
+    /// The body of a request is complete. Its deadline and the time-out of its attempt in flight start. Returns the
+    /// deadline; `None` if the request is over.
+    pub fn request_body_complete(&mut self, request: RequestId) -> Option<Millis> {
+        let now = self.now();
+        let pending = self.pending.get_mut(request)?;
+        let deadline = pending.request_body_complete(now, self.latest_deadline);
+        let number = pending.attempts_started().wrapping_sub(1);
+        let id = AttemptId { request, number };
+        let started_at = Instant::now();
+        if let Some(attempt) = self.attempts.get_mut(id) {
+            if !attempt.has_response_started() {
+                let timeout_at = started_at + from_millis(deadline - now);
+                let timeout = self.timers.set(timeout_at, TimerEvent::AttemptTimeout(id));
+                attempt.request_body_complete(started_at, timeout);
+            }
+        }
+        Some(deadline)
+    }
+
+    /// The client has disconnected. Returns whether its request still waited for a response.
+    pub fn client_disconnected(&mut self, id: RequestId) -> bool {
+        // A request that was answered in the same moment has ended for the decision module already.
+        let was_waiting = self
+            .pending
+            .get_mut(id)
+            .is_some_and(PendingRequest::client_disconnected);
+        if was_waiting {
+            tracing::debug!(request = id.0, "client left");
+            self.remove_if_finished(id);
+        }
+        was_waiting
+    }
+
+    /// Gives a request the final response that the decision module wants, as far as the guard allows it.
+    pub fn respond(&mut self, id: RequestId, response: FinalResponse) {
+        let now = self.now();
+        tracing::debug!(request = id.0, answer = ?response, "request answered");
+        let Some(pending) = self.pending.get_mut(id) else {
+            return;
+        };
+        let response = pending.check_response(response, now, &self.guard);
+        // A client that disconnected at the same moment gets no response.
+        let _ = pending.respond(response);
+        self.remove_if_finished(id);
+    }
+}
--- a/balancer/src/control/invariants.rs
+++ b/balancer/src/control/invariants.rs
@@ -1,112 +1,38 @@
 //! Run-time checks of the rules that hold whatever clients, upstreams, discovery and the system do.
 //!
-//! One [`Guard`] is asked before an attempt starts, before its first byte is written, before a request is answered and
-//! when a client's connection ends. What it denies is not done. What it finds broken is counted by [`Rule`] and logged;
-//! operators read the counts among the metrics, and every count stays zero in a correct program.
+//! One [`Guard`] checks the start of each attempt, its first byte, each final response and the end of each client's
+//! connection. What it denies is not done. It counts each violation by [`Rule`] and logs it; operators read the counts
+//! among the metrics. In a correct program every count stays zero.
+use crate::telemetry::guard_counts::{Denial, Rule};
 use crate::telemetry::metrics::Metrics;
 use balancer_core::{AttemptOutcome, Idempotency, Millis};
-use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// Most attempts for one request, whatever the settings say.
-pub const ATTEMPTS_MOST: u32 = 5;
-/// An answer this long after the request's deadline breaks the rule; until then it is late.
-const ANSWER_OVERDUE: Duration = Duration::from_millis(500);
+pub const MAX_ATTEMPTS: u32 = 5;
+/// A response that is later than this after the request's deadline violates the rule.
+const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
 
-/// A rule that the program must never break.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Rule {
-    /// A request has at most [`ATTEMPTS_MOST`] attempts.
-    AttemptLimit,
-    /// A request has one attempt in flight at a time.
-    ConcurrentAttempt,
-    /// What may not be repeated is sent again only after proof that it did not run.
-    UnsafeRepeat,
-    /// A refusal promises that nothing has run.
-    RefusedAfterRun,
-    /// A request has its final answer by its deadline.
-    AnswerOverdue,
-    /// A request that was read is answered before its connection is closed.
-    ClosedUnanswered,
-}
-
-impl Rule {
-    /// All rules, in the order of their counts.
-    pub const ALL: [Rule; 6] = [
-        Rule::AttemptLimit,
-        Rule::ConcurrentAttempt,
-        Rule::UnsafeRepeat,
-        Rule::RefusedAfterRun,
-        Rule::AnswerOverdue,
-        Rule::ClosedUnanswered,
-    ];
-
-    /// Its name in metrics and logs.
-    pub fn name(self) -> &'static str {
-        match self {
-            Rule::AttemptLimit => "attempt_limit",
-            Rule::ConcurrentAttempt => "concurrent_attempt",
-            Rule::UnsafeRepeat => "unsafe_repeat",
-            Rule::RefusedAfterRun => "refused_after_run",
-            Rule::AnswerOverdue => "answer_overdue",
-            Rule::ClosedUnanswered => "closed_unanswered",
-        }
-    }
-}
-
-/// Why a request was not written though an attempt had been started: a race that the guard decides.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denial {
-    /// The upstream drains, is gone or suspended, and its grace is over.
-    EndpointClosed,
-    /// The attempt's time is over.
-    Expired,
-    /// The request has ended.
-    RequestEnded,
-    /// The client has left.
-    ClientLeft,
-}
-
-impl Denial {
-    /// All reasons, in the order of their counts.
-    pub const ALL: [Denial; 4] = [
-        Denial::EndpointClosed,
-        Denial::Expired,
-        Denial::RequestEnded,
-        Denial::ClientLeft,
-    ];
-
-    /// Its name in metrics and logs.
-    pub fn name(self) -> &'static str {
-        match self {
-            Denial::EndpointClosed => "endpoint_closed",
-            Denial::Expired => "expired",
-            Denial::RequestEnded => "request_ended",
-            Denial::ClientLeft => "client_left",
-        }
-    }
-}
-
-/// What has been attempted for one request.
+/// The attempts that were made for one request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptHistory {
-    effect: Idempotency,
+    idempotency: Idempotency,
     started: u32,
     in_flight: u32,
     /// When the first attempt started that may have run.
-    first_run: Option<Instant>,
+    first_run_at: Option<Instant>,
 }
 
 impl AttemptHistory {
-    /// No attempt yet of a request of this effect.
-    pub fn new(effect: Idempotency) -> AttemptHistory {
+    /// The history of a request without attempts.
+    pub fn new(idempotency: Idempotency) -> AttemptHistory {
         AttemptHistory {
-            effect,
+            idempotency,
             started: 0,
             in_flight: 0,
-            first_run: None,
+            first_run_at: None,
         }
     }
 
@@ -120,41 +46,48 @@
         self.started
     }
 
-    fn start(&mut self) {
+    fn attempt_started(&mut self) {
         self.started += 1;
         self.in_flight += 1;
     }
 
-    /// An attempt that started at `started` has ended; `never_ran` is proof that it has not run.
-    pub fn end(&mut self, started: Instant, never_ran: bool) {
+    /// An attempt that started at `started_at` has ended; `never_ran` is proof that it has not run.
+    pub fn attempt_ended(&mut self, started_at: Instant, never_ran: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if !never_ran {
-            self.first_run.get_or_insert(started);
+            self.first_run_at.get_or_insert(started_at);
         }
     }
 
-    /// The rule that another attempt would break now.
-    fn broken_by_start(&self, now: Instant) -> Option<Rule> {
-        if self.started >= ATTEMPTS_MOST {
+    /// The rule that another attempt would violate now.
+    fn rule_violated_by_attempt(&self, now: Instant) -> Option<Rule> {
+        if self.started >= MAX_ATTEMPTS {
             return Some(Rule::AttemptLimit);
         }
         if self.in_flight > 0 {
             return Some(Rule::ConcurrentAttempt);
         }
-        let ran = self.first_run?;
-        let repeatable = match self.effect {
+        let first_run_at = self.first_run_at?;
+        if self.is_repeatable(now - first_run_at) {
+            return None;
+        }
+        Some(Rule::UnsafeRepeat)
+    }
+
+    /// Whether the request may be sent again this long after it may have run.
+    fn is_repeatable(&self, since_first_run: Duration) -> bool {
+        match self.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::IdempotencyKey { window, .. } => {
-                now - ran < Duration::from_secs_f64(window.max(0.0) / 1000.0)
+                since_first_run < Duration::from_secs_f64(window.max(0.0) / 1000.0)
             }
             Idempotency::NonIdempotent => false,
-        };
-        (!repeatable).then_some(Rule::UnsafeRepeat)
+        }
     }
 
-    /// Whether a refusal would break its promise: what may not be repeated may have run.
-    fn broken_by_refusal(&self) -> bool {
-        self.effect == Idempotency::NonIdempotent && self.first_run.is_some()
+    /// Whether a rejection keeps its promise that a request that is not idempotent has not run.
+    fn may_reject(&self) -> bool {
+        self.idempotency != Idempotency::NonIdempotent || self.first_run_at.is_none()
     }
 }
 
@@ -163,57 +96,39 @@
     outcome.never_ran() && !(outcome == AttemptOutcome::Rejected && rejects_after_start)
 }
 
-/// The state of the world in the moment in which a request would be written.
+/// The conditions under which a request would be written.
 #[derive(Clone, Copy, Debug)]
 pub struct WriteConditions {
-    /// The upstream takes nothing new any more.
+    /// The upstream accepts no new requests.
     pub endpoint_closed: bool,
     /// The attempt's time is over.
     pub expired: bool,
     /// The request has ended.
     pub request_ended: bool,
-    /// The client has left.
+    /// The client has disconnected.
     pub client_left: bool,
 }
 
 impl WriteConditions {
-    /// Why nothing may be written, if so.
+    /// The first reason why the request must not be written, if any.
     pub fn denial(self) -> Option<Denial> {
-        [
-            (self.endpoint_closed, Denial::EndpointClosed),
-            (self.expired, Denial::Expired),
-            (self.request_ended, Denial::RequestEnded),
-            (self.client_left, Denial::ClientLeft),
-        ]
-        .into_iter()
-        .find_map(|(holds, denial)| holds.then_some(denial))
-    }
-}
-
-/// Counts of what was broken and of what was denied.
-#[derive(Default)]
-pub struct GuardCounts {
-    violations: [Cell<u64>; Rule::ALL.len()],
-    denials: [Cell<u64>; Denial::ALL.len()],
-}
-
-impl GuardCounts {
-    /// Each rule with how often it was broken.
-    pub fn violations(&self) -> impl Iterator<Item = (Rule, u64)> + '_ {
-        Rule::ALL
-            .into_iter()
-            .zip(self.violations.iter().map(Cell::get))
-    }
-
-    /// Each reason with how many writes it denied.
-    pub fn denials(&self) -> impl Iterator<Item = (Denial, u64)> + '_ {
-        Denial::ALL
-            .into_iter()
-            .zip(self.denials.iter().map(Cell::get))
+        if self.endpoint_closed {
+            return Some(Denial::EndpointClosed);
+        }
+        if self.expired {
+            return Some(Denial::Expired);
+        }
+        if self.request_ended {
+            return Some(Denial::RequestEnded);
+        }
+        if self.client_left {
+            return Some(Denial::ClientDisconnected);
+        }
+        None
     }
 }
 
-/// Decides whether attempts start and requests are written, and counts what is broken.
+/// Decides whether attempts start and requests are written, and counts violations.
 #[derive(Clone)]
 pub struct Guard(Rc<Metrics>);
 
@@ -223,13 +138,13 @@
         Guard(metrics)
     }
 
-    /// Starts an attempt, unless it would break a rule.
-    pub fn start(&self, history: &mut AttemptHistory, request: &str) -> Result<(), Rule> {
-        if let Some(rule) = history.broken_by_start(Instant::now()) {
-            self.broken(rule, request);
+    /// Books the start of an attempt, unless it would violate a rule. `request` is the request's label in logs.
+    pub fn start_attempt(&self, history: &mut AttemptHistory, request: &str) -> Result<(), Rule> {
+        if let Some(rule) = history.rule_violated_by_attempt(Instant::now()) {
+            self.record_violation(rule, request);
             return Err(rule);
         }
-        history.start();
+        history.attempt_started();
         Ok(())
     }
 
@@ -238,36 +153,34 @@
         let Some(denial) = conditions.denial() else {
             return Ok(());
         };
-        let count = &self.0.guard().denials[denial as usize];
-        count.set(count.get().wrapping_add(1));
+        self.0.guard().record_denial(denial);
         tracing::debug!(reason = denial.name(), "write denied");
         Err(denial)
     }
 
-    /// Whether a request with this history may be refused; else it has to be answered as failed.
-    pub fn refuse(&self, history: &AttemptHistory, request: &str) -> bool {
-        let broken = history.broken_by_refusal();
-        if broken {
-            self.broken(Rule::RefusedAfterRun, request);
+    /// Whether a request with this history may be rejected. Otherwise it has to fail.
+    pub fn may_reject(&self, history: &AttemptHistory, request: &str) -> bool {
+        let may_reject = history.may_reject();
+        if !may_reject {
+            self.record_violation(Rule::RejectedAfterRun, request);
         }
-        !broken
+        may_reject
     }
 
-    /// A request is answered now whose deadline was `late` ago (negative: is still to come).
-    pub fn answer(&self, late: Millis, request: &str) {
-        if late > ANSWER_OVERDUE.as_secs_f64() * 1000.0 {
-            self.broken(Rule::AnswerOverdue, request);
+    /// Checks the time of a response. `overdue_ms` is the time since the request's deadline, negative before it.
+    pub fn check_response_time(&self, overdue_ms: Millis, request: &str) {
+        if overdue_ms > MAX_RESPONSE_DELAY.as_secs_f64() * 1000.0 {
+            self.record_violation(Rule::ResponseOverdue, request);
         }
     }
 
-    /// A client's connection was closed on this side while a request on it was owed its answer.
+    /// This side closed a client's connection although a request on it was owed its response.
     pub fn closed_unanswered(&self, request: &str) {
-        self.broken(Rule::ClosedUnanswered, request);
+        self.record_violation(Rule::ClosedUnanswered, request);
     }
 
-    fn broken(&self, rule: Rule, request: &str) {
-        let count = &self.0.guard().violations[rule as usize];
-        count.set(count.get().wrapping_add(1));
+    fn record_violation(&self, rule: Rule, request: &str) {
+        self.0.guard().record_violation(rule);
         eprintln!("invariant violated: {}: request {request}", rule.name());
     }
 }
--- a/balancer/src/control/invariants/tests.rs
+++ b/balancer/src/control/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! What the guard allows, denies and counts.
+//! Attempts, writes and responses that the guard allows, denies and counts.
 use super::*;
 use balancer_core::DedupScope;
 
@@ -11,66 +11,69 @@
     metrics
         .guard()
         .violations()
-        .find(|(of, _)| *of == rule)
+        .find(|(counted, _)| *counted == rule)
         .map_or(0, |(_, count)| count)
 }
 
 #[tokio::test]
-async fn one_attempt_at_a_time_and_five_in_all() {
+async fn allows_one_attempt_at_a_time_and_five_in_total() {
     let (guard, metrics) = guard();
     let mut history = AttemptHistory::new(Idempotency::Idempotent);
-    for _ in 0..ATTEMPTS_MOST {
-        assert_eq!(guard.start(&mut history, "r"), Ok(()));
+    for _ in 0..MAX_ATTEMPTS {
+        assert_eq!(guard.start_attempt(&mut history, "r"), Ok(()));
         assert_eq!(
-            guard.start(&mut history, "r").err(),
-            Some(if history.started() < ATTEMPTS_MOST {
+            guard.start_attempt(&mut history, "r").err(),
+            Some(if history.started() < MAX_ATTEMPTS {
                 Rule::ConcurrentAttempt
             } else {
                 Rule::AttemptLimit
             })
         );
-        history.end(Instant::now(), false);
+        history.attempt_ended(Instant::now(), false);
     }
-    assert_eq!(guard.start(&mut history, "r"), Err(Rule::AttemptLimit));
+    assert_eq!(
+        guard.start_attempt(&mut history, "r"),
+        Err(Rule::AttemptLimit)
+    );
     assert_eq!(violations(&metrics, Rule::ConcurrentAttempt), 4);
     assert_eq!(violations(&metrics, Rule::AttemptLimit), 2);
 }
 
 #[tokio::test]
-async fn what_may_have_run_is_repeated_only_where_that_is_legal() {
+async fn repeats_request_that_may_have_run_only_if_idempotency_allows_it() {
     let (guard, metrics) = guard();
-    let guarded = |window| Idempotency::IdempotencyKey {
+    let with_key = |window| Idempotency::IdempotencyKey {
         scope: DedupScope::All,
         window,
     };
-    for (effect, proven, allowed) in [
+    for (idempotency, never_ran, allowed) in [
         (Idempotency::Idempotent, false, true),
         (Idempotency::NonIdempotent, true, true),
         (Idempotency::NonIdempotent, false, false),
-        (guarded(60_000.0), false, true),
-        (guarded(0.0), false, false),
-        (guarded(0.0), true, true),
+        (with_key(60_000.0), false, true),
+        (with_key(0.0), false, false),
+        (with_key(0.0), true, true),
     ] {
-        let mut history = AttemptHistory::new(effect);
-        assert!(guard.start(&mut history, "r").is_ok());
-        history.end(Instant::now(), proven);
+        let mut history = AttemptHistory::new(idempotency);
+        assert!(guard.start_attempt(&mut history, "r").is_ok());
+        history.attempt_ended(Instant::now(), never_ran);
         assert_eq!(
-            guard.start(&mut history, "r").is_ok(),
+            guard.start_attempt(&mut history, "r").is_ok(),
             allowed,
-            "{effect:?}, proven: {proven}"
+            "{idempotency:?}, never_ran: {never_ran}"
         );
         assert_eq!(
-            guard.refuse(&history, "r"),
-            effect != Idempotency::NonIdempotent || proven
+            guard.may_reject(&history, "r"),
+            idempotency != Idempotency::NonIdempotent || never_ran
         );
     }
     assert_eq!(violations(&metrics, Rule::UnsafeRepeat), 2);
-    assert_eq!(violations(&metrics, Rule::RefusedAfterRun), 1);
+    assert_eq!(violations(&metrics, Rule::RejectedAfterRun), 1);
 }
 
 #[test]
-fn only_a_decline_before_work_proves_that_nothing_ran() {
-    for (outcome, rejects_after_start, proof) in [
+fn only_rejection_before_start_proves_that_request_did_not_run() {
+    for (outcome, rejects_after_start, never_ran_expected) in [
         (AttemptOutcome::Rejected, false, true),
         (AttemptOutcome::Rejected, true, false),
         (AttemptOutcome::ConnectFailed, true, true),
@@ -81,33 +84,33 @@
     ] {
         assert_eq!(
             never_ran(outcome, rejects_after_start),
-            proof,
+            never_ran_expected,
             "{outcome:?}"
         );
     }
 }
 
 #[test]
-fn a_write_is_denied_for_its_first_reason_and_counted() {
+fn counts_denied_write_by_its_first_reason() {
     let (guard, metrics) = guard();
-    let open = WriteConditions {
+    let allowed = WriteConditions {
         endpoint_closed: false,
         expired: false,
         request_ended: false,
         client_left: false,
     };
-    assert_eq!(guard.write(open), Ok(()));
+    assert_eq!(guard.write(allowed), Ok(()));
     assert_eq!(
         guard.write(WriteConditions {
             client_left: true,
-            ..open
+            ..allowed
         }),
-        Err(Denial::ClientLeft)
+        Err(Denial::ClientDisconnected)
     );
     let closed = WriteConditions {
         endpoint_closed: true,
         client_left: true,
-        ..open
+        ..allowed
     };
     assert_eq!(guard.write(closed), Err(Denial::EndpointClosed));
     let counts: Vec<u64> = metrics.guard().denials().map(|(_, count)| count).collect();
@@ -115,10 +118,10 @@
 }
 
 #[test]
-fn an_answer_is_overdue_half_a_second_after_its_time() {
+fn response_is_overdue_half_a_second_after_deadline() {
     let (guard, metrics) = guard();
-    guard.answer(499.0, "r");
-    assert_eq!(violations(&metrics, Rule::AnswerOverdue), 0);
-    guard.answer(501.0, "r");
-    assert_eq!(violations(&metrics, Rule::AnswerOverdue), 1);
+    guard.check_response_time(499.0, "r");
+    assert_eq!(violations(&metrics, Rule::ResponseOverdue), 0);
+    guard.check_response_time(501.0, "r");
+    assert_eq!(violations(&metrics, Rule::ResponseOverdue), 1);
 }
--- /dev/null
+++ b/balancer/src/control/pending_requests.rs
@@ -0,0 +1,240 @@
+//! The requests that wait for their final response or still have an attempt in flight.
+use crate::control::invariants::{AttemptHistory, Guard};
+use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
+use crate::telemetry::guard_counts::Rule;
+use balancer_core::{Idempotency, Millis, RequestId};
+use hyper::header::HeaderValue;
+use std::collections::{HashMap, HashSet};
+use std::rc::Rc;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+/// What became of a final response.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Delivery {
+    /// The request already had its final response.
+    AlreadyAnswered,
+    /// The connection's task has it.
+    Delivered,
+    /// The client disconnected at the same moment.
+    ClientDisconnected,
+}
+
+/// One request. It has at most one final response.
+pub struct PendingRequest {
+    /// `None` once the final response is given or the client has disconnected.
+    reply: Option<oneshot::Sender<FinalResponse>>,
+    request: Rc<OutboundRequest>,
+    /// How long the client waits after the end of its request.
+    client_timeout: Millis,
+    /// When the client stops waiting; infinite while the request's body is incomplete.
+    deadline: Millis,
+    history: AttemptHistory,
+    /// Whether a response is being relayed to the client.
+    relays_response: bool,
+}
+
+impl PendingRequest {
+    /// A request without attempts.
+    pub fn new(
+        reply: oneshot::Sender<FinalResponse>,
+        request: OutboundRequest,
+        client_timeout: Millis,
+        deadline: Millis,
+        idempotency: Idempotency,
+    ) -> PendingRequest {
+        PendingRequest {
+            reply: Some(reply),
+            request: Rc::new(request),
+            client_timeout,
+            deadline,
+            history: AttemptHistory::new(idempotency),
+            relays_response: false,
+        }
+    }
+
+    /// The request as attempts send it.
+    pub fn request(&self) -> &Rc<OutboundRequest> {
+        &self.request
+    }
+
+    /// Whether it has its final response, or its client has disconnected.
+    pub fn is_answered(&self) -> bool {
+        self.reply.is_none()
+    }
+
+    /// Whether its body is complete.
+    pub fn is_body_complete(&self) -> bool {
+        self.deadline.is_finite()
+    }
+
+    /// Whether it is complete and waits for its response or for the end of it.
+    pub fn is_active(&self) -> bool {
+        self.is_body_complete() && (!self.is_answered() || self.relays_response)
+    }
+
+    /// How long an attempt may take from now on.
+    pub fn remaining_ms(&self, now: Millis) -> Millis {
+        if self.is_body_complete() {
+            (self.deadline - now).max(0.0)
+        } else {
+            self.client_timeout
+        }
+    }
+
+    /// The body is complete. The client's timeout starts; `latest` limits the deadline, which is returned.
+    pub fn request_body_complete(&mut self, now: Millis, latest: Millis) -> Millis {
+        self.deadline = (now + self.client_timeout).min(latest);
+        self.deadline
+    }
+
+    /// How many attempts were started.
+    pub fn attempts_started(&self) -> u32 {
+        self.history.started()
+    }
+
+    /// Books the start of an attempt, unless the guard denies it.
+    pub fn attempt_started(&mut self, guard: &Guard) -> Result<(), Rule> {
+        guard.start_attempt(&mut self.history, &self.request.label())
+    }
+
+    /// Books the end of an attempt.
+    pub fn attempt_ended(&mut self, started_at: Instant, never_ran: bool) {
+        self.history.attempt_ended(started_at, never_ran);
+    }
+
+    /// Checks a response that the decision module wants given now. Returns the response that may be given.
+    pub fn check_response(
+        &self,
+        response: FinalResponse,
+        now: Millis,
+        guard: &Guard,
+    ) -> FinalResponse {
+        if self.is_answered() {
+            return response;
+        }
+        let label = self.request.label();
+        guard.check_response_time(now - self.deadline, &label);
+        match response {
+            FinalResponse::Refused { .. } if !guard.may_reject(&self.history, &label) => {
+                FinalResponse::Failed
+            }
+            response => response,
+        }
+    }
+
+    /// Gives the final response, unless there was one.
+    pub fn respond(&mut self, response: FinalResponse) -> Delivery {
+        let Some(reply) = self.take_reply() else {
+            return Delivery::AlreadyAnswered;
+        };
+        match reply.send(response) {
+            Ok(()) => Delivery::Delivered,
+            Err(_) => Delivery::ClientDisconnected,
+        }
+    }
+
+    /// Gives the final response, whose body is relayed from now on.
+    pub fn respond_and_relay(&mut self, response: FinalResponse) {
+        match self.respond(response) {
+            Delivery::AlreadyAnswered => {}
+            delivery => self.relays_response = delivery == Delivery::Delivered,
+        }
+    }
+
+    /// The client has disconnected. Returns whether it still waited for a response.
+    pub fn client_disconnected(&mut self) -> bool {
+        self.take_reply().is_some()
+    }
+
+    /// Marks the request as over, so that no attempt writes it any more.
+    fn take_reply(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
+        self.request.over.set(true);
+        self.reply.take()
+    }
+
+    fn is_finished(&self) -> bool {
+        self.is_answered() && self.history.in_flight() == 0
+    }
+}
+
+/// All pending requests, each with an id of its own, and the clients' ids that are in use.
+pub struct PendingRequests {
+    max_requests: usize,
+    next_id: u32,
+    by_id: HashMap<RequestId, PendingRequest>,
+    client_request_ids: HashSet<HeaderValue>,
+}
+
+impl PendingRequests {
+    /// A table for at most `max_requests`.
+    pub fn new(max_requests: usize) -> PendingRequests {
+        PendingRequests {
+            max_requests,
+            next_id: 0,
+            by_id: HashMap::new(),
+            client_request_ids: HashSet::new(),
+        }
+    }
+
+    /// Adds a request. Fails if the table is full or the client's id for the request is in use.
+    pub fn insert(&mut self, pending: PendingRequest) -> Result<RequestId, SubmitError> {
+        if self.by_id.len() >= self.max_requests {
+            return Err(SubmitError::Full);
+        }
+        // Upstreams recognize repeats of a request by the client's id. No other request may use the id while an
+        // attempt with it may be in flight.
+        if let Some(client_request_id) = &pending.request.name {
+            if !self.client_request_ids.insert(client_request_id.clone()) {
+                return Err(SubmitError::Known);
+            }
+        }
+        let id = self.allocate_id();
+        self.by_id.insert(id, pending);
+        Ok(id)
+    }
+
+    fn allocate_id(&mut self) -> RequestId {
+        while self.by_id.contains_key(&RequestId(self.next_id)) {
+            self.next_id = self.next_id.wrapping_add(1);
+        }
+        let id = RequestId(self.next_id);
+        self.next_id = self.next_id.wrapping_add(1);
+        id
+    }
+
+    /// A pending request.
+    pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
+        self.by_id.get_mut(&id)
+    }
+
+    /// How many requests are active; see [`PendingRequest::is_active`].
+    pub fn active(&self) -> usize {
+        self.by_id
+            .values()
+            .filter(|pending| pending.is_active())
+            .count()
+    }
+
+    /// Gives each request without a final response a failure. Returns their ids.
+    pub fn fail_all(&mut self) -> Vec<RequestId> {
+        let mut failed = Vec::new();
+        for (&id, pending) in &mut self.by_id {
+            if pending.respond(FinalResponse::Failed) != Delivery::AlreadyAnswered {
+                failed.push(id);
+            }
+        }
+        failed
+    }
+
+    /// Removes a request that is answered and has no attempt in flight. Its client's id may be used again.
+    pub fn remove_if_finished(&mut self, id: RequestId) {
+        if !self.by_id.get(&id).is_some_and(PendingRequest::is_finished) {
+            return;
+        }
+        let removed = self.by_id.remove(&id);
+        if let Some(name) = removed.and_then(|pending| pending.request.name.clone()) {
+            self.client_request_ids.remove(&name);
+        }
+    }
+}
--- a/balancer/src/discovery/endpoints.rs
+++ b/balancer/src/discovery/endpoints.rs
@@ -1,12 +1,36 @@
-//! Endpoints of upstreams as discovery reports them: the wire form, parsed into typed updates.
+//! Endpoint lists as discovery reports them: the wire format, parsed into typed updates.
 use balancer_core::{Availability, Endpoint, UpstreamId};
 use balancer_settings::Deployment;
 use serde::Deserialize;
-use std::future::Future;
 use std::net::SocketAddr;
-
-/// Largest Unix time in milliseconds that is accepted as the start of an upstream.
-const STARTED_MS_LIMIT: f64 = 1e15;
+use thiserror::Error;
+
+/// Start times of upstreams must be below this Unix time in milliseconds.
+const STARTED_AT_LIMIT_MS: f64 = 1e15;
+
+/// What is wrong with an endpoint list.
+#[derive(Debug, Error)]
+pub enum EndpointListError {
+    /// The text is no JSON, or not of the expected form.
+    #[error("{0}")]
+    Json(#[from] serde_json::Error),
+    /// An endpoint's state is unknown.
+    #[error("upstream {upstream:?}: unknown state {state:?}")]
+    UnknownState {
+        /// The endpoint's name.
+        upstream: String,
+        /// Its state as reported.
+        state: String,
+    },
+    /// An endpoint has no name, or its start time is out of range.
+    #[error("upstream {upstream:?}: started_ms reads {started_ms}")]
+    Malformed {
+        /// The endpoint's name.
+        upstream: String,
+        /// Its start time as reported.
+        started_ms: f64,
+    },
+}
 
 /// Names of zones and machine kinds. The decision module knows each by its position.
 #[derive(Clone, Debug)]
@@ -24,7 +48,7 @@
         }
     }
 
-    /// Position of a zone. One that the settings do not list gets a position that no class is bound to.
+    /// Position of a zone. A zone that the settings do not list gets a position that no class is bound to.
     fn zone(&self, name: &str) -> u16 {
         self.zones
             .iter()
@@ -41,6 +65,7 @@
     }
 }
 
+/// An update on the wire.
 #[derive(Deserialize)]
 struct RawUpdate {
     version: u64,
@@ -48,6 +73,7 @@
     servers: Vec<RawEndpoint>,
 }
 
+/// An endpoint on the wire.
 #[derive(Deserialize)]
 struct RawEndpoint {
     id: String,
@@ -64,18 +90,23 @@
 }
 
 impl RawEndpoint {
-    fn validate(self, names: &TopologyNames) -> Result<ListedEndpoint, String> {
+    fn validate(self, names: &TopologyNames) -> Result<ListedEndpoint, EndpointListError> {
         let availability = match self.state.as_str() {
             "active" => Availability::Ready,
             "leaving" => Availability::Draining,
             "left" => Availability::Gone,
-            other => return Err(format!("upstream {:?}: unknown state {other:?}", self.id)),
+            _ => {
+                return Err(EndpointListError::UnknownState {
+                    upstream: self.id,
+                    state: self.state,
+                })
+            }
         };
-        if self.id.is_empty() || !(0.0..STARTED_MS_LIMIT).contains(&self.started_ms) {
-            return Err(format!(
-                "upstream {:?}: started_ms reads {}",
-                self.id, self.started_ms
-            ));
+        if self.id.is_empty() || !(0.0..STARTED_AT_LIMIT_MS).contains(&self.started_ms) {
+            return Err(EndpointListError::Malformed {
+                upstream: self.id,
+                started_ms: self.started_ms,
+            });
         }
         let member = Endpoint {
             id: upstream_id(&self.id),
@@ -92,35 +123,35 @@
     }
 }
 
-/// One upstream of an update.
+/// One endpoint of an update.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// What the decision module knows of it.
+    /// The endpoint as the decision module knows it.
     pub member: Endpoint,
-    /// Where it listens, as this balancer sees it.
+    /// The address at which this balancer reaches it.
     pub address: SocketAddr,
 }
 
-/// One answer of discovery: the whole list of endpoints, or those that changed.
+/// One response of discovery: the complete list of endpoints, or those that changed.
 #[derive(Clone, Debug)]
 pub struct EndpointUpdate {
     /// Grows with each change.
     pub version: u64,
-    /// Whether this is the whole list, or only what changed.
+    /// Whether this is the complete list, or only what changed.
     pub full: bool,
-    /// The upstreams.
+    /// The endpoints.
     pub endpoints: Vec<ListedEndpoint>,
 }
 
 impl EndpointUpdate {
-    /// Reads an answer. One bad entry makes all of it invalid, so that a malformed list never replaces a good one.
-    pub fn parse(json: &[u8], names: &TopologyNames) -> Result<EndpointUpdate, String> {
-        let raw: RawUpdate = serde_json::from_slice(json).map_err(|e| e.to_string())?;
+    /// Parses a response. One malformed endpoint makes the whole list invalid, so that it never replaces a valid one.
+    pub fn parse(json: &[u8], names: &TopologyNames) -> Result<EndpointUpdate, EndpointListError> {
+        let raw: RawUpdate = serde_json::from_slice(json)?;
         let endpoints = raw
             .servers
             .into_iter()
             .map(|endpoint| endpoint.validate(names))
-            .collect::<Result<_, _>>()?;
+            .collect::<Result<Vec<ListedEndpoint>, EndpointListError>>()?;
         Ok(EndpointUpdate {
             version: raw.version,
             full: raw.full,
@@ -128,7 +159,7 @@
         })
     }
 
-    /// What the decision module is told of each endpoint.
+    /// The endpoints as the decision module receives them.
     pub fn members(&self) -> impl Iterator<Item = Endpoint> + '_ {
         self.endpoints
             .iter()
@@ -136,27 +167,14 @@
     }
 }
 
-/// Takes what the discovery client receives.
-pub trait EndpointConsumer {
-    /// Waits until the list of endpoints is wanted.
-    fn subscribed(&self) -> impl Future<Output = ()>;
-
-    /// Puts an update in force; it is in force once this returns.
-    fn apply(&self, update: &EndpointUpdate);
-
-    /// Discovery answered that nothing changed.
-    fn confirm(&self);
-
-    /// Discovery is elsewhere from now on.
-    fn moved(&self);
-
-    /// A call for the list failed, or the watch broke; `refused` if discovery said so itself.
-    fn update_failed(&self, refused: bool);
-}
-
-/// A stable id for an upstream's name, the same at every balancer (FNV-1a): the decision module spreads the balancers
-/// over the upstreams by a ring of these ids, so numbers given in order of arrival would overload some of them.
+/// The id of an upstream: a hash (FNV-1a) of its name, the same at every balancer. The decision module spreads the
+/// balancers over the upstreams by a ring of these ids; ids in order of arrival would overload some upstreams.
 pub fn upstream_id(name: &str) -> UpstreamId {
-    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0000_0100_0000_01b3);
-    UpstreamId(name.bytes().fold(0xcbf2_9ce4_8422_2325, step))
+    const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
+    let mut hash = FNV_OFFSET_BASIS;
+    for byte in name.bytes() {
+        hash = (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+    }
+    UpstreamId(hash)
 }
--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -1,4 +1,8 @@
-//! The client of the discovery service and the endpoint lists it returns.
+//! The discovery client, and the endpoint lists it receives.
 
-pub(crate) mod client;
+pub(crate) mod consumer;
 pub mod endpoints;
+pub(crate) mod watch;
+
+mod call_timeouts;
+mod client;
--- /dev/null
+++ b/balancer/src/discovery/watch.rs
@@ -0,0 +1,255 @@
+//! The watch that keeps the endpoint list up to date.
+//!
+//! The decision module decides when to poll ([`balancer_core::Action::PollEndpoints`]); the consumer of the updates
+//! passes that on. A watch that stands is kept up here.
+use crate::clock::from_millis;
+use crate::discovery::call_timeouts::{CallKind, CallLimits, CallTimeouts, UpdateMode};
+use crate::discovery::client::{CallError, DiscoveryClient};
+use crate::discovery::consumer::{CallFailure, EndpointConsumer};
+use crate::discovery::endpoints::{EndpointUpdate, TopologyNames};
+use crate::telemetry::log::Log;
+use balancer_settings::Deployment;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::time::{sleep, timeout, Instant};
+
+pub use crate::discovery::call_timeouts::POLL_ACKNOWLEDGE_TIMEOUT;
+
+/// First pause before another call to a new address that failed; it doubles with each failure up to
+/// [`MAX_MIGRATION_BACKOFF`]. A change counts as notified 4 s after the signal that announced the migration.
+const INITIAL_MIGRATION_BACKOFF: Duration = Duration::from_millis(100);
+const MAX_MIGRATION_BACKOFF: Duration = Duration::from_millis(500);
+/// Limits of the pause before a pushed list is fetched again after a failure.
+const MIN_PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(20);
+const MAX_PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(500);
+
+/// How the first call after a migration ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+enum Migration {
+    /// The new address has responded with a list.
+    Completed,
+    /// The new address has rejected the call. The decision module decides when to poll again.
+    Rejected,
+}
+
+/// What a discovery client starts from.
+pub struct DiscoveryOptions<'a> {
+    /// The newest value is discovery's address.
+    pub addresses: watch::Receiver<SocketAddr>,
+    /// The settings.
+    pub deployment: &'a Deployment,
+    /// The version of the list that the balancer already has, if any.
+    pub known_version: Option<u64>,
+    /// Receives log lines.
+    pub log: Log,
+}
+
+/// Keeps the endpoint list up to date: polls when requested and keeps a watch that stands.
+pub struct Discovery {
+    client: DiscoveryClient,
+    addresses: watch::Receiver<SocketAddr>,
+    mode: UpdateMode,
+    timeouts: CallTimeouts,
+    /// Pause before a pushed list is fetched again after a failure.
+    pushed_retry_pause: Duration,
+    /// The version of the newest list.
+    version: Option<u64>,
+    /// The error that was logged last, unless a call has succeeded since.
+    logged_error: Option<String>,
+    log: Log,
+}
+
+impl Discovery {
+    /// A client that has not connected yet.
+    pub fn new(options: DiscoveryOptions) -> Discovery {
+        let deployment = options.deployment;
+        let mode = if deployment.policy.poll_endpoints {
+            UpdateMode::Polled
+        } else {
+            UpdateMode::Pushed
+        };
+        let address = *options.addresses.borrow();
+        // The agent acknowledges a change also while this watch is broken. The next call has to bring the change well
+        // before attempts to a draining upstream must end.
+        let drain_grace = from_millis(deployment.drain_grace);
+        Discovery {
+            client: DiscoveryClient::new(address, TopologyNames::of(deployment)),
+            addresses: options.addresses,
+            mode,
+            timeouts: CallTimeouts::of(mode),
+            pushed_retry_pause: (drain_grace / 3)
+                .clamp(MIN_PUSHED_RETRY_PAUSE, MAX_PUSHED_RETRY_PAUSE),
+            version: options.known_version,
+            logged_error: None,
+            log: options.log,
+        }
+    }
+
+    /// Keeps the list up to date until the sender of addresses is dropped.
+    pub async fn run(mut self, consumer: impl EndpointConsumer) {
+        let mut addresses = self.addresses.clone();
+        let mut migrated = false;
+        loop {
+            // A migration interrupts whatever is under way at the old address: connecting, a call or a pause.
+            tokio::select! {
+                biased;
+                changed = addresses.changed() => match changed {
+                    Ok(()) => {
+                        migrated = true;
+                        self.migrate(*addresses.borrow_and_update());
+                    }
+                    // The process is shutting down.
+                    Err(_) => return,
+                },
+                () = self.serve(&consumer, migrated) => {}
+            }
+        }
+    }
+
+    /// Goes over to another address, where the versions of the old one mean nothing.
+    fn migrate(&mut self, address: SocketAddr) {
+        self.log.line(&format!("discovery: now at {address}"));
+        self.client.migrate(address);
+        self.version = None;
+    }
+
+    /// Polls and watches forever. After a migration the first call does not wait to be requested: until the complete
+    /// list has arrived, the balancer uses the old one.
+    async fn serve(&mut self, consumer: &impl EndpointConsumer, migrated: bool) {
+        let mut watch_stands =
+            migrated && self.complete_migration(consumer).await == Migration::Completed;
+        loop {
+            if self.mode == UpdateMode::Polled && !watch_stands {
+                consumer.poll_requested().await;
+            }
+            let error = self.watch_until_failure(consumer, watch_stands).await;
+            watch_stands = false;
+            self.call_failed(&error);
+            consumer.update_failed(failure(&error));
+            if self.mode == UpdateMode::Pushed {
+                sleep(self.pushed_retry_pause).await;
+            }
+        }
+    }
+
+    /// Calls again and again, and passes updates on, until a call fails.
+    async fn watch_until_failure(
+        &mut self,
+        consumer: &impl EndpointConsumer,
+        mut watch_stands: bool,
+    ) -> CallError {
+        loop {
+            let limits = self.timeouts.limits(self.next_call(watch_stands));
+            match self.call(limits).await {
+                Ok(update) if update.full || !update.endpoints.is_empty() => {
+                    consumer.apply(&update);
+                }
+                Ok(_) => consumer.endpoints_unchanged(),
+                Err(error) => return error,
+            }
+            watch_stands = true;
+        }
+    }
+
+    fn next_call(&self, watch_stands: bool) -> CallKind {
+        if self.version.is_none() {
+            return CallKind::Snapshot;
+        }
+        if watch_stands {
+            CallKind::NextOfWatch
+        } else {
+            CallKind::FirstOfWatch
+        }
+    }
+
+    /// Calls a new address until it responds. If polled discovery rejects the call, it serves a fleet of balancers that
+    /// migrated together, and the decision module decides when to poll again.
+    async fn complete_migration(&mut self, consumer: &impl EndpointConsumer) -> Migration {
+        consumer.discovery_migrated();
+        let mut backoff = INITIAL_MIGRATION_BACKOFF;
+        loop {
+            let error = match self.call(self.timeouts.migration_limits()).await {
+                Ok(update) => {
+                    consumer.apply(&update);
+                    return Migration::Completed;
+                }
+                Err(error) => error,
+            };
+            self.call_failed(&error);
+            let failure = failure(&error);
+            if failure == CallFailure::Rejected && self.mode == UpdateMode::Polled {
+                consumer.update_failed(failure);
+                return Migration::Rejected;
+            }
+            sleep(backoff).await;
+            backoff = (backoff * 2).min(MAX_MIGRATION_BACKOFF);
+        }
+    }
+
+    /// Logs an error once, so that the log does not fill with one line while discovery is down.
+    fn call_failed(&mut self, error: &CallError) {
+        self.client.disconnect();
+        let error = error.to_string();
+        if self.logged_error.as_ref() != Some(&error) {
+            self.log.line(&format!("discovery: {error}"));
+            self.logged_error = Some(error);
+        }
+    }
+
+    /// One call. A malformed response is an error and changes nothing, and so is an update that does not follow the
+    /// known version: discovery may have been restarted, but a response may also be stale. The next call is then for
+    /// the complete list, which is accepted whatever its version.
+    async fn call(&mut self, limits: CallLimits) -> Result<EndpointUpdate, CallError> {
+        let started_at = Instant::now();
+        let fetch = self.client.fetch(self.version, limits.long_poll_timeout);
+        let fetched = timeout(limits.call_timeout, fetch)
+            .await
+            .unwrap_or(Err(CallError::Timeout));
+        self.trace_call(&fetched, started_at.elapsed());
+        let update = fetched?;
+        if !self.follows_known_version(&update) {
+            // Keeping a version that discovery no longer knows would fail every further call.
+            let known = self.version.take().unwrap_or(0);
+            return Err(CallError::Stale {
+                version: update.version,
+                known,
+            });
+        }
+        self.version = Some(update.version);
+        self.logged_error = None;
+        Ok(update)
+    }
+
+    fn follows_known_version(&self, update: &EndpointUpdate) -> bool {
+        match self.version {
+            Some(known) => update.version >= known,
+            None => update.full,
+        }
+    }
+
+    fn trace_call(&self, fetched: &Result<EndpointUpdate, CallError>, took: Duration) {
+        let took_ms = took.as_millis() as u64;
+        match fetched {
+            Ok(update) => tracing::debug!(
+                since = self.version,
+                version = update.version,
+                full = update.full,
+                endpoints = update.endpoints.len(),
+                took_ms,
+                "discovery answered"
+            ),
+            Err(error) => {
+                tracing::debug!(since = self.version, %error, took_ms, "discovery call failed")
+            }
+        }
+    }
+}
+
+/// What the consumer learns of an error.
+fn failure(error: &CallError) -> CallFailure {
+    match error {
+        CallError::Rejected(_) => CallFailure::Rejected,
+        _ => CallFailure::Failed,
+    }
+}
--- a/balancer/src/hollow.rs
+++ b/balancer/src/hollow.rs
@@ -1,18 +1,21 @@
-//! Hollow balancers: the decision module, the discovery client and the endpoint state of a balancer, without the
-//! sockets to clients and to upstreams. Thousands of them run on one thread.
+//! Hollow balancers: the control plane and the endpoint state of a balancer, without sockets to clients and upstreams.
+//! Thousands of them run on one thread.
 //!
 //! Each holds one connection to discovery, which counts against the process's limit of file descriptors.
-use crate::control::clock::{to_millis, Clock};
+use crate::body::payload::RequestBody;
+use crate::clock::{to_millis, Clock};
+use crate::control::control_plane::{ControlPlane, ControlPlaneOptions};
 use crate::control::driver::DriverHandle;
 use crate::control::invariants::Guard;
-use crate::control::startup::{Control, ControlOptions};
-use crate::discovery::endpoints::{EndpointConsumer, EndpointUpdate};
+use crate::discovery::consumer::{CallFailure, EndpointConsumer};
+use crate::discovery::endpoints::EndpointUpdate;
 use crate::outbound::dispatch::Dispatch;
 use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
 use crate::telemetry::log::Log;
 use crate::telemetry::metrics::Metrics;
-pub use balancer_core::EndpointCounts;
+
 use balancer_settings::Deployment;
+use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -20,31 +23,33 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
+pub use balancer_core::{EndpointCounts, SettingsError};
+
 /// What a hollow balancer starts from.
 #[derive(Clone, Copy, Debug)]
 pub struct HollowOptions<'a> {
     /// The settings.
     pub deployment: &'a Deployment,
-    /// Where discovery answers.
+    /// Discovery's address.
     pub discovery: SocketAddr,
-    /// The cached snapshot of the endpoints, if there is one: only what is newer is then asked for.
+    /// The cached snapshot of the endpoints, if there is one. The balancer then fetches only what is newer.
     pub known: Option<&'a EndpointUpdate>,
-    /// Feeds the decision module's random choices.
+    /// Seeds the decision module's random choices.
     pub seed: u64,
-    /// Where log lines go.
+    /// Receives log lines.
     pub log: Log,
 }
 
-/// An update of the endpoints that a balancer has put in force.
+/// An endpoint update that a balancer has put in force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppliedUpdate {
     /// The version that discovery gave it.
     pub version: u64,
-    /// Whether it was the whole list.
+    /// Whether it was the complete list.
     pub full: bool,
     /// How many endpoints it held.
     pub endpoints: usize,
-    /// When it was in force: the decision module and the endpoint state had taken it.
+    /// When it was in force: the decision module and the endpoint state had applied it.
     pub applied_at: SystemTime,
 }
 
@@ -53,22 +58,22 @@
 pub enum RequestOutcome {
     /// The decision module sent it to an upstream, which would have served it.
     Served,
-    /// Refused: another try does no harm.
-    Refused,
+    /// Rejected: a retry does no harm.
+    Rejected,
     /// Failed.
     Failed,
 }
 
-/// A balancer without sockets to clients and upstreams. It ends when dropped.
+/// A balancer without sockets to clients and upstreams. It stops when dropped.
 pub struct HollowBalancer {
     handle: DriverHandle,
     tasks: [AbortHandle; 2],
-    /// Kept, as the discovery client ends without it.
-    discovery: watch::Sender<SocketAddr>,
+    /// The discovery client ends when this is dropped.
+    discovery_address: watch::Sender<SocketAddr>,
 }
 
 impl HollowBalancer {
-    /// Starts a balancer, which connects to discovery at once. `on_update` is called for each update once it is in
+    /// Starts a balancer, which connects to discovery at once. It calls `on_update` for each update once the update is in
     /// force, but not for the cached snapshot. Fails if the settings are invalid.
     ///
     /// # Panics
@@ -77,9 +82,9 @@
     pub fn start(
         options: HollowOptions,
         on_update: impl Fn(AppliedUpdate) + 'static,
-    ) -> Result<HollowBalancer, String> {
-        let (discovery, addresses) = watch::channel(options.discovery);
-        let control = Control::start(ControlOptions {
+    ) -> Result<HollowBalancer, SettingsError> {
+        let (discovery_address, addresses) = watch::channel(options.discovery);
+        let control_plane = ControlPlane::start(ControlPlaneOptions {
             deployment: options.deployment,
             seed: options.seed,
             clock: Clock::start(),
@@ -89,64 +94,67 @@
             discovery: addresses,
             log: options.log,
         })?;
-        let handle = control.handle;
+        let handle = control_plane.handle;
         let consumer = ObservedConsumer {
             handle: handle.clone(),
             on_update,
         };
-        let client = tokio::task::spawn_local(control.discovery.run(consumer));
-        let tasks = [control.timers.abort_handle(), client.abort_handle()];
+        let client = tokio::task::spawn_local(control_plane.discovery.run(consumer));
+        let tasks = [control_plane.timers.abort_handle(), client.abort_handle()];
         Ok(HollowBalancer {
             handle,
             tasks,
-            discovery,
+            discovery_address,
         })
     }
 
-    /// Moves the discovery client to another address, as a reload of the configuration does.
+    /// Migrates the discovery client to another address, as a reload of the configuration does.
     pub fn move_discovery(&self, address: SocketAddr) {
-        self.discovery.send_replace(address);
+        self.discovery_address.send_replace(address);
     }
 
-    /// How many endpoints are known. Looks at each of them.
+    /// How many endpoints are listed and avoided. Takes time in proportion to their number.
     pub fn endpoints(&self) -> EndpointCounts {
         self.handle.endpoint_counts()
     }
 
-    /// Feeds the decision module a request of a class and tenant, given by their positions in the settings, which waits
-    /// for this long at most. Whatever upstream the module picks serves it at once.
+    /// Submits a request of a class and tenant, given by their positions in the settings. The endpoint that the decision
+    /// module selects serves it at once.
     pub async fn request(&self, class: usize, tenant: usize, deadline: Duration) -> RequestOutcome {
-        match self
+        let submitted = self
             .handle
-            .submit(class, tenant, to_millis(deadline), empty_request())
-        {
-            Ok(waiting) => match waiting.response().await {
-                FinalResponse::Served { .. } => RequestOutcome::Served,
-                FinalResponse::Refused { .. } => RequestOutcome::Refused,
-                FinalResponse::Unusable(_) | FinalResponse::Unsent(_) | FinalResponse::Failed => {
-                    RequestOutcome::Failed
-                }
-            },
-            Err(SubmitError::Full | SubmitError::Known) => RequestOutcome::Refused,
+            .submit(class, tenant, to_millis(deadline), empty_request());
+        let response = match submitted {
+            Ok(response) => response.response().await,
+            Err(SubmitError::Full | SubmitError::Known) => return RequestOutcome::Rejected,
+        };
+        match response {
+            FinalResponse::Served { .. } => RequestOutcome::Served,
+            FinalResponse::Refused { .. } => RequestOutcome::Rejected,
+            FinalResponse::Unusable(_) | FinalResponse::Unsent(_) | FinalResponse::Failed => {
+                RequestOutcome::Failed
+            }
         }
     }
 }
 
 impl Drop for HollowBalancer {
     fn drop(&mut self) {
-        self.tasks.iter().for_each(AbortHandle::abort);
+        for task in &self.tasks {
+            task.abort();
+        }
     }
 }
 
-/// Hands updates to the driver and reports those that are in force.
+/// Passes updates to the driver and reports those that are in force.
 struct ObservedConsumer<F> {
     handle: DriverHandle,
     on_update: F,
 }
 
 impl<F: Fn(AppliedUpdate)> EndpointConsumer for ObservedConsumer<F> {
-    async fn subscribed(&self) {
-        self.handle.subscribed().await;
+    async fn poll_requested(&self) {
+        self.handle.poll_requested().await;
     }
 
     fn apply(&self, update: &EndpointUpdate) {
@@ -159,27 +167,27 @@
         });
     }
 
-    fn confirm(&self) {
-        self.handle.confirm();
+    fn endpoints_unchanged(&self) {
+        self.handle.endpoints_unchanged();
     }
 
-    fn moved(&self) {
-        self.handle.moved();
+    fn discovery_migrated(&self) {
+        self.handle.discovery_migrated();
     }
 
-    fn update_failed(&self, refused: bool) {
-        self.handle.update_failed(refused);
+    fn update_failed(&self, failure: CallFailure) {
+        self.handle.update_failed(failure);
     }
 }
 
-/// A request that nothing is written of.
+/// A request that is never written.
 fn empty_request() -> OutboundRequest {
     OutboundRequest {
         name: None,
         method: Method::GET,
         target: Uri::default(),
         headers: HeaderMap::new(),
-        body: crate::body::payload::RequestBody::Whole(bytes::Bytes::new()),
+        body: RequestBody::Whole(Bytes::new()),
         over: Cell::new(false),
         client: None,
     }
--- a/balancer/src/inbound/server.rs
+++ b/balancer/src/inbound/server.rs
@@ -2,7 +2,7 @@
 use crate::body::payload::{
     Fault, Paced, RequestBody, ResponseBody, Upload, BODY_MOST, REQUEST_WAIT, WHOLE_MOST,
 };
-use crate::control::clock::to_millis;
+use crate::clock::to_millis;
 use crate::control::driver::{DriverHandle, ResponseFuture};
 use crate::control::invariants::Guard;
 use crate::inbound::client_stream::{ClientStream, RequestTracker, TrackedStream, HEAD_MOST};
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,13 +1,18 @@
 //! balancer: a load balancer on real sockets around the decision module `balancer_core`.
 //!
-//! [`program`] is the balancer as a process. [`hollow`] runs many balancers without traffic in one process, to measure
-//! what knowing the endpoints costs and how long a change of them takes. Both start the same control part: the decision
-//! module in its driver, and the discovery client.
+//! [`process`] is the balancer as a process. [`hollow`] runs many balancers without traffic in one process, to measure
+//! the cost of the endpoint list and the time that a change of it takes. Both start the same control plane: the driver
+//! of the decision module, and the discovery client.
 //!
-//! Modules depend on one another in one direction only: `endpoints`, `body` and `message` hold what is exchanged;
-//! `connection_pool`, `connector`, `upstream` and `dispatch` carry attempts out; `endpoint_table` keeps the upstreams that are known; `driver` owns the
-//! decision module and uses these, and asks `invariants` before an attempt starts, is written or is answered; `discovery` knows only the consumer of its updates; `control` joins them; `server`,
-//! `ops` and `program` come last.
+//! | module | owns |
+//! | --- | --- |
+//! | `process` | start-up, signals, shutdown, configuration |
+//! | `admin` | the admin server, administrative overrides, handoff between processes |
+//! | `inbound` | clients' connections, requests and responses |
+//! | `control` | the driver of the decision module, its tables and its invariants |
+//! | `outbound` | endpoints, connections to upstreams, attempts |
+//! | `discovery` | the discovery client and endpoint lists |
+//! | `body`, `net`, `telemetry`, `clock` | bodies, sockets, metrics and log events, time |
 pub mod discovery;
 pub mod hollow;
 pub mod process;
@@ -15,6 +20,7 @@
 
 mod admin;
 mod body;
+mod clock;
 mod control;
 mod inbound;
 mod net;
--- a/balancer/src/main.rs
+++ b/balancer/src/main.rs
@@ -1,4 +1,4 @@
-//! The balancer as a process; all of it is in the library.
+//! The balancer program. The library holds all of it.
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/balancer/src/process/config.rs
+++ b/balancer/src/process/config.rs
@@ -1,108 +1,163 @@
-//! The configuration file as typed values. Whatever is wrong with it is named with the field at fault.
-use crate::discovery::endpoints::{EndpointUpdate, TopologyNames};
+//! The configuration as typed values. Errors name the field that is wrong.
+use crate::discovery::endpoints::{EndpointListError, EndpointUpdate, TopologyNames};
 use balancer_settings::Deployment;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
+use thiserror::Error;
 
-/// Descriptors where the configuration states no limit.
-const SOCKETS: usize = 1024;
-/// Fewer descriptors than this leave no room for callers and upstreams.
-const SOCKETS_LEAST: usize = 64;
+/// Limit of file descriptors if the configuration states none.
+const DEFAULT_MAX_DESCRIPTORS: usize = 1024;
+/// With a lower limit there are not enough descriptors for clients and upstreams.
+const MIN_DESCRIPTORS: usize = 64;
 
+/// What is wrong with a configuration.
+#[derive(Debug, Error)]
+pub enum ConfigError {
+    /// The text is no JSON.
+    #[error("{0}")]
+    Json(#[source] serde_json::Error),
+    /// A field is missing or malformed.
+    #[error("{path}: {source}")]
+    Field {
+        /// Where the field is.
+        path: String,
+        /// What is wrong with it.
+        source: serde_json::Error,
+    },
+    /// The settings are invalid.
+    #[error("settings: {0}")]
+    Settings(String),
+    /// A class or tenant has no name.
+    #[error("settings.{list}[{index}].name: missing")]
+    MissingName {
+        /// The list that holds it.
+        list: &'static str,
+        /// Its position there.
+        index: usize,
+    },
+    /// The seed is malformed.
+    #[error("seed: {0:?} is no hexadecimal number of 64 bits")]
+    Seed(String),
+    /// The limit of file descriptors is too low.
+    #[error("limits.sockets: must be at least {MIN_DESCRIPTORS}")]
+    TooFewDescriptors,
+}
+
+/// The configuration file. Its keys are given by the platform.
 #[derive(Deserialize)]
-struct File {
+struct RawConfig {
     name: String,
-    listen: SocketAddr,
-    discovery: SocketAddr,
-    ops: Option<SocketAddr>,
+    #[serde(rename = "listen")]
+    listen_address: SocketAddr,
+    #[serde(rename = "discovery")]
+    discovery_address: SocketAddr,
+    #[serde(rename = "ops")]
+    admin_address: Option<SocketAddr>,
     seed: String,
     #[serde(default)]
-    limits: Limits,
-    known: Option<Box<RawValue>>,
+    limits: RawLimits,
+    #[serde(rename = "known")]
+    cached_snapshot: Option<Box<RawValue>>,
     settings: Box<RawValue>,
 }
 
 #[derive(Deserialize, Default)]
-struct Limits {
-    sockets: Option<usize>,
+struct RawLimits {
+    #[serde(rename = "sockets")]
+    max_descriptors: Option<usize>,
 }
 
-/// All that a balancer is told at its start.
+/// The configuration of a balancer.
 pub struct Config {
-    /// Its name, for the log.
+    /// The balancer's name, for the log.
     pub name: String,
-    /// Where callers connect.
-    pub listen: SocketAddr,
-    /// Where discovery answers.
-    pub discovery: SocketAddr,
-    /// Where operators call; none: nowhere.
-    pub ops: Option<SocketAddr>,
-    /// Feeds the module's random choices.
+    /// Where clients connect.
+    pub listen_address: SocketAddr,
+    /// Discovery's address.
+    pub discovery_address: SocketAddr,
+    /// Where operators connect; `None` for no admin server.
+    pub admin_address: Option<SocketAddr>,
+    /// Seeds the decision module's random choices.
     pub seed: u64,
-    /// Most file descriptors the process may hold.
-    pub sockets: usize,
-    /// The list of upstreams as this balancer last had it, or why it cannot be read: it only saves time, so that this
-    /// is no reason not to start.
-    pub known: Result<Option<EndpointUpdate>, String>,
-    /// The settings, for the module and for the sockets.
+    /// Most file descriptors that the process may hold.
+    pub max_descriptors: usize,
+    /// The endpoint list that this balancer had last, if any. It only saves time, so a malformed list does not keep the
+    /// balancer from starting.
+    pub cached_snapshot: Result<Option<EndpointUpdate>, EndpointListError>,
+    /// The settings, for the decision module and for the sockets.
     pub deployment: Deployment,
 }
 
 impl Config {
-    /// Reads a configuration.
-    pub fn parse(json: &[u8]) -> Result<Config, String> {
-        let mut json = serde_json::Deserializer::from_slice(json);
-        let file: File = serde_path_to_error::deserialize(&mut json).map_err(|e| {
-            match e.path().to_string() {
-                path if path == "." => e.inner().to_string(),
-                path => format!("{path}: {}", e.inner()),
-            }
-        })?;
-        json.end().map_err(|e| e.to_string())?;
-        let deployment = balancer_settings::deployment(file.settings.get().as_bytes())
-            .map_err(|e| format!("settings: {e}"))?;
-        if let Some(i) = deployment.classes.iter().position(String::is_empty) {
-            return Err(format!("settings.classes[{i}].name: missing"));
-        }
-        if let Some(i) = deployment.tenants.iter().position(String::is_empty) {
-            return Err(format!("settings.tenants[{i}].name: missing"));
-        }
-        let seed = u64::from_str_radix(&file.seed, 16)
-            .map_err(|_| format!("seed: {:?} is no hexadecimal number of 64 bits", file.seed))?;
-        let sockets = file.limits.sockets.unwrap_or(SOCKETS);
-        if sockets < SOCKETS_LEAST {
-            return Err(format!("limits.sockets: must be at least {SOCKETS_LEAST}"));
+    /// Parses a configuration.
+    pub fn parse(json: &[u8]) -> Result<Config, ConfigError> {
+        let raw = RawConfig::parse(json)?;
+        let deployment = parse_settings(&raw.settings)?;
+        let seed =
+            u64::from_str_radix(&raw.seed, 16).map_err(|_| ConfigError::Seed(raw.seed.clone()))?;
+        let max_descriptors = raw
+            .limits
+            .max_descriptors
+            .unwrap_or(DEFAULT_MAX_DESCRIPTORS);
+        if max_descriptors < MIN_DESCRIPTORS {
+            return Err(ConfigError::TooFewDescriptors);
         }
         let names = TopologyNames::of(&deployment);
-        let known = match file
-            .known
-            .as_ref()
-            .map(|k| k.get())
-            .filter(|k| *k != "null")
-        {
-            Some(known) => EndpointUpdate::parse(known.as_bytes(), &names).map(Some),
-            None => Ok(None),
-        };
-        let File {
-            name,
-            listen,
-            discovery,
-            ops,
-            ..
-        } = file;
         Ok(Config {
-            name,
-            listen,
-            discovery,
-            ops,
+            name: raw.name,
+            listen_address: raw.listen_address,
+            discovery_address: raw.discovery_address,
+            admin_address: raw.admin_address,
             seed,
-            sockets,
-            known,
+            max_descriptors,
+            cached_snapshot: parse_snapshot(raw.cached_snapshot.as_deref(), &names),
             deployment,
         })
     }
 }
 
+impl RawConfig {
+    fn parse(json: &[u8]) -> Result<RawConfig, ConfigError> {
+        let mut json = serde_json::Deserializer::from_slice(json);
+        let raw: RawConfig = serde_path_to_error::deserialize(&mut json).map_err(|error| {
+            match error.path().to_string() {
+                path if path == "." => ConfigError::Json(error.into_inner()),
+                path => ConfigError::Field {
+                    path,
+                    source: error.into_inner(),
+                },
+            }
+        })?;
+        json.end().map_err(ConfigError::Json)?;
+        Ok(raw)
+    }
+}
+
+fn parse_settings(json: &RawValue) -> Result<Deployment, ConfigError> {
+    let deployment = balancer_settings::deployment(json.get().as_bytes())
+        .map_err(|error| ConfigError::Settings(error.to_string()))?;
+    check_names("classes", &deployment.classes)?;
+    check_names("tenants", &deployment.tenants)?;
+    Ok(deployment)
+}
+
+fn check_names(list: &'static str, names: &[String]) -> Result<(), ConfigError> {
+    match names.iter().position(String::is_empty) {
+        Some(index) => Err(ConfigError::MissingName { list, index }),
+        None => Ok(()),
+    }
+}
+
+fn parse_snapshot(
+    json: Option<&RawValue>,
+    names: &TopologyNames,
+) -> Result<Option<EndpointUpdate>, EndpointListError> {
+    match json.map(RawValue::get) {
+        None | Some("null") => Ok(None),
+        Some(json) => EndpointUpdate::parse(json.as_bytes(), names).map(Some),
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/balancer/src/process/config/tests.rs
+++ b/balancer/src/process/config/tests.rs
@@ -1,6 +1,7 @@
+//! Configurations that are read, and errors that name what is wrong.
 use super::*;
 
-const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9",
+const VALID_CONFIG: &str = r#"{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9",
     "seed":"8c1f30d27a5be964","limits":{"sockets":1024},
     "known":{"version":4,"full":true,"servers":[{"id":"s-1","addr":"127.0.0.1:10","zone":"a","kind":"m2",
         "cell":3,"state":"active","weight":1.0,"started_ms":0}]},
@@ -10,27 +11,35 @@
         "invariants":{"cold_from":0.2,"ramp_time":9000,"tip_multiple":3,"fall":1000}}}"#;
 
 #[test]
-fn a_whole_configuration_is_read() {
-    let c = Config::parse(GOOD.as_bytes()).unwrap();
+fn parses_complete_configuration() {
+    let config = Config::parse(VALID_CONFIG.as_bytes()).unwrap();
     assert_eq!(
-        (c.seed, c.sockets, c.deployment.dial_timeout),
+        (
+            config.seed,
+            config.max_descriptors,
+            config.deployment.dial_timeout
+        ),
         (0x8c1f_30d2_7a5b_e964, 1024, 250.0)
     );
-    let list: Vec<_> = c
-        .known
+    let endpoints: Vec<_> = config
+        .cached_snapshot
         .iter()
         .flatten()
         .flat_map(EndpointUpdate::members)
         .collect();
-    assert_eq!((list.len(), list[0].kind, list[0].group), (1, 1, 3));
+    assert_eq!(
+        (endpoints.len(), endpoints[0].kind, endpoints[0].group),
+        (1, 1, 3)
+    );
 }
 
 #[test]
-fn what_is_wrong_is_named() {
+fn names_field_that_is_wrong() {
     let error = |from: &str, to: &str| {
-        Config::parse(GOOD.replace(from, to).as_bytes())
+        Config::parse(VALID_CONFIG.replace(from, to).as_bytes())
             .err()
             .unwrap()
+            .to_string()
     };
     assert!(error("\"seed\":\"8c1f30d27a5be964\",", "").contains("seed"));
     assert!(error("8c1f30d27a5be964", "xyz").starts_with("seed"));
@@ -43,13 +52,14 @@
 }
 
 #[test]
-fn a_known_list_that_cannot_be_read_is_named_and_keeps_nobody_from_starting() {
+fn malformed_cached_snapshot_is_reported_without_rejecting_configuration() {
     let odd = Config::parse(
-        GOOD.replace("\"state\":\"active\"", "\"state\":\"odd\"")
+        VALID_CONFIG
+            .replace("\"state\":\"active\"", "\"state\":\"odd\"")
             .as_bytes(),
     )
     .unwrap();
-    assert!(odd.known.unwrap_err().contains("odd"));
-    let none = Config::parse(GOOD.replace("\"known\":", "\"other\":").as_bytes()).unwrap();
-    assert!(none.known.unwrap().is_none());
+    assert!(odd.cached_snapshot.unwrap_err().to_string().contains("odd"));
+    let none = Config::parse(VALID_CONFIG.replace("\"known\":", "\"other\":").as_bytes()).unwrap();
+    assert!(none.cached_snapshot.unwrap().is_none());
 }
--- a/balancer/src/process/mod.rs
+++ b/balancer/src/process/mod.rs
@@ -1,4 +1,11 @@
-//! The balancer as a process: start-up, signals, graceful shutdown and configuration.
+//! Start-up, signals, shutdown and configuration.
 
 pub mod config;
 pub mod program;
+
+mod config_file;
+mod program_error;
+mod reload;
+mod shutdown;
+mod shutdown_schedule;
+mod signals;
--- /dev/null
+++ b/balancer/src/process/program_error.rs
@@ -0,0 +1,46 @@
+//! Why the program ended with a failure.
+use crate::process::config_file::ConfigLoadError;
+use balancer_core::SettingsError;
+use std::io;
+use std::net::SocketAddr;
+use thiserror::Error;
+use tokio::task::JoinError;
+
+/// Why the program ended with a failure.
+#[derive(Debug, Error)]
+pub enum ProgramError {
+    /// The runtime could not be built.
+    #[error("{0}")]
+    Runtime(#[source] io::Error),
+    /// Signals could not be caught.
+    #[error("{0}")]
+    Signals(#[source] io::Error),
+    /// The configuration was not loaded.
+    #[error("{0}")]
+    Config(#[from] ConfigLoadError),
+    /// The decision module does not accept the settings.
+    #[error("{0}")]
+    Settings(#[from] SettingsError),
+    /// The admin server cannot listen.
+    #[error("ops: {address}: {source}")]
+    AdminListen {
+        /// The address from the configuration.
+        address: SocketAddr,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The address at which the admin server listens is unknown.
+    #[error("ops: {0}")]
+    AdminAddress(#[source] io::Error),
+    /// The balancer cannot listen for clients.
+    #[error("listen: {address}: {source}")]
+    Listen {
+        /// The address from the configuration.
+        address: SocketAddr,
+        /// The system's error.
+        source: io::Error,
+    },
+    /// The driver's timers stopped.
+    #[error("the timers stopped: {0:?}")]
+    TimersStopped(Result<(), JoinError>),
+}
--- /dev/null
+++ b/balancer/src/process/shutdown.rs
@@ -0,0 +1,98 @@
+//! The shutdown of the process, from the signal to the last response.
+use crate::admin::process_coordinator::ProcessCoordinator;
+use crate::control::driver::DriverHandle;
+use crate::inbound::server::Phase;
+use crate::process::shutdown_schedule::{ShutdownSchedule, ACCEPT_PERIOD};
+use std::time::Duration;
+use tokio::sync::watch;
+use tokio::task::{JoinError, JoinHandle};
+use tokio::time::{sleep_until, timeout_at, Instant};
+
+/// How often the end of relayed responses is checked.
+const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
+/// Relayed responses are cut off this long after the signal, unless the process was killed before.
+const MAX_RELAY_PERIOD: Duration = Duration::from_secs(30);
+
+/// A shutdown under way.
+pub struct Shutdown<'a> {
+    /// The balancer's name, for the log.
+    pub name: &'a str,
+    /// When the signal arrived.
+    pub requested_at: Instant,
+    /// When the steps take place.
+    pub schedule: ShutdownSchedule,
+}
+
+impl Shutdown<'_> {
+    /// Takes the process through the phases of its end, until connections are closed.
+    pub async fn close_connections(
+        &self,
+        coordinator: Option<&ProcessCoordinator>,
+        phase: &watch::Sender<Phase>,
+    ) {
+        let has_successor = match coordinator {
+            Some(coordinator) => coordinator.succeeded().await,
+            None => false,
+        };
+        if has_successor {
+            hand_off(phase);
+            return;
+        }
+        let steps = [
+            (Duration::ZERO, Phase::ShutdownRequested),
+            (ACCEPT_PERIOD, Phase::Draining),
+            (self.schedule.close_connections_after, Phase::Closing),
+        ];
+        for (after, next_phase) in steps {
+            sleep_until(self.requested_at + after).await;
+            phase.send_replace(next_phase);
+        }
+    }
+
+    /// Waits until all clients are served, for as long as the schedule allows.
+    pub async fn wait_for_clients(&self, handle: &DriverHandle, server: JoinHandle<()>) {
+        let server = self.run_until_pending_failed(handle, server);
+        tokio::pin!(server);
+        let exit_at = self.requested_at + self.schedule.exit_after;
+        let mut check_at = exit_at;
+        while timeout_at(check_at, &mut server).await.is_err() {
+            let name = self.name;
+            let active = handle.active_requests();
+            if active == 0 || check_at >= self.requested_at + MAX_RELAY_PERIOD {
+                eprintln!(
+                    "{name}: callers are still connected at the end, {active} answers cut off"
+                );
+                return;
+            }
+            if check_at == exit_at {
+                eprintln!("{name}: {active} answers are still being passed on");
+            }
+            check_at += RELAY_CHECK_INTERVAL;
+        }
+    }
+
+    /// Waits for the server to end. Fails the requests that are pending when their time is over.
+    async fn run_until_pending_failed(
+        &self,
+        handle: &DriverHandle,
+        mut server: JoinHandle<()>,
+    ) -> Result<(), JoinError> {
+        tokio::select! {
+            ended = &mut server => return ended,
+            () = sleep_until(self.requested_at + self.schedule.fail_pending_after) => {
+                handle.fail_pending();
+            }
+        }
+        server.await
+    }
+}
+
+/// Leaves the clients to the successor. If staff have sent clients away, that holds for this process too.
+fn hand_off(phase: &watch::Sender<Phase>) {
+    let is_paused = *phase.borrow() == Phase::Paused;
+    phase.send_replace(if is_paused {
+        Phase::Closing
+    } else {
+        Phase::HandedOff
+    });
+}
--- /dev/null
+++ b/balancer/src/telemetry/guard_counts.rs
@@ -0,0 +1,113 @@
+//! Counts of what the guard found: invariants that were violated, and writes that were denied.
+use std::cell::Cell;
+
+/// A rule that the program must never break.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Rule {
+    /// A request has a limited number of attempts.
+    AttemptLimit,
+    /// A request has one attempt in flight at a time.
+    ConcurrentAttempt,
+    /// A request that is not idempotent is sent again only after proof that it did not run.
+    UnsafeRepeat,
+    /// A rejection promises that nothing has run.
+    RejectedAfterRun,
+    /// A request has its final response by its deadline.
+    ResponseOverdue,
+    /// A request that was read is answered before its connection is closed.
+    ClosedUnanswered,
+}
+
+impl Rule {
+    /// All rules, in the order of their counts.
+    pub const ALL: [Rule; 6] = [
+        Rule::AttemptLimit,
+        Rule::ConcurrentAttempt,
+        Rule::UnsafeRepeat,
+        Rule::RejectedAfterRun,
+        Rule::ResponseOverdue,
+        Rule::ClosedUnanswered,
+    ];
+
+    /// Its name in metrics and logs.
+    pub fn name(self) -> &'static str {
+        match self {
+            Rule::AttemptLimit => "attempt_limit",
+            Rule::ConcurrentAttempt => "concurrent_attempt",
+            Rule::UnsafeRepeat => "unsafe_repeat",
+            Rule::RejectedAfterRun => "refused_after_run",
+            Rule::ResponseOverdue => "answer_overdue",
+            Rule::ClosedUnanswered => "closed_unanswered",
+        }
+    }
+}
+
+/// Why a request was not written although its attempt had started.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Denial {
+    /// The upstream drains, is gone or suspended, and its grace period is over.
+    EndpointClosed,
+    /// The attempt's time is over.
+    Expired,
+    /// The request has ended.
+    RequestEnded,
+    /// The client has disconnected.
+    ClientDisconnected,
+}
+
+impl Denial {
+    /// All reasons, in the order of their counts.
+    pub const ALL: [Denial; 4] = [
+        Denial::EndpointClosed,
+        Denial::Expired,
+        Denial::RequestEnded,
+        Denial::ClientDisconnected,
+    ];
+
+    /// Its name in metrics and logs.
+    pub fn name(self) -> &'static str {
+        match self {
+            Denial::EndpointClosed => "endpoint_closed",
+            Denial::Expired => "expired",
+            Denial::RequestEnded => "request_ended",
+            Denial::ClientDisconnected => "client_left",
+        }
+    }
+}
+
+/// Counts of violations and of denied writes.
+#[derive(Default)]
+pub struct GuardCounts {
+    violations: [Cell<u64>; Rule::ALL.len()],
+    denials: [Cell<u64>; Denial::ALL.len()],
+}
+
+impl GuardCounts {
+    /// Counts a violation of a rule.
+    pub fn record_violation(&self, rule: Rule) {
+        increment(&self.violations[rule as usize]);
+    }
+
+    /// Counts a denied write.
+    pub fn record_denial(&self, denial: Denial) {
+        increment(&self.denials[denial as usize]);
+    }
+
+    /// Each rule with the number of its violations.
+    pub fn violations(&self) -> impl Iterator<Item = (Rule, u64)> + '_ {
+        Rule::ALL
+            .into_iter()
+            .zip(self.violations.iter().map(Cell::get))
+    }
+
+    /// Each reason with the number of writes denied for it.
+    pub fn denials(&self) -> impl Iterator<Item = (Denial, u64)> + '_ {
+        Denial::ALL
+            .into_iter()
+            .zip(self.denials.iter().map(Cell::get))
+    }
+}
+
+fn increment(count: &Cell<u64>) {
+    count.set(count.get().wrapping_add(1));
+}
--- a/balancer/src/telemetry/metrics.rs
+++ b/balancer/src/telemetry/metrics.rs
@@ -1,5 +1,5 @@
 //! The metrics that operators fetch: counted once, where an event is final, from the start of the process.
-use crate::control::invariants::GuardCounts;
+use crate::telemetry::guard_counts::GuardCounts;
 use balancer_core::EndpointCounts;
 use std::cell::Cell;
 use std::fmt::Write;
--- a/balancer/src/telemetry/mod.rs
+++ b/balancer/src/telemetry/mod.rs
@@ -1,4 +1,5 @@
 //! Metrics and log events.
 
+pub(crate) mod guard_counts;
 pub mod log;
 pub(crate) mod metrics;
--- a/balancer/tests/hollow.rs
+++ b/balancer/tests/hollow.rs
@@ -154,14 +154,14 @@
     fn start(config: &Config, count: usize) -> Fleet {
         let (report, updates) = unbounded_channel();
         let known = config
-            .known
+            .cached_snapshot
             .as_ref()
             .expect("a list that can be read")
             .as_ref();
         let start = |number: usize| {
             let options = HollowOptions {
                 deployment: &config.deployment,
-                discovery: config.discovery,
+                discovery: config.discovery_address,
                 known,
                 seed: number as u64,
                 log: Log::Discard,
@@ -300,7 +300,7 @@
         let mut fleet = Fleet::start(&parsed_config(&service, "pushed", "null"), 1);
         let patience = Duration::from_secs(1);
         let before = fleet.balancers[0].request(0, 0, patience).await;
-        assert_eq!(before, RequestOutcome::Refused, "no endpoint is known yet");
+        assert_eq!(before, RequestOutcome::Rejected, "no endpoint is known yet");
         fleet.in_force(1).await;
         let outcome = fleet.balancers[0].request(0, 0, patience).await;
         assert_eq!(outcome, RequestOutcome::Served);
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -3,9 +3,10 @@
 use crate::balancer::Workspace;
 use crate::error::ScaleError;
 use crate::process::ChildProcess;
-use balancer::hollow::{HollowBalancer, HollowOptions};
+use balancer::hollow::{HollowBalancer, HollowOptions, SettingsError};
 use balancer::process::config::Config;
 use balancer::telemetry::log::Log;
+
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -45,7 +46,7 @@
         source,
     };
     let json = fs::read(configuration).map_err(unreadable)?;
-    let config = Config::parse(&json).map_err(ScaleError::Configuration)?;
+    let config = Config::parse(&json).map_err(|e| ScaleError::Configuration(e.to_string()))?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
@@ -53,15 +54,15 @@
         let running = (0..balancers)
             .map(|number| start(&config, number))
             .collect::<Result<Vec<_>, _>>();
-        let _running = running.map_err(ScaleError::Configuration)?;
+        let _running = running.map_err(|e| ScaleError::Configuration(e.to_string()))?;
         std::future::pending().await
     })
 }
 
-fn start(config: &Config, number: u32) -> Result<HollowBalancer, String> {
+fn start(config: &Config, number: u32) -> Result<HollowBalancer, SettingsError> {
     let options = HollowOptions {
         deployment: &config.deployment,
-        discovery: config.discovery,
+        discovery: config.discovery_address,
         known: None,
         seed: config.seed.wrapping_add(u64::from(number)),
         log: Log::Discard,
