--- a/balancer/src/control/driver/tests.rs
+++ b/balancer/src/control/driver/tests.rs
@@ -11,23 +11,27 @@
 use crate::telemetry::log::Log;
 use crate::telemetry::metrics::Metrics;
 use crate::test_support::{get_request, FullListener};
-use balancer_core::{Balancer, Endpoint, Idempotency, Settings, UpstreamId};
+use balancer_core::{Balancer, Class, Endpoint, Idempotency, Settings, UpstreamId};
 use std::net::SocketAddr;
 use tokio::time::Instant;
 
 /// Longer than the test runs.
 const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
-fn driver_with(upstream: SocketAddr) -> DriverHandle {
-    let class = balancer_core::Class {
+/// Settings of one class whose times are longer than the test runs.
+fn settings() -> Settings {
+    let class = Class {
         objective: 20_000.0,
         deadline: 20_000.0,
-        ..balancer_core::Class::default()
+        ..Class::default()
     };
-    let settings = Settings {
+    Settings {
         classes: vec![class],
         ..Settings::default()
-    };
+    }
+}
+
+fn driver() -> DriverHandle {
     let clock = Clock::start();
     let connector = Connector::new(
         LONG_TIMEOUT,
@@ -36,8 +40,8 @@
         Rc::default(),
     );
     let guard = Guard::new(Metrics::new(&[]));
-    let handle = DriverHandle::new(DriverOptions {
-        balancer: Balancer::new(settings, 1, clock.now()).expect("valid settings"),
+    DriverHandle::new(DriverOptions {
+        balancer: Balancer::new(settings(), 1, clock.now()).expect("valid settings"),
         clock,
         dispatch: Dispatch::Sockets(Transport::new(connector, guard.clone())),
         drain_grace: LONG_TIMEOUT,
@@ -46,21 +50,25 @@
         rejects_after_start: false,
         guard,
         log: Log::Discard,
-    });
+    })
+}
+
+/// A driver that has received a list with this upstream.
+fn driver_with(upstream: SocketAddr) -> DriverHandle {
+    let driver = driver();
     let member = Endpoint {
         id: UpstreamId(1),
         ..Endpoint::default()
     };
-    let endpoints = vec![ListedEndpoint {
-        member,
-        address: upstream,
-    }];
-    handle.apply(&EndpointUpdate {
+    driver.apply(&EndpointUpdate {
         version: 1,
         full: true,
-        endpoints,
+        endpoints: vec![ListedEndpoint {
+            member,
+            address: upstream,
+        }],
     });
-    handle
+    driver
 }
 
 /// If the time to connect counted as response time, upstreams behind a network that is slow to connect would look
--- a/balancer/src/control/driver_state/attempt_lifecycle.rs
+++ b/balancer/src/control/driver_state/attempt_lifecycle.rs
@@ -43,28 +43,13 @@
     ) -> Option<PreparedAttempt> {
         let started_at = Instant::now();
         let now = self.now();
-        let pending = self.pending.get_mut(request)?;
-        let number = pending.attempts_started();
-        let id = AttemptId { request, number };
-        if pending.attempt_started(&self.guard).is_err() {
-            // The decision module's view of this request is wrong. The request ends here.
-            self.push_event(Event::ClientDisconnected(request));
-            self.respond(request, FinalResponse::Failed);
+        let id = self.book_attempt_start(request)?;
+        let Some(upstream) = self.attempt_target(request, upstream_id) else {
+            self.attempt_not_sent(id, started_at);
             return None;
-        }
-        let upstream = match self.endpoints.upstream(upstream_id) {
-            Some(upstream) if !pending.is_answered() => upstream.clone(),
-            _ => {
-                self.attempt_not_sent(id, started_at);
-                return None;
-            }
-        };
-        let remaining_ms = pending.remaining_ms(now);
-        let timeout_ms = if timeout_ms > 0.0 {
-            timeout_ms.min(remaining_ms)
-        } else {
-            remaining_ms
         };
+        let pending = self.pending.get(request)?;
+        let timeout_ms = pending.attempt_timeout_ms(timeout_ms, now);
         let prepared = PreparedAttempt {
             id,
             upstream_id,
@@ -77,7 +62,7 @@
         tracing::debug!(
             request = request.0,
             id = %prepared.request.label(),
-            attempt = number,
+            attempt = id.number,
             upstream = %prepared.upstream.addr.get(),
             wait_ms = timeout_ms,
             "attempt started"
@@ -86,6 +71,27 @@
         Some(prepared)
     }
 
+    /// Books the start of an attempt, unless the guard denies it.
+    fn book_attempt_start(&mut self, request: RequestId) -> Option<AttemptId> {
+        let pending = self.pending.get_mut(request)?;
+        let number = pending.attempts_started();
+        if pending.attempt_started(&self.guard).is_err() {
+            // The decision module's view of this request is wrong. The request ends here.
+            self.push_event(Event::ClientDisconnected(request));
+            self.respond(request, FinalResponse::Failed);
+            return None;
+        }
+        Some(AttemptId { request, number })
+    }
+
+    /// Where an attempt goes; `None` if the endpoint is unknown or the request has ended.
+    fn attempt_target(&self, request: RequestId, upstream_id: UpstreamId) -> Option<Rc<Upstream>> {
+        if self.pending.get(request)?.is_answered() {
+            return None;
+        }
+        self.endpoints.upstream(upstream_id).cloned()
+    }
+
     /// Books an attempt as ended for which nothing was sent.
     fn attempt_not_sent(&mut self, id: AttemptId, started_at: Instant) {
         let Some(pending) = self.pending.get_mut(id.request) else {
@@ -172,17 +178,9 @@
             duration_ms = duration,
             "attempt ended"
         );
-        let mut request_completed = true;
-        if let Some(pending) = self.pending.get_mut(id.request) {
-            let never_ran = never_ran(outcome, self.rejects_after_start);
-            pending.attempt_ended(attempt.started_at(), never_ran);
-            if let Some(response) = response {
-                // A client that disconnected at the same moment gets no response.
-                let _ = pending.respond(response);
-            }
-            request_completed = pending.is_answered();
-        }
-        self.remove_if_finished(id.request);
+        let never_ran = never_ran(outcome, self.rejects_after_start);
+        let request_completed =
+            self.settle_attempt(id.request, attempt.started_at(), never_ran, response);
         self.push_event(Event::AttemptEnded {
             request: id.request,
             attempt: id.number,
@@ -193,6 +191,27 @@
         true
     }
 
+    /// Books the end of an attempt at its request, with the response it brought. Returns whether the request is over.
+    fn settle_attempt(
+        &mut self,
+        request: RequestId,
+        started_at: Instant,
+        never_ran: bool,
+        response: Option<FinalResponse>,
+    ) -> bool {
+        let Some(pending) = self.pending.get_mut(request) else {
+            return true;
+        };
+        pending.attempt_ended(started_at, never_ran);
+        if let Some(response) = response {
+            // A client that disconnected at the same moment gets no response.
+            let _ = pending.respond(response);
+        }
+        let request_completed = pending.is_answered();
+        self.remove_if_finished(request);
+        request_completed
+    }
+
     /// The response time so far of one attempt in flight.
     #[cfg(test)]
     pub fn any_response_time(&self) -> Option<Duration> {
--- a/balancer/src/control/pending_requests.rs
+++ b/balancer/src/control/pending_requests.rs
@@ -73,12 +73,17 @@
         self.is_body_complete() && (!self.is_answered() || self.relays_response)
     }
 
-    /// How long an attempt may take from now on.
-    pub fn remaining_ms(&self, now: Millis) -> Millis {
-        if self.is_body_complete() {
+    /// How long an attempt may take from now on. `limit_ms` of zero means no limit besides the client's timeout.
+    pub fn attempt_timeout_ms(&self, limit_ms: Millis, now: Millis) -> Millis {
+        let remaining_ms = if self.is_body_complete() {
             (self.deadline - now).max(0.0)
         } else {
             self.client_timeout
+        };
+        if limit_ms > 0.0 {
+            limit_ms.min(remaining_ms)
+        } else {
+            remaining_ms
         }
     }
 
@@ -204,6 +209,11 @@
     }
 
     /// A pending request.
+    pub fn get(&self, id: RequestId) -> Option<&PendingRequest> {
+        self.by_id.get(&id)
+    }
+
+    /// A pending request, to change it.
     pub fn get_mut(&mut self, id: RequestId) -> Option<&mut PendingRequest> {
         self.by_id.get_mut(&id)
     }
--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -32,6 +32,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket};
+use tokio::signal::unix::Signal;
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, LocalSet};
 use tokio::time::Instant;
@@ -43,7 +44,7 @@
 /// Longer times in the settings, in milliseconds, count as one day.
 const MAX_SETTING_MS: Millis = 86_400_000.0;
 
-/// Runs the balancer until it is told to shut down.
+/// Runs the balancer until a signal shuts it down.
 pub fn main() -> ExitCode {
     let Err(error) = run_on_one_thread() else {
         return ExitCode::SUCCESS;
@@ -86,57 +87,88 @@
     }
 }
 
+/// A process that serves.
+struct ServingProcess {
+    config: Config,
+    parts: SharedParts,
+    handle: DriverHandle,
+    /// Fires the driver's timers; ends only if it fails.
+    timers: JoinHandle<()>,
+    /// Serves clients until the last connection has ended.
+    server: JoinHandle<()>,
+    /// `None` without an admin server.
+    coordinator: Option<Rc<ProcessCoordinator>>,
+}
+
 async fn run() -> Result<(), ProgramError> {
     // Before anything else: a signal that is not caught ends the process.
     let Signals {
         hangup,
         mut shutdown,
     } = Signals::catch()?;
-    let clock = Clock::start();
-    let config = load_config(STARTUP_RETRY_LIMIT).await?;
-    start_events(&config.name);
-    let admin_listener = listen_for_admin(config.admin_address).await?;
-    let cached_snapshot = valid_snapshot(&config);
-    let parts = SharedParts::new(&config);
-    let (discovery_address, addresses) = watch::channel(config.discovery_address);
-    let ControlPlane {
-        handle,
-        timers,
-        discovery,
-    } = start_control_plane(&config, clock, cached_snapshot, addresses, &parts)?;
-    let reloads = follow_reloads(hangup, discovery_address, parts.metrics.clone());
-    tokio::task::spawn_local(reloads);
-    tokio::task::spawn_local(discovery.run(handle.clone()));
-    let coordinator = start_admin(&config, admin_listener, &handle, &parts).await?;
-    let (server, address) = start_server(&config, coordinator.is_some(), &handle, &parts).await?;
-    match &coordinator {
-        Some(coordinator) => coordinator.serve().await,
-        None => {
-            parts.phase.send_replace(Phase::Serving);
-        }
-    }
-    let name = &config.name;
-    eprintln!("{name}: serving on {address}");
-
+    let mut process = ServingProcess::start(hangup).await?;
     tokio::select! {
         () = shutdown.received() => {}
         // Without timers no request would end. A process that exits is noticed at once.
-        ended = timers => return Err(ProgramError::TimersStopped(ended)),
+        ended = &mut process.timers => return Err(ProgramError::TimersStopped(ended)),
     }
-    eprintln!("{name}: told to end");
-    let shutdown = Shutdown {
-        name,
-        requested_at: Instant::now(),
-        schedule: shutdown_schedule(&config.deployment),
-    };
-    handle.set_response_deadline(shutdown.schedule.fail_pending_after);
-    shutdown
-        .close_connections(coordinator.as_deref(), &parts.phase)
-        .await;
-    shutdown.wait_for_clients(&handle, server).await;
+    process.shut_down().await;
     Ok(())
 }
 
+impl ServingProcess {
+    /// Starts all parts of the process. Each hangup signal reloads the configuration.
+    async fn start(hangup: Signal) -> Result<ServingProcess, ProgramError> {
+        let clock = Clock::start();
+        let config = load_config(STARTUP_RETRY_LIMIT).await?;
+        start_events(&config.name);
+        let admin_listener = listen_for_admin(config.admin_address).await?;
+        let cached_snapshot = valid_snapshot(&config);
+        let parts = SharedParts::new(&config);
+        let (discovery_address, addresses) = watch::channel(config.discovery_address);
+        let ControlPlane {
+            handle,
+            timers,
+            discovery,
+        } = start_control_plane(&config, clock, cached_snapshot, addresses, &parts)?;
+        let reloads = follow_reloads(hangup, discovery_address, parts.metrics.clone());
+        tokio::task::spawn_local(reloads);
+        tokio::task::spawn_local(discovery.run(handle.clone()));
+        let coordinator = start_admin(&config, admin_listener, &handle, &parts).await?;
+        let shares_address = coordinator.is_some();
+        let (server, address) = start_server(&config, shares_address, &handle, &parts).await?;
+        match &coordinator {
+            Some(coordinator) => coordinator.serve().await,
+            None => drop(parts.phase.send_replace(Phase::Serving)),
+        }
+        eprintln!("{}: serving on {address}", config.name);
+        Ok(ServingProcess {
+            config,
+            parts,
+            handle,
+            timers,
+            server,
+            coordinator,
+        })
+    }
+
+    /// Shuts down: serves the clients to the end, for as long as the schedule allows.
+    async fn shut_down(self) {
+        eprintln!("{}: told to end", self.config.name);
+        let shutdown = Shutdown {
+            name: &self.config.name,
+            requested_at: Instant::now(),
+            schedule: shutdown_schedule(&self.config.deployment),
+        };
+        self.handle
+            .set_response_deadline(shutdown.schedule.fail_pending_after);
+        shutdown
+            .close_connections(self.coordinator.as_deref(), &self.parts.phase)
+            .await;
+        shutdown.wait_for_clients(&self.handle, self.server).await;
+    }
+}
+
 /// The cached snapshot of the endpoints. One that is malformed is logged and ignored.
 fn valid_snapshot(config: &Config) -> Option<&EndpointUpdate> {
     match &config.cached_snapshot {
