--- /dev/null
+++ b/balancer/src/control/driver_state/attempt_lifecycle.rs
@@ -0,0 +1,220 @@
+//! The driver's attempts, from their start to their end.
+use super::DriverState;
+use crate::clock::{from_millis, to_millis};
+use crate::control::attempt_id::AttemptId;
+use crate::control::attempts::Attempt;
+use crate::control::invariants::never_ran;
+use crate::control::timers::TimerEvent;
+use crate::outbound::connection_pool::Upstream;
+use crate::outbound::message::{FinalResponse, OutboundRequest};
+use balancer_core::{AttemptOutcome, Event, Millis, RequestId, UpstreamId};
+use std::rc::Rc;
+#[cfg(test)]
+use std::time::Duration;
+use tokio::task::AbortHandle;
+use tokio::time::Instant;
+
+/// An attempt that is to be started.
+pub struct PreparedAttempt {
+    /// Its id.
+    pub id: AttemptId,
+    /// The id of its endpoint.
+    pub upstream_id: UpstreamId,
+    /// The endpoint's address and connections.
+    pub upstream: Rc<Upstream>,
+    /// The request as the attempt sends it.
+    pub request: Rc<OutboundRequest>,
+    /// When it starts.
+    pub started_at: Instant,
+    /// When it times out.
+    pub deadline: Instant,
+    /// Whether the request's body is complete.
+    pub is_body_complete: bool,
+}
+
+impl DriverState {
+    /// Prepares an attempt that the decision module wants started. `timeout_ms` of zero means no limit of its own. If
+    /// the attempt cannot start, the events that say so are added.
+    pub fn prepare_attempt(
+        &mut self,
+        request: RequestId,
+        upstream_id: UpstreamId,
+        timeout_ms: Millis,
+    ) -> Option<PreparedAttempt> {
+        let started_at = Instant::now();
+        let now = self.now();
+        let id = self.book_attempt_start(request)?;
+        let Some(upstream) = self.attempt_target(request, upstream_id) else {
+            self.attempt_not_sent(id, started_at);
+            return None;
+        };
+        let pending = self.pending.get(request)?;
+        let timeout_ms = pending.attempt_timeout_ms(timeout_ms, now);
+        let prepared = PreparedAttempt {
+            id,
+            upstream_id,
+            upstream,
+            request: pending.request().clone(),
+            started_at,
+            deadline: started_at + from_millis(timeout_ms),
+            is_body_complete: pending.is_body_complete(),
+        };
+        tracing::debug!(
+            request = request.0,
+            id = %prepared.request.label(),
+            attempt = id.number,
+            upstream = %prepared.upstream.addr.get(),
+            wait_ms = timeout_ms,
+            "attempt started"
+        );
+        self.free_descriptor_for(&prepared.upstream);
+        Some(prepared)
+    }
+
+    /// Books the start of an attempt, unless the guard denies it.
+    fn book_attempt_start(&mut self, request: RequestId) -> Option<AttemptId> {
+        let pending = self.pending.get_mut(request)?;
+        let number = pending.attempts_started();
+        if pending.attempt_started(&self.guard).is_err() {
+            // The decision module's view of this request is wrong. The request ends here.
+            self.push_event(Event::ClientDisconnected(request));
+            self.respond(request, FinalResponse::Failed);
+            return None;
+        }
+        Some(AttemptId { request, number })
+    }
+
+    /// Where an attempt goes; `None` if the endpoint is unknown or the request has ended.
+    fn attempt_target(&self, request: RequestId, upstream_id: UpstreamId) -> Option<Rc<Upstream>> {
+        if self.pending.get(request)?.is_answered() {
+            return None;
+        }
+        self.endpoints.upstream(upstream_id).cloned()
+    }
+
+    /// Books an attempt as ended for which nothing was sent.
+    fn attempt_not_sent(&mut self, id: AttemptId, started_at: Instant) {
+        let Some(pending) = self.pending.get_mut(id.request) else {
+            return;
+        };
+        let request_completed = pending.is_answered();
+        pending.attempt_ended(started_at, true);
+        self.push_event(Event::AttemptEnded {
+            request: id.request,
+            attempt: id.number,
+            outcome: AttemptOutcome::NotSent,
+            duration: 0.0,
+            request_completed,
+        });
+    }
+
+    /// Closes an idle connection if an attempt to `upstream` needs a descriptor and none is free.
+    fn free_descriptor_for(&self, upstream: &Upstream) {
+        if upstream.oldest_idle().is_none() && self.dispatch.sockets_exhausted() {
+            self.endpoints.close_oldest_idle();
+        }
+    }
+
+    /// Books a prepared attempt as started; `task` carries it out.
+    pub fn attempt_started(&mut self, prepared: PreparedAttempt, task: AbortHandle) {
+        let PreparedAttempt {
+            id,
+            upstream_id,
+            started_at,
+            ..
+        } = prepared;
+        let attempt = if prepared.is_body_complete {
+            let timeout = self
+                .timers
+                .set(prepared.deadline, TimerEvent::AttemptTimeout(id));
+            Attempt::complete(upstream_id, started_at, task, timeout)
+        } else {
+            Attempt::streaming(upstream_id, started_at, task)
+        };
+        self.attempts.insert(id, attempt);
+    }
+
+    /// An attempt has a connection to write to.
+    pub fn attempt_connected(&mut self, id: AttemptId) {
+        if let Some(attempt) = self.attempts.get_mut(id) {
+            attempt.connected(Instant::now());
+        }
+    }
+
+    /// A streamed response has started and is relayed to the client. Returns whether the attempt was still in flight.
+    pub fn response_started(&mut self, id: AttemptId, response: FinalResponse) -> bool {
+        let Some(attempt) = self.attempts.get_mut(id) else {
+            return false;
+        };
+        if let Some(timeout) = attempt.response_started() {
+            self.timers.cancel(timeout);
+        }
+        if let Some(pending) = self.pending.get_mut(id.request) {
+            pending.respond_and_relay(response);
+        }
+        true
+    }
+
+    /// Books the end of an attempt. Only the first end counts: the attempt's task stops and its connection closes. Adds
+    /// the event for the decision module. Returns whether the attempt was in flight.
+    pub fn attempt_ended(
+        &mut self,
+        id: AttemptId,
+        outcome: AttemptOutcome,
+        response: Option<FinalResponse>,
+    ) -> bool {
+        let Some(mut attempt) = self.attempts.remove(id) else {
+            return false;
+        };
+        if let Some(timeout) = attempt.stop() {
+            self.timers.cancel(timeout);
+        }
+        self.forget_endpoint_if_unused(attempt.upstream());
+        let duration = to_millis(attempt.response_time());
+        tracing::debug!(
+            request = id.request.0,
+            attempt = id.number,
+            ?outcome,
+            duration_ms = duration,
+            "attempt ended"
+        );
+        let never_ran = never_ran(outcome, self.rejects_after_start);
+        let request_completed =
+            self.settle_attempt(id.request, attempt.started_at(), never_ran, response);
+        self.push_event(Event::AttemptEnded {
+            request: id.request,
+            attempt: id.number,
+            outcome,
+            duration,
+            request_completed,
+        });
+        true
+    }
+
+    /// Books the end of an attempt at its request, with the response it brought. Returns whether the request is over.
+    fn settle_attempt(
+        &mut self,
+        request: RequestId,
+        started_at: Instant,
+        never_ran: bool,
+        response: Option<FinalResponse>,
+    ) -> bool {
+        let Some(pending) = self.pending.get_mut(request) else {
+            return true;
+        };
+        pending.attempt_ended(started_at, never_ran);
+        if let Some(response) = response {
+            // A client that disconnected at the same moment gets no response.
+            let _ = pending.respond(response);
+        }
+        let request_completed = pending.is_answered();
+        self.remove_if_finished(request);
+        request_completed
+    }
+
+    /// The response time so far of one attempt in flight.
+    #[cfg(test)]
+    pub fn any_response_time(&self) -> Option<Duration> {
+        self.attempts.any_response_time()
+    }
+}
