--- a/balancer/src/admin/server.rs
+++ b/balancer/src/admin/server.rs
@@ -2,7 +2,7 @@
 //! decides nothing.
 use crate::admin::overrides::{OverrideStore, Overrides, ProcessLock, ReadError};
 use crate::control::driver::DriverHandle;
-use crate::inbound::server::Phase;
+use crate::inbound::phase::Phase;
 use crate::net::descriptor_budget::DescriptorBudget;
 use crate::net::socket_io::Socket;
 use crate::telemetry::metrics::Metrics;
@@ -251,7 +251,7 @@
                 format!(
                     "{}END\n",
                     self.metrics
-                        .text(self.driver.active_requests(), self.driver.endpoint_counts())
+                        .render(self.driver.active_requests(), self.driver.endpoint_counts())
                 )
             }
             Ok(Ok(Some(line))) => worded(self.call(&line).await),
--- /dev/null
+++ b/balancer/src/body/body_error.rs
@@ -0,0 +1,28 @@
+//! Errors of a client's request body.
+use hyper::StatusCode;
+use thiserror::Error;
+
+/// What is wrong with a client's request body.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+pub enum BodyError {
+    /// The client sent it too slowly.
+    #[error("the body did not come")]
+    TimedOut,
+    /// It ended early, or is malformed.
+    #[error("the body is broken")]
+    Malformed,
+    /// It exceeds the largest body size.
+    #[error("the body is too large")]
+    TooLarge,
+}
+
+impl BodyError {
+    /// The status of the response to the client.
+    pub fn status(self) -> StatusCode {
+        match self {
+            BodyError::TimedOut => StatusCode::REQUEST_TIMEOUT,
+            BodyError::Malformed => StatusCode::BAD_REQUEST,
+            BodyError::TooLarge => StatusCode::PAYLOAD_TOO_LARGE,
+        }
+    }
+}
--- a/balancer/src/body/mod.rs
+++ b/balancer/src/body/mod.rs
@@ -1,3 +1,8 @@
 //! Request and response bodies, buffered or streamed.
 
-pub(crate) mod payload;
+pub(crate) mod body_error;
+pub(crate) mod limits;
+pub(crate) mod paced_body;
+pub(crate) mod request_body;
+pub(crate) mod response_body;
+pub(crate) mod upload;
--- /dev/null
+++ b/balancer/src/body/paced_body.rs
@@ -0,0 +1,118 @@
+//! Reading of a client's request body, with a limit on the time spent waiting for the client.
+use crate::body::body_error::BodyError;
+use crate::body::limits::MAX_BODY_BYTES;
+use bytes::Bytes;
+use hyper::body::{Body, Frame, Incoming};
+use std::future::{poll_fn, Future};
+use std::pin::Pin;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use tokio::time::{sleep, Instant, Sleep};
+
+/// Longest time spent waiting for the client in one request, without the allowance for its body's
+/// size.
+pub const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
+/// Bytes received extend the time limit at this rate: half of the rate that clients are promised,
+/// 64 kB/s.
+const MIN_BODY_BYTES_PER_SECOND: f64 = 32_000.0;
+
+/// A client's request body that counts the time spent waiting for the client.
+pub struct PacedBody {
+    body: Incoming,
+    bytes_received: u64,
+    /// Time spent waiting for the client, without the current wait.
+    time_waited: Duration,
+    current_wait: Option<Wait>,
+}
+
+/// A wait for the client.
+struct Wait {
+    started_at: Instant,
+    timeout: Pin<Box<Sleep>>,
+}
+
+impl PacedBody {
+    /// Reads a body for whose client the balancer has waited `time_waited` already.
+    pub fn new(body: Incoming, time_waited: Duration) -> PacedBody {
+        PacedBody {
+            body,
+            bytes_received: 0,
+            time_waited,
+            current_wait: None,
+        }
+    }
+
+    /// Length of the unread rest, if the client stated a length.
+    pub fn remaining_length(&self) -> Option<u64> {
+        self.body.size_hint().exact()
+    }
+
+    /// Bytes received so far.
+    pub fn bytes_received(&self) -> u64 {
+        self.bytes_received
+    }
+
+    /// Whether the last read waits for the client.
+    pub fn is_waiting(&self) -> bool {
+        self.current_wait.is_some()
+    }
+
+    /// The next data of the body.
+    pub async fn next(&mut self) -> Option<Result<Bytes, BodyError>> {
+        poll_fn(|cx| self.poll_next(cx)).await
+    }
+
+    /// Polls for the next data of the body. Fails if the client takes too long.
+    pub fn poll_next(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyError>>> {
+        loop {
+            let Poll::Ready(frame) = Pin::new(&mut self.body).poll_frame(cx) else {
+                ready!(self.poll_timeout(cx));
+                return Poll::Ready(Some(Err(BodyError::TimedOut)));
+            };
+            if let Some(wait) = self.current_wait.take() {
+                self.time_waited += wait.started_at.elapsed();
+            }
+            let Some(frame) = frame else {
+                return Poll::Ready(None);
+            };
+            let Ok(frame) = frame else {
+                return Poll::Ready(Some(Err(BodyError::Malformed)));
+            };
+            if let Some(data) = data_of_frame(frame) {
+                return Poll::Ready(Some(self.count(data)));
+            }
+        }
+    }
+
+    fn count(&mut self, data: Bytes) -> Result<Bytes, BodyError> {
+        self.bytes_received += data.len() as u64;
+        if self.bytes_received > MAX_BODY_BYTES {
+            return Err(BodyError::TooLarge);
+        }
+        Ok(data)
+    }
+
+    /// Ready once the balancer has waited long enough for the client.
+    fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<()> {
+        let bytes_received = self.bytes_received;
+        let time_waited = self.time_waited;
+        let wait = self.current_wait.get_or_insert_with(|| {
+            let allowance =
+                Duration::from_secs_f64(bytes_received as f64 / MIN_BODY_BYTES_PER_SECOND);
+            let limit = REQUEST_READ_TIMEOUT + allowance;
+            Wait {
+                started_at: Instant::now(),
+                timeout: Box::pin(sleep(limit.saturating_sub(time_waited))),
+            }
+        });
+        wait.timeout.as_mut().poll(cx)
+    }
+}
+
+/// The data of a frame that has any. Trailers are not forwarded.
+fn data_of_frame(frame: Frame<Bytes>) -> Option<Bytes> {
+    frame.into_data().ok().filter(|data| !data.is_empty())
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/balancer/src/body/response_body.rs
@@ -0,0 +1,191 @@
+//! Response bodies: complete ones, and large ones that are relayed from an upstream to a client.
+use crate::body::limits::BODY_STALL_TIMEOUT;
+use crate::telemetry::metrics::{InFlightRequest, RequestOutcome};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::{Body, Frame, SizeHint};
+use std::cell::Cell;
+use std::fmt;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+use thiserror::Error;
+use tokio::sync::mpsc;
+
+/// Chunks of a response that wait between its upstream and its client, at most.
+const MAX_QUEUED_CHUNKS: usize = 2;
+
+/// The large body of a response, as it arrives from the upstream.
+pub struct ResponseStream {
+    chunks: mpsc::Receiver<Bytes>,
+    /// Bytes still to come, if the upstream stated a length.
+    remaining: Option<u64>,
+    /// Whether the upstream has sent all of the body.
+    is_complete: Rc<Cell<bool>>,
+}
+
+/// Passes the chunks of a response on to its [`ResponseStream`]. The response is truncated if this
+/// is dropped before [`BodySender::finish`].
+pub struct BodySender {
+    chunks: mpsc::Sender<Bytes>,
+    is_complete: Rc<Cell<bool>>,
+}
+
+/// The client has disconnected, or has read nothing for [`BODY_STALL_TIMEOUT`].
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the client does not read the response")]
+pub struct ClientNotReading;
+
+impl BodySender {
+    /// Passes a chunk on once there is space in the queue.
+    pub async fn send(&self, chunk: Bytes) -> Result<(), ClientNotReading> {
+        self.chunks
+            .send_timeout(chunk, BODY_STALL_TIMEOUT)
+            .await
+            .map_err(|_| ClientNotReading)
+    }
+
+    /// Marks the body as complete.
+    pub fn finish(self) {
+        self.is_complete.set(true);
+    }
+}
+
+/// The two ends of a body that is relayed, of this length if the upstream stated one.
+pub fn response_stream(length: Option<u64>) -> (BodySender, ResponseStream) {
+    let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
+    let is_complete = Rc::new(Cell::new(false));
+    let sender = BodySender {
+        chunks: sender,
+        is_complete: is_complete.clone(),
+    };
+    let stream = ResponseStream {
+        chunks: receiver,
+        remaining: length,
+        is_complete,
+    };
+    (sender, stream)
+}
+
+impl ResponseStream {
+    fn poll_chunk(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, TruncatedResponse>>> {
+        let Some(chunk) = ready!(self.chunks.poll_recv(cx)) else {
+            return Poll::Ready(if self.is_complete.get() {
+                None
+            } else {
+                Some(Err(TruncatedResponse))
+            });
+        };
+        self.remaining = self
+            .remaining
+            .map(|remaining| remaining.saturating_sub(chunk.len() as u64));
+        Poll::Ready(Some(Ok(chunk)))
+    }
+
+    fn is_exhausted(&self) -> bool {
+        self.remaining == Some(0)
+    }
+}
+
+/// The body of an upstream's response.
+pub enum ResponseContent {
+    /// The complete body.
+    Buffered(Bytes),
+    /// A body that is still arriving.
+    Streamed(ResponseStream),
+}
+
+impl fmt::Debug for ResponseContent {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            ResponseContent::Buffered(body) => write!(f, "{} bytes", body.len()),
+            ResponseContent::Streamed(stream) => write!(f, "{:?} bytes to come", stream.remaining),
+        }
+    }
+}
+
+/// The body of the final response to a client.
+pub enum ResponseBody<G> {
+    /// The complete body.
+    Buffered(Full<Bytes>),
+    /// A body that is still arriving. Its request ends with it.
+    Streamed(StreamedResponse<G>),
+}
+
+/// A response body that is relayed, and what is released at its end.
+pub struct StreamedResponse<G> {
+    stream: ResponseStream,
+    request: InFlightRequest,
+    _guard: G,
+}
+
+impl<G> StreamedResponse<G> {
+    /// Relays `stream`. Records the outcome of `request`, and holds `guard` until the body is
+    /// dropped.
+    pub fn new(stream: ResponseStream, request: InFlightRequest, guard: G) -> StreamedResponse<G> {
+        StreamedResponse {
+            stream,
+            request,
+            _guard: guard,
+        }
+    }
+
+    fn poll_chunk(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, TruncatedResponse>>> {
+        let chunk = ready!(self.stream.poll_chunk(cx));
+        match &chunk {
+            Some(Err(TruncatedResponse)) => self.request.set_outcome(RequestOutcome::Failed),
+            Some(Ok(_)) if !self.stream.is_exhausted() => {}
+            Some(Ok(_)) | None => self.request.set_outcome(RequestOutcome::Served),
+        }
+        Poll::Ready(chunk)
+    }
+}
+
+/// An upstream's response ended early. The client's connection is closed, so that the client
+/// notices.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
+#[error("the answer broke off")]
+pub struct TruncatedResponse;
+
+impl<G: Unpin> Body for ResponseBody<G> {
+    type Data = Bytes;
+    type Error = TruncatedResponse;
+
+    fn poll_frame(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
+        match self.get_mut() {
+            ResponseBody::Buffered(body) => Pin::new(body)
+                .poll_frame(cx)
+                .map_err(|never| match never {}),
+            ResponseBody::Streamed(response) => {
+                let chunk = ready!(response.poll_chunk(cx));
+                Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
+            }
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match self {
+            ResponseBody::Buffered(body) => body.is_end_stream(),
+            ResponseBody::Streamed(response) => response.stream.is_exhausted(),
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            ResponseBody::Buffered(body) => body.size_hint(),
+            ResponseBody::Streamed(response) => response
+                .stream
+                .remaining
+                .map_or_else(SizeHint::default, SizeHint::with_exact),
+        }
+    }
+}
--- /dev/null
+++ b/balancer/src/body/upload.rs
@@ -0,0 +1,185 @@
+//! A large request body that is forwarded to an upstream while the client still sends it.
+use crate::body::body_error::BodyError;
+use crate::body::limits::{BODY_STALL_TIMEOUT, MAX_BUFFERED_BODY_BYTES};
+use crate::body::paced_body::PacedBody;
+use bytes::Bytes;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use std::task::{ready, Context, Poll};
+use std::time::Duration;
+use tokio::time::{sleep, Instant};
+
+/// Interval between two checks for a stalled body.
+const STALL_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// Follows the body of a pending request.
+pub trait UploadObserver {
+    /// The body has arrived completely.
+    fn completed(&self);
+
+    /// The start of the body is no longer buffered, so that no other attempt can send the body.
+    fn released(&self);
+}
+
+/// A large request body. Its start stays buffered for further attempts until more has arrived than
+/// is buffered.
+pub struct Upload {
+    state: RefCell<UploadState>,
+    /// Total length, if the client stated it.
+    length: Option<u64>,
+    observer: RefCell<Option<Box<dyn UploadObserver>>>,
+    error: Cell<Option<BodyError>>,
+    /// When an attempt last polled for data.
+    last_polled_at: Cell<Instant>,
+}
+
+struct UploadState {
+    body: PacedBody,
+    /// All chunks received, while they are not more than [`MAX_BUFFERED_BODY_BYTES`].
+    buffered: Option<Vec<Bytes>>,
+    is_complete: bool,
+}
+
+/// What the observer is notified of after a poll.
+#[derive(Clone, Copy, Default)]
+struct UploadProgress {
+    released: bool,
+    completed: bool,
+}
+
+impl UploadState {
+    /// Records the data of a poll.
+    fn record(&mut self, next: Option<&Result<Bytes, BodyError>>) -> UploadProgress {
+        let mut progress = UploadProgress::default();
+        if let Some(Ok(chunk)) = next {
+            progress.released = self.buffer_or_release(chunk);
+        }
+        progress.completed = next.is_none() || self.body.remaining_length() == Some(0);
+        self.is_complete |= progress.completed;
+        progress
+    }
+
+    /// Buffers a chunk while all of the body fits. Returns whether the buffer was released.
+    fn buffer_or_release(&mut self, chunk: &Bytes) -> bool {
+        let fits = self.body.bytes_received() <= MAX_BUFFERED_BODY_BYTES as u64;
+        match &mut self.buffered {
+            Some(buffered) if fits => {
+                buffered.push(chunk.clone());
+                false
+            }
+            _ => self.buffered.take().is_some(),
+        }
+    }
+}
+
+impl Upload {
+    /// An upload whose chunks `buffered` have arrived; `body` is the rest.
+    pub fn new(body: PacedBody, buffered: Vec<Bytes>) -> Rc<Upload> {
+        let buffered_bytes: u64 = buffered.iter().map(|chunk| chunk.len() as u64).sum();
+        let length = body
+            .remaining_length()
+            .map(|remaining| remaining + buffered_bytes);
+        Rc::new(Upload {
+            state: RefCell::new(UploadState {
+                body,
+                buffered: Some(buffered),
+                is_complete: false,
+            }),
+            length,
+            observer: RefCell::default(),
+            error: Cell::new(None),
+            last_polled_at: Cell::new(Instant::now()),
+        })
+    }
+
+    /// Sets the observer of the upload.
+    pub fn observe(&self, observer: Box<dyn UploadObserver>) {
+        *self.observer.borrow_mut() = Some(observer);
+    }
+
+    /// Total length, if the client stated it.
+    pub fn length(&self) -> Option<u64> {
+        self.length
+    }
+
+    /// Whether the body has arrived completely.
+    pub fn is_complete(&self) -> bool {
+        self.state.borrow().is_complete
+    }
+
+    /// Whether the start of the body is still buffered, so that an attempt can send the body.
+    pub fn is_replayable(&self) -> bool {
+        self.state.borrow().buffered.is_some()
+    }
+
+    /// The client's failure to send the body, if there was one.
+    pub fn error(&self) -> Option<BodyError> {
+        self.error.get()
+    }
+
+    /// Whether the first `position` chunks are the complete body.
+    pub fn is_read_up_to(&self, position: usize) -> bool {
+        let state = self.state.borrow();
+        let buffered_chunks = state.buffered.as_ref().map_or(0, Vec::len);
+        state.is_complete && position >= buffered_chunks
+    }
+
+    /// Returns once no attempt has polled for data for [`BODY_STALL_TIMEOUT`] though the client is
+    /// not awaited.
+    pub async fn stalled(&self) {
+        loop {
+            sleep(STALL_CHECK_INTERVAL).await;
+            let state = self.state.borrow();
+            let is_readable = !state.is_complete && !state.body.is_waiting();
+            if is_readable && self.last_polled_at.get().elapsed() >= BODY_STALL_TIMEOUT {
+                return;
+            }
+        }
+    }
+
+    /// Polls for the chunk after the first `position` ones, and advances `position`.
+    pub fn poll_next(
+        &self,
+        cx: &mut Context<'_>,
+        position: &mut usize,
+    ) -> Poll<Option<Result<Bytes, BodyError>>> {
+        self.last_polled_at.set(Instant::now());
+        let mut state = self.state.borrow_mut();
+        let buffered_chunk = state
+            .buffered
+            .as_ref()
+            .and_then(|buffered| buffered.get(*position));
+        if let Some(chunk) = buffered_chunk {
+            *position += 1;
+            return Poll::Ready(Some(Ok(chunk.clone())));
+        }
+        if state.is_complete {
+            return Poll::Ready(None);
+        }
+        let next = ready!(state.body.poll_next(cx));
+        let progress = state.record(next.as_ref());
+        // The observer may call back into this upload.
+        drop(state);
+        if matches!(next, Some(Ok(_))) {
+            *position += 1;
+        }
+        self.notify(progress);
+        if let Some(Err(error)) = next {
+            self.error.set(Some(error));
+        }
+        Poll::Ready(next)
+    }
+
+    fn notify(&self, progress: UploadProgress) {
+        let observer = self.observer.borrow();
+        let Some(observer) = observer.as_ref() else {
+            return;
+        };
+        if progress.released {
+            observer.released();
+        }
+        if progress.completed {
+            observer.completed();
+        }
+    }
+}
--- a/balancer/src/control/driver.rs
+++ b/balancer/src/control/driver.rs
@@ -1,13 +1,14 @@
 //! The one owner of the decision module: feeds it events in order, carries out its actions, keeps its clock,
 //! its timers and the ids of requests and attempts. Nothing is decided here.
-use crate::body::payload::{RequestBody, UploadObserver};
+use crate::body::request_body::RequestBody;
+use crate::body::upload::UploadObserver;
 use crate::control::clock::{from_millis, to_millis, Clock};
 use crate::control::invariants::{never_ran, AttemptHistory, Guard};
 use crate::discovery::endpoints::{upstream_id, EndpointConsumer, EndpointUpdate};
 use crate::outbound::dispatch::Dispatch;
 use crate::outbound::endpoint_table::EndpointTable;
 use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
-use crate::telemetry::log::Log;
+use crate::telemetry::log::LogOutput;
 use balancer_core::{
     Action, AttemptOutcome, Balancer, EndpointCounts, EndpointEvent, Event, Idempotency, Millis,
     Request, RequestId, UpstreamId,
@@ -48,7 +49,7 @@
         }
         guard.answer(now - self.deadline, &self.out.label());
         match answer {
-            FinalResponse::Refused { .. } if !guard.refuse(&self.history, &self.out.label()) => {
+            FinalResponse::Rejected { .. } if !guard.refuse(&self.history, &self.out.label()) => {
                 FinalResponse::Failed
             }
             answer => answer,
@@ -57,7 +58,7 @@
 
     /// The way to the client, once; the request is over with it.
     fn end(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
-        self.out.over.set(true);
+        self.out.ended.set(true);
         self.reply.take()
     }
 }
@@ -114,7 +115,7 @@
     balancer: Balancer,
     clock: Clock,
     dispatch: Dispatch,
-    log: Log,
+    log: LogOutput,
     max_open: usize,
     /// The idempotency_by_class of the classes, by position; and whether upstreams also shed work that they had begun.
     idempotency_by_class: Vec<Idempotency>,
@@ -163,7 +164,7 @@
     /// Checks what the module wants done.
     pub guard: Guard,
     /// Where the module's log lines go.
-    pub log: Log,
+    pub log: LogOutput,
 }
 
 /// A request that waits for its final answer. Dropping it tells the module that the client is gone.
@@ -282,7 +283,7 @@
             let Some(idle_limit) = d.dispatch.idle_limit() else {
                 return;
             };
-            d.endpoints.sweep(idle_limit);
+            d.endpoints.close_expired(idle_limit);
         }
         self.set_sweep();
     }
@@ -294,7 +295,7 @@
 
     /// Whether upstreams are known, so that requests can be served.
     pub fn has_endpoints(&self) -> bool {
-        self.0.driver.borrow().endpoints.ever_listed()
+        self.0.driver.borrow().endpoints.has_ever_listed()
     }
 
     /// Requests that have come whole and have not ended: they wait for an answer, or it is being passed on.
@@ -355,7 +356,7 @@
     /// Whether an upstream of this name is listed or left out by staff.
     pub fn is_known_upstream(&self, name: &str) -> bool {
         let (d, id) = (self.0.driver.borrow(), upstream_id(name));
-        d.balancer.is_suspended(id) || d.endpoints.lists(id)
+        d.balancer.is_suspended(id) || d.endpoints.is_listed(id)
     }
 
     /// Staff leave an upstream out from now on. What is out may end; nothing more is written there.
@@ -393,16 +394,16 @@
         let (id, deadline) = {
             let mut d = self.0.driver.borrow_mut();
             if d.open.len() >= d.max_open {
-                return Err(SubmitError::Full);
+                return Err(SubmitError::AtCapacity);
             }
             // Guards against one request's id on another while anything of the first is out: upstreams tell
             // repeats by it.
             if out
-                .name
+                .request_id
                 .as_ref()
                 .is_some_and(|name| !d.names.insert(name.clone()))
             {
-                return Err(SubmitError::Known);
+                return Err(SubmitError::DuplicateRequestId);
             }
             while d.open.contains_key(&RequestId(d.next_id)) {
                 d.next_id = d.next_id.wrapping_add(1);
@@ -416,8 +417,8 @@
                 .unwrap_or(Idempotency::NonIdempotent);
             let client_timeout = (client_timeout - ANSWER_MARGIN).max(0.0);
             let deadline = match &out.body {
-                RequestBody::Whole(_) => (d.now() + client_timeout).min(d.last),
-                RequestBody::Upload(upload) => {
+                RequestBody::Buffered(_) => (d.now() + client_timeout).min(d.last),
+                RequestBody::Streamed(upload) => {
                     upload.observe(Box::new(PendingUpload {
                         handle: self.clone(),
                         id,
@@ -570,7 +571,7 @@
             Action::Reject {
                 request,
                 retry_after,
-            } => d.answer(request, FinalResponse::Refused { retry_after }),
+            } => d.answer(request, FinalResponse::Rejected { retry_after }),
             Action::Fail { request } => d.answer(request, FinalResponse::Failed),
             Action::CloseIdleConnections(id) => {
                 if let Some(upstream) = d.endpoints.upstream(id) {
@@ -583,7 +584,7 @@
                 d.set_timer(Instant::now() + after, TimerEvent::Module(token));
                 self.0.timers.notify_one();
             }
-            Action::Log(line) => d.log.line(&line),
+            Action::Log(line) => d.log.write_line(&line),
         }
     }
 
@@ -629,19 +630,19 @@
             request = id.0,
             id = %out.label(),
             attempt = number,
-            upstream = %target.addr.get(),
+            upstream = %target.address(),
             wait_ms = wait,
             "attempt started"
         );
         let (dispatch, handle) = (d.dispatch.clone(), self.clone());
-        if target.oldest_idle().is_none() && dispatch.sockets_exhausted() {
+        if target.oldest_idle_since().is_none() && dispatch.sockets_exhausted() {
             d.endpoints.close_oldest_idle();
         }
         let task = tokio::task::spawn_local(async move {
             let connected = || handle.connected(id, number);
             let begun = |answer| handle.begun(id, number, answer);
-            let (outcome, answer) = dispatch.attempt(target, out, until, connected, begun).await;
-            handle.ended(id, number, outcome, answer);
+            let result = dispatch.attempt(target, out, until, connected, begun).await;
+            handle.ended(id, number, result.outcome, result.response);
         });
         let due = whole.then(|| d.set_timer(until, TimerEvent::Attempt(id, number)));
         let (sent, task) = (whole.then_some(now), task.abort_handle());
@@ -778,7 +779,7 @@
             .get(&id)
             .is_some_and(|o| o.reply.is_none() && o.history.in_flight() == 0)
         {
-            if let Some(name) = self.open.remove(&id).and_then(|o| o.out.name.clone()) {
+            if let Some(name) = self.open.remove(&id).and_then(|o| o.out.request_id.clone()) {
                 self.names.remove(&name);
             }
         }
@@ -786,7 +787,7 @@
 
     /// Forgets an upstream that is gone once nothing is out to it.
     fn forget_upstream(&mut self, id: UpstreamId) {
-        if self.endpoints.is_gone(id) && !self.attempts.values().any(|a| a.upstream == id) {
+        if self.endpoints.is_removed(id) && !self.attempts.values().any(|a| a.upstream == id) {
             self.endpoints.forget(id);
         }
     }
@@ -795,7 +796,7 @@
     fn apply_endpoints(&mut self, update: &EndpointUpdate, full: bool) {
         self.endpoints
             .apply(update, full, |id| self.balancer.is_suspended(id));
-        for id in self.endpoints.gone() {
+        for id in self.endpoints.removed() {
             self.forget_upstream(id);
         }
     }
--- a/balancer/src/control/driver/tests.rs
+++ b/balancer/src/control/driver/tests.rs
@@ -33,7 +33,7 @@
         idempotency_by_class: vec![Idempotency::Idempotent],
         rejects_after_start: false,
         guard,
-        log: Log::Discard,
+        log: LogOutput::Discard,
     });
     let member = Endpoint {
         id: UpstreamId(1),
--- a/balancer/src/control/startup.rs
+++ b/balancer/src/control/startup.rs
@@ -6,7 +6,7 @@
 use crate::discovery::client::{Discovery, ACKNOWLEDGE_INTERVAL};
 use crate::discovery::endpoints::EndpointUpdate;
 use crate::outbound::dispatch::Dispatch;
-use crate::telemetry::log::Log;
+use crate::telemetry::log::LogOutput;
 use balancer_core::Balancer;
 use balancer_settings::Deployment;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     /// The newest value is where discovery is.
     pub discovery: watch::Receiver<SocketAddr>,
     /// Where log lines go.
-    pub log: Log,
+    pub log: LogOutput,
 }
 
 /// The control part, set up. The discovery client is still to be started.
--- a/balancer/src/discovery/client.rs
+++ b/balancer/src/discovery/client.rs
@@ -5,7 +5,7 @@
 use crate::control::clock::from_millis;
 use crate::discovery::endpoints::{EndpointConsumer, EndpointUpdate, TopologyNames};
 use crate::net::socket_io::Socket;
-use crate::telemetry::log::Log;
+use crate::telemetry::log::LogOutput;
 use balancer_settings::Deployment;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty, Limited};
@@ -181,7 +181,7 @@
     version: Option<u64>,
     /// What was wrong with the last call.
     error: Option<String>,
-    log: Log,
+    log: LogOutput,
 }
 
 impl Discovery {
@@ -191,7 +191,7 @@
         addresses: watch::Receiver<SocketAddr>,
         deployment: &Deployment,
         version: Option<u64>,
-        log: Log,
+        log: LogOutput,
     ) -> Discovery {
         let pushed = !deployment.policy.poll_endpoints;
         // What the agent gets while a watch is broken counts as acknowledged all the same: the next call has to bring
@@ -240,7 +240,7 @@
 
     /// Goes over to another address, where the versions of the old one mean nothing.
     fn follow(&mut self, addr: SocketAddr) {
-        self.log.line(&format!("discovery: now at {addr}"));
+        self.log.write_line(&format!("discovery: now at {addr}"));
         (self.addr, self.link, self.version) = (addr, None, None);
     }
 
@@ -310,7 +310,7 @@
         let error = error.to_string();
         // Guards against a log full of one line while discovery is down.
         if self.error.as_ref() != Some(&error) {
-            self.log.line(&format!("discovery: {error}"));
+            self.log.write_line(&format!("discovery: {error}"));
             self.error = Some(error);
         }
     }
--- a/balancer/src/hollow.rs
+++ b/balancer/src/hollow.rs
@@ -9,7 +9,7 @@
 use crate::discovery::endpoints::{EndpointConsumer, EndpointUpdate};
 use crate::outbound::dispatch::Dispatch;
 use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
-use crate::telemetry::log::Log;
+use crate::telemetry::log::LogOutput;
 use crate::telemetry::metrics::Metrics;
 pub use balancer_core::EndpointCounts;
 use balancer_settings::Deployment;
@@ -32,7 +32,7 @@
     /// Feeds the decision module's random choices.
     pub seed: u64,
     /// Where log lines go.
-    pub log: Log,
+    pub log: LogOutput,
 }
 
 /// An update of the endpoints that a balancer has put in force.
@@ -122,12 +122,14 @@
         {
             Ok(waiting) => match waiting.response().await {
                 FinalResponse::Served { .. } => RequestOutcome::Served,
-                FinalResponse::Refused { .. } => RequestOutcome::Refused,
-                FinalResponse::Unusable(_) | FinalResponse::Unsent(_) | FinalResponse::Failed => {
-                    RequestOutcome::Failed
-                }
+                FinalResponse::Rejected { .. } => RequestOutcome::Refused,
+                FinalResponse::ClientError(_)
+                | FinalResponse::RequestBodyFailed(_)
+                | FinalResponse::Failed => RequestOutcome::Failed,
             },
-            Err(SubmitError::Full | SubmitError::Known) => RequestOutcome::Refused,
+            Err(SubmitError::AtCapacity | SubmitError::DuplicateRequestId) => {
+                RequestOutcome::Refused
+            }
         }
     }
 }
@@ -175,12 +177,12 @@
 /// A request that nothing is written of.
 fn empty_request() -> OutboundRequest {
     OutboundRequest {
-        name: None,
+        request_id: None,
         method: Method::GET,
         target: Uri::default(),
         headers: HeaderMap::new(),
-        body: crate::body::payload::RequestBody::Whole(bytes::Bytes::new()),
-        over: Cell::new(false),
+        body: crate::body::request_body::RequestBody::Buffered(bytes::Bytes::new()),
+        ended: Cell::new(false),
         client: None,
     }
 }
--- /dev/null
+++ b/balancer/src/inbound/client_connection.rs
@@ -0,0 +1,145 @@
+//! One client connection, as its task and its requests see it.
+use crate::body::paced_body::REQUEST_READ_TIMEOUT;
+use crate::inbound::idle_connections::{ConnectionKind, IdleConnections, IdleKey};
+use crate::inbound::request_tracker::RequestTracker;
+use crate::net::client_stream::ClientStream;
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpStream;
+use tokio::sync::Notify;
+use tokio::time::{sleep_until, Instant};
+
+/// A client that has been answered may keep its connection unused for this long.
+const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Longest time between two checks of a connection's timeout.
+const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// One client connection.
+pub struct ClientConnection {
+    tracker: Rc<RequestTracker>,
+    stream: ClientStream,
+    idle_connections: Rc<IdleConnections>,
+    /// Set between requests.
+    idle_key: Cell<Option<IdleKey>>,
+    /// Notified when the connection is evicted.
+    evict: Rc<Notify>,
+    /// Whether the client may still be sending a request that was answered early.
+    drains_before_close: Cell<bool>,
+}
+
+impl ClientConnection {
+    /// Registers a new connection as idle.
+    pub fn register(
+        stream: TcpStream,
+        idle_connections: &Rc<IdleConnections>,
+    ) -> Rc<ClientConnection> {
+        let connection = Rc::new(ClientConnection {
+            tracker: RequestTracker::new(),
+            stream: ClientStream::new(stream, Rc::default()),
+            idle_connections: idle_connections.clone(),
+            idle_key: Cell::new(None),
+            evict: Rc::new(Notify::new()),
+            drains_before_close: Cell::new(false),
+        });
+        connection.mark_idle(ConnectionKind::New);
+        connection
+    }
+
+    /// The requests on the connection.
+    pub fn tracker(&self) -> &Rc<RequestTracker> {
+        &self.tracker
+    }
+
+    /// The connection's stream.
+    pub fn stream(&self) -> &ClientStream {
+        &self.stream
+    }
+
+    /// Whether the connection carries no request now.
+    pub fn is_idle(&self) -> bool {
+        self.idle_key.get().is_some()
+    }
+
+    fn mark_idle(&self, kind: ConnectionKind) {
+        let key = self.idle_connections.mark_idle(kind, &self.evict);
+        self.idle_key.set(Some(key));
+    }
+
+    /// The connection carries a request, or is closed.
+    pub fn unmark_idle(&self) {
+        if let Some(key) = self.idle_key.take() {
+            self.idle_connections.unmark_idle(key);
+        }
+    }
+
+    /// Waits until the connection is evicted.
+    pub async fn evicted(&self) {
+        self.evict.notified().await;
+    }
+
+    /// Whether what the client still sends is read before the connection is closed.
+    pub fn drains_before_close(&self) -> bool {
+        self.drains_before_close.get()
+    }
+
+    /// Sets whether what the client still sends is read before the connection is closed.
+    pub fn set_drains_before_close(&self, drains: bool) {
+        self.drains_before_close.set(drains);
+    }
+
+    /// Returns once the balancer has waited long enough for the client's next request.
+    pub async fn timed_out(&self) {
+        loop {
+            let now = Instant::now();
+            let is_idle = self.is_idle();
+            let timeout_at = self.tracker.waiting_since() + self.read_timeout();
+            if is_idle && now >= timeout_at {
+                return;
+            }
+            // A partial head may arrive at any time and changes the timeout.
+            let next_check_at = now + TIMEOUT_CHECK_INTERVAL;
+            let wake_at = if is_idle {
+                timeout_at.min(next_check_at)
+            } else {
+                next_check_at
+            };
+            sleep_until(wake_at).await;
+        }
+    }
+
+    fn read_timeout(&self) -> Duration {
+        if self.tracker.has_dispatched() && !self.tracker.is_mid_request() {
+            CLIENT_IDLE_TIMEOUT
+        } else {
+            REQUEST_READ_TIMEOUT
+        }
+    }
+}
+
+/// Marks a connection as carrying a request; the connection is idle again when this is dropped.
+pub struct ActiveRequestGuard {
+    connection: Rc<ClientConnection>,
+}
+
+impl ActiveRequestGuard {
+    /// A request begins on the connection.
+    pub fn new(connection: &Rc<ClientConnection>) -> ActiveRequestGuard {
+        connection.unmark_idle();
+        ActiveRequestGuard {
+            connection: connection.clone(),
+        }
+    }
+
+    /// The connection that carries the request.
+    pub fn connection(&self) -> &Rc<ClientConnection> {
+        &self.connection
+    }
+}
+
+impl Drop for ActiveRequestGuard {
+    fn drop(&mut self) {
+        self.connection.tracker.restart_wait();
+        self.connection.mark_idle(ConnectionKind::Used);
+    }
+}
--- /dev/null
+++ b/balancer/src/inbound/connection_task.rs
@@ -0,0 +1,168 @@
+//! The life of one client connection: serves its requests, and decides when it is closed.
+use crate::body::response_body::ResponseBody;
+use crate::inbound::client_connection::{ActiveRequestGuard, ClientConnection};
+use crate::inbound::context::ServerContext;
+use crate::inbound::request_handler::respond;
+use crate::inbound::request_tracker::TrackedStream;
+use crate::net::client_stream::{ClientStream, MAX_HEAD_BYTES};
+use crate::net::descriptor_budget::ConnectionPermit;
+use crate::telemetry::metrics::CloseReason;
+use hyper::body::Incoming;
+use hyper::server::conn::http1;
+use hyper::service::{service_fn, HttpService};
+use hyper::Request;
+use hyper_util::rt::TokioIo;
+use std::convert::Infallible;
+use std::pin::{pin, Pin};
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::io::AsyncReadExt;
+use tokio::time::{sleep, timeout};
+
+/// During shutdown, a connection that has been idle for this long is closed, and is checked as
+/// often. On one that was idle for less, the next request may be on its way, and its response ends
+/// the connection.
+const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(100);
+/// The same for a connection that has carried no request yet: its client may write its first
+/// request slowly.
+const NEW_CONNECTION_IDLE_BEFORE_CLOSE: Duration = Duration::from_secs(2);
+/// Time allowed to flush responses before an idle connection is closed.
+const RESPONSE_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
+/// After an early response, the rest of the request is read for this long, and up to this size:
+/// closing a socket with unread bytes would destroy the response on its way.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_DRAIN_BYTES: usize = 64 << 20;
+
+type HttpConnection<S> = http1::Connection<TokioIo<TrackedStream>, S>;
+
+/// Serves a connection until it is closed, and then releases its permit.
+pub async fn serve_connection(
+    context: Rc<ServerContext>,
+    connection: Rc<ClientConnection>,
+    _permit: ConnectionPermit,
+) {
+    serve_requests(&context, &connection).await;
+    connection.unmark_idle();
+    if connection.drains_before_close() {
+        let mut stream = connection.stream().clone();
+        let _ = timeout(DRAIN_TIMEOUT, drain(&mut stream)).await;
+    }
+}
+
+async fn serve_requests(context: &Rc<ServerContext>, connection: &Rc<ClientConnection>) {
+    let service = service_fn(|request: Request<Incoming>| {
+        let context = context.clone();
+        let connection = connection.clone();
+        async move {
+            let active = ActiveRequestGuard::new(&connection);
+            Ok::<_, Infallible>(respond(&context, request, active).await)
+        }
+    });
+    let stream = TrackedStream::new(connection.stream().clone(), connection.tracker().clone());
+    let http = pin!(http1::Builder::new()
+        // A client that closes its sending side still gets its response.
+        .half_close(true)
+        .max_buf_size(MAX_HEAD_BYTES)
+        .serve_connection(TokioIo::new(stream), service));
+    let reason = run_until_closed(context, connection, http).await;
+    record_closed(context, connection, reason);
+}
+
+async fn run_until_closed<S>(
+    context: &ServerContext,
+    connection: &ClientConnection,
+    mut http: Pin<&mut HttpConnection<S>>,
+) -> CloseReason
+where
+    S: HttpService<Incoming, ResBody = ResponseBody<ActiveRequestGuard>>,
+{
+    let mut phase = context.phase.clone();
+    loop {
+        let mut is_evicted = false;
+        let closes_connections = phase.borrow_and_update().closes_connections();
+        tokio::select! {
+            result = http.as_mut() => return close_reason(result),
+            () = connection.timed_out() => return CloseReason::TimedOut,
+            () = connection.evicted() => is_evicted = true,
+            changed = phase.changed() => if changed.is_err() {
+                return CloseReason::Shutdown;
+            },
+            () = sleep(IDLE_BEFORE_CLOSE), if closes_connections => {}
+        }
+        if is_evicted && is_within_first_head(connection) {
+            return CloseReason::Evicted;
+        }
+        if (is_evicted || is_due_to_close(context, connection)) && is_closable(connection) {
+            http.as_mut().graceful_shutdown();
+            // Guards against clients that never read their response.
+            let _ = timeout(RESPONSE_FLUSH_TIMEOUT, http.as_mut()).await;
+            return if is_evicted {
+                CloseReason::Evicted
+            } else {
+                CloseReason::Shutdown
+            };
+        }
+    }
+}
+
+/// hyper has answered a request that it could not parse.
+fn close_reason(result: hyper::Result<()>) -> CloseReason {
+    match result {
+        Err(error) if error.is_parse() => CloseReason::Malformed,
+        _ => CloseReason::Finished,
+    }
+}
+
+/// A partial first head is no accepted request yet.
+fn is_within_first_head(connection: &ClientConnection) -> bool {
+    let tracker = connection.tracker();
+    tracker.is_mid_request() && !tracker.has_dispatched()
+}
+
+/// Whether the connection has been idle for long enough to be closed during shutdown.
+fn is_due_to_close(context: &ServerContext, connection: &ClientConnection) -> bool {
+    let tracker = connection.tracker();
+    let idle_before_close = if tracker.has_dispatched() {
+        IDLE_BEFORE_CLOSE
+    } else {
+        NEW_CONNECTION_IDLE_BEFORE_CLOSE
+    };
+    context.closes_connections() && tracker.waiting_since().elapsed() >= idle_before_close
+}
+
+/// Whether the connection can be closed without losing a request: a request that is written to it
+/// counts as accepted, even if it is unread.
+fn is_closable(connection: &ClientConnection) -> bool {
+    connection.is_idle()
+        && !connection.tracker().is_mid_request()
+        && connection.stream().is_open_and_drained()
+}
+
+/// Counts a connection as closed, and reports a request on it that this side leaves without a
+/// response.
+fn record_closed(context: &ServerContext, connection: &ClientConnection, reason: CloseReason) {
+    context.metrics.record_connection_closed(reason);
+    let has_request = !connection.is_idle() || connection.tracker().has_undispatched_request();
+    let unanswered =
+        has_request && reason != CloseReason::Malformed && !connection.stream().peer_disconnected();
+    tracing::debug!(
+        reason = reason.name(),
+        unanswered,
+        "client connection closed"
+    );
+    if unanswered {
+        context.guard.closed_unanswered(reason.name());
+    }
+}
+
+/// Reads and discards what the client still sends.
+async fn drain(stream: &mut ClientStream) {
+    let mut remaining = MAX_DRAIN_BYTES;
+    let mut buffer = vec![0; MAX_HEAD_BYTES];
+    while remaining > 0 {
+        match stream.read(&mut buffer).await {
+            Ok(count) if count > 0 => remaining = remaining.saturating_sub(count),
+            _ => return,
+        }
+    }
+}
--- /dev/null
+++ b/balancer/src/inbound/context.rs
@@ -0,0 +1,42 @@
+//! What all client connections share.
+use crate::control::driver::DriverHandle;
+use crate::control::invariants::Guard;
+use crate::inbound::idle_connections::IdleConnections;
+use crate::inbound::phase::Phase;
+use crate::net::descriptor_budget::DescriptorBudget;
+use crate::telemetry::metrics::Metrics;
+use balancer_settings::Deployment;
+use std::cell::Cell;
+use std::rc::Rc;
+use tokio::sync::watch;
+
+/// What all client connections share.
+pub struct ServerContext {
+    /// Takes the requests.
+    pub driver: DriverHandle,
+    /// The settings.
+    pub deployment: Deployment,
+    /// Limits the connections.
+    pub sockets: DescriptorBudget,
+    /// Counts requests and connections.
+    pub metrics: Rc<Metrics>,
+    /// Checks that requests are answered.
+    pub guard: Guard,
+    /// The phase of the process.
+    pub phase: watch::Receiver<Phase>,
+    /// The connections that carry no request now.
+    pub idle_connections: Rc<IdleConnections>,
+    /// Whether connections are accepted.
+    pub is_listening: Cell<bool>,
+}
+
+impl ServerContext {
+    /// Whether connections close with their next response. After a handoff this begins when the
+    /// listener is closed: clients whose connection closes earlier would connect again and wait in
+    /// the queue of that listener.
+    pub fn closes_connections(&self) -> bool {
+        let phase = *self.phase.borrow();
+        let awaits_listener = phase == Phase::HandedOff && self.is_listening.get();
+        phase.closes_connections() && !awaits_listener
+    }
+}
--- a/balancer/src/inbound/mod.rs
+++ b/balancer/src/inbound/mod.rs
@@ -1,6 +1,13 @@
-//! Client connections: accepting, reading request heads, answering.
+//! The clients' side: the listener, client connections and the requests on them.
 
-pub(crate) mod client_stream;
-pub(crate) mod request_head;
-pub(crate) mod responses;
+mod client_connection;
+mod connection_task;
+mod context;
+mod idle_connections;
+pub(crate) mod phase;
+mod request_framing;
+mod request_handler;
+mod request_head;
+mod request_tracker;
+mod responses;
 pub(crate) mod server;
--- /dev/null
+++ b/balancer/src/inbound/phase.rs
@@ -0,0 +1,31 @@
+//! The phases of the process, as client connections see them.
+
+/// Whether the process accepts clients, and how far its shutdown has come. Later phases are
+/// greater.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Phase {
+    /// Not yet serving.
+    Starting,
+    /// Serving.
+    Serving,
+    /// Paused by operators: clients are sent away. Requests are still served, on connections that
+    /// close with their next response.
+    Paused,
+    /// Shutdown was requested: new connections are still accepted, and existing ones are served.
+    ShutdownRequested,
+    /// No connection is accepted any more; existing ones are served.
+    Draining,
+    /// Shutdown was requested while another process of this balancer serves: no connection is
+    /// accepted any more, and existing ones close with their next response, so that clients change
+    /// to the other process.
+    HandedOff,
+    /// Connections close with their next response, and idle ones are closed.
+    Closing,
+}
+
+impl Phase {
+    /// Whether connections close with their next response, and idle ones are closed.
+    pub fn closes_connections(self) -> bool {
+        matches!(self, Phase::Paused | Phase::HandedOff | Phase::Closing)
+    }
+}
--- /dev/null
+++ b/balancer/src/inbound/request_handler.rs
@@ -0,0 +1,297 @@
+//! Handles one request of a client: reads it, submits it to the driver and returns the final
+//! response.
+use crate::body::body_error::BodyError;
+use crate::body::limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
+use crate::body::paced_body::PacedBody;
+use crate::body::request_body::RequestBody;
+use crate::body::upload::Upload;
+use crate::control::clock::to_millis;
+use crate::control::driver::ResponseFuture;
+use crate::inbound::client_connection::{ActiveRequestGuard, ClientConnection};
+use crate::inbound::context::ServerContext;
+use crate::inbound::phase::Phase;
+use crate::inbound::request_framing::AmbiguousFraming;
+use crate::inbound::request_head::{HeadError, RequestHead};
+use crate::inbound::responses::{
+    empty_response, final_response, input_error_response, rejection, ClientResponse,
+};
+use crate::net::client_stream::Peer;
+use crate::outbound::headers::{remove_hop_by_hop_headers, DEADLINE_HEADER};
+use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
+use crate::telemetry::metrics::{InFlightRequest, RequestOutcome};
+use balancer_core::Millis;
+use bytes::Bytes;
+use hyper::body::{Body, Incoming};
+use hyper::header::{self, HeaderValue};
+use hyper::http::request;
+use hyper::{Method, Request, StatusCode, Uri};
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use thiserror::Error;
+
+/// `Retry-After` of a rejection because of too many pending requests, in milliseconds.
+const AT_CAPACITY_RETRY_AFTER_MS: Millis = 500.0;
+/// Answers whether this process serves.
+const READY_PATH: &str = "/-/ready";
+/// The service, and the prefix of its paths.
+const SERVICE_PATH: &str = "/api";
+const SERVICE_PREFIX: &str = "/api/";
+
+/// The response to a client while its request holds the connection.
+type Response = ClientResponse<ActiveRequestGuard>;
+
+/// Why a request is answered without being submitted.
+#[derive(Debug, Error)]
+enum RequestError {
+    #[error(transparent)]
+    Head(#[from] HeadError),
+    #[error(transparent)]
+    Body(#[from] BodyError),
+    #[error("GET has no body")]
+    UnexpectedBody,
+    #[error("the client disconnected")]
+    ClientDisconnected,
+    #[error(transparent)]
+    Submit(#[from] SubmitError),
+}
+
+impl RequestError {
+    fn response(&self) -> Response {
+        let text = self.to_string();
+        match self {
+            RequestError::Head(_) | RequestError::UnexpectedBody => {
+                input_error_response(StatusCode::BAD_REQUEST, &text)
+            }
+            RequestError::Body(error) => input_error_response(error.status(), &text),
+            RequestError::Submit(SubmitError::DuplicateRequestId) => {
+                input_error_response(StatusCode::CONFLICT, &text)
+            }
+            RequestError::Submit(SubmitError::AtCapacity) => rejection(AT_CAPACITY_RETRY_AFTER_MS),
+            RequestError::ClientDisconnected => rejection(0.0),
+        }
+    }
+}
+
+/// A request that the driver has accepted.
+struct SubmittedRequest {
+    response: ResponseFuture,
+    in_flight: InFlightRequest,
+    /// Its body, if it is large.
+    upload: Option<Rc<Upload>>,
+}
+
+/// A response, and what it means for its connection.
+struct Reply {
+    response: Response,
+    /// The connection closes with the response.
+    closes_connection: bool,
+    /// Part of the request's body is unread.
+    has_unread_body: bool,
+}
+
+impl From<Response> for Reply {
+    fn from(response: Response) -> Reply {
+        Reply {
+            response,
+            closes_connection: false,
+            has_unread_body: false,
+        }
+    }
+}
+
+/// Responds to a request on the connection that `active` guards.
+pub async fn respond(
+    context: &ServerContext,
+    request: Request<Incoming>,
+    active: ActiveRequestGuard,
+) -> Response {
+    let connection = active.connection().clone();
+    // The request may have waited behind another one on its connection, or in the listener's queue.
+    let queued_for = connection.tracker().record_dispatch().elapsed();
+    let reply = route(context, request, active, queued_for).await;
+    finish_reply(context, &connection, reply)
+}
+
+async fn route(
+    context: &ServerContext,
+    request: Request<Incoming>,
+    active: ActiveRequestGuard,
+    queued_for: Duration,
+) -> Reply {
+    // Guards against requests hidden in the body of another: nothing is read behind a head with
+    // ambiguous framing, nor behind chunks, whose end the tracker does not follow.
+    if active.connection().tracker().is_framing_ambiguous() {
+        let text = AmbiguousFraming.to_string();
+        return Reply {
+            response: input_error_response(StatusCode::BAD_REQUEST, &text),
+            closes_connection: true,
+            has_unread_body: false,
+        };
+    }
+    let is_chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
+    let mut reply = match request.uri().path() {
+        READY_PATH => empty_response(readiness(context)).into(),
+        path if path == SERVICE_PATH || path.starts_with(SERVICE_PREFIX) => {
+            serve(context, request, active, queued_for).await
+        }
+        _ => empty_response(StatusCode::NOT_FOUND).into(),
+    };
+    reply.closes_connection |= is_chunked;
+    reply
+}
+
+/// Whether this process can serve. After a handoff it answers for its successor.
+fn readiness(context: &ServerContext) -> StatusCode {
+    let is_serving = matches!(*context.phase.borrow(), Phase::Serving | Phase::HandedOff);
+    if context.driver.has_endpoints() && is_serving {
+        StatusCode::OK
+    } else {
+        StatusCode::SERVICE_UNAVAILABLE
+    }
+}
+
+/// Submits a request and waits for its final response, or until the client disconnects.
+async fn serve(
+    context: &ServerContext,
+    request: Request<Incoming>,
+    active: ActiveRequestGuard,
+    queued_for: Duration,
+) -> Reply {
+    let connection = active.connection().clone();
+    let submitted = match submit(context, request, &connection, queued_for).await {
+        Ok(submitted) => submitted,
+        Err(error) => return error.response().into(),
+    };
+    // Dropping the response future notifies the driver that the client has disconnected.
+    let final_answer = tokio::select! {
+        biased;
+        answer = submitted.response.response() => Some(answer),
+        () = connection.stream().wait_for_disconnect() => None,
+    };
+    Reply {
+        has_unread_body: submitted.upload.is_some_and(|upload| !upload.is_complete()),
+        closes_connection: final_answer.is_none(),
+        response: response_to_client(final_answer, submitted.in_flight, active),
+    }
+}
+
+/// A client that has closed only its sending side still reads the response. Its request may have
+/// run.
+fn response_to_client(
+    final_answer: Option<FinalResponse>,
+    in_flight: InFlightRequest,
+    active: ActiveRequestGuard,
+) -> Response {
+    match final_answer {
+        Some(answer) => final_response(answer, in_flight, active),
+        None => empty_response(StatusCode::BAD_GATEWAY),
+    }
+}
+
+/// Adds the headers that end the connection, if it ends with this response.
+fn finish_reply(context: &ServerContext, connection: &ClientConnection, reply: Reply) -> Response {
+    let mut response = reply.response;
+    let drains_before_close = response.status().is_client_error() || reply.has_unread_body;
+    connection.set_drains_before_close(drains_before_close);
+    // During shutdown, requests that were sent behind this one are still answered.
+    let stream = connection.stream();
+    let ends_now = context.closes_connections()
+        && !connection.tracker().has_pending_input()
+        && stream.is_open_and_drained();
+    let ends_connection = ends_now || stream.peer_disconnected();
+    if drains_before_close || reply.closes_connection || ends_connection {
+        response
+            .headers_mut()
+            .insert(header::CONNECTION, HeaderValue::from_static("close"));
+    }
+    response
+}
+
+/// Reads a request and submits it to the driver. A large body is still being read when this
+/// returns.
+async fn submit(
+    context: &ServerContext,
+    request: Request<Incoming>,
+    connection: &ClientConnection,
+    queued_for: Duration,
+) -> Result<SubmittedRequest, RequestError> {
+    let time_waited = connection.tracker().waiting_since().elapsed();
+    let (parts, body) = request.into_parts();
+    let head = RequestHead::parse(&parts.method, &parts.headers, &context.deployment)?;
+    let client_timeout_ms = (head.client_timeout_ms - to_millis(queued_for)).max(0.0);
+    check_body(&parts.method, &body)?;
+    let body = read_body(PacedBody::new(body, time_waited)).await?;
+    let upload = match &body {
+        RequestBody::Streamed(upload) => Some(upload.clone()),
+        RequestBody::Buffered(_) => None,
+    };
+    let outbound = outbound_request(parts, body, connection.stream().peer());
+    // The request may have waited long for a permit or in the listener's queue. Nothing has been
+    // sent.
+    if connection.stream().peer_disconnected() {
+        return Err(RequestError::ClientDisconnected);
+    }
+    let submitted = context
+        .driver
+        .submit(head.class, head.tenant, client_timeout_ms, outbound);
+    if let Err(SubmitError::AtCapacity) = submitted {
+        context
+            .metrics
+            .record_completed(head.class, RequestOutcome::Rejected);
+    }
+    Ok(SubmittedRequest {
+        response: submitted?,
+        in_flight: InFlightRequest::new(&context.metrics, head.class),
+        upload,
+    })
+}
+
+fn check_body(method: &Method, body: &Incoming) -> Result<(), RequestError> {
+    if body.size_hint().lower() > MAX_BODY_BYTES {
+        return Err(BodyError::TooLarge.into());
+    }
+    if method == Method::GET && !body.is_end_stream() {
+        return Err(RequestError::UnexpectedBody);
+    }
+    Ok(())
+}
+
+/// Buffers a small body. Stops at the start of a large one.
+async fn read_body(mut body: PacedBody) -> Result<RequestBody, BodyError> {
+    let mut chunks: Vec<Bytes> = Vec::new();
+    let mut length = 0;
+    let mut is_large = body
+        .remaining_length()
+        .is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES as u64);
+    while !is_large {
+        let Some(chunk) = body.next().await else {
+            return Ok(RequestBody::Buffered(chunks.concat().into()));
+        };
+        let chunk = chunk?;
+        length += chunk.len();
+        chunks.push(chunk);
+        is_large = length > MAX_BUFFERED_BODY_BYTES;
+    }
+    Ok(RequestBody::Streamed(Upload::new(body, chunks)))
+}
+
+fn outbound_request(parts: request::Parts, body: RequestBody, client: Peer) -> OutboundRequest {
+    let mut headers = parts.headers;
+    remove_hop_by_hop_headers(&mut headers);
+    headers.remove(&DEADLINE_HEADER);
+    let target = parts
+        .uri
+        .path_and_query()
+        .map(|path| Uri::from(path.clone()))
+        .unwrap_or_default();
+    OutboundRequest {
+        request_id: headers.get("req-id").cloned(),
+        method: parts.method,
+        target,
+        headers,
+        body,
+        ended: Cell::new(false),
+        client: Some(client),
+    }
+}
--- a/balancer/src/inbound/request_head.rs
+++ b/balancer/src/inbound/request_head.rs
@@ -1,118 +1,139 @@
-//! What the head of a client's request says, checked against the settings.
+//! The head of a client's request, validated against the settings.
 use balancer_core::{Idempotency, Millis};
 use balancer_settings::Deployment;
 use hyper::header::HeaderMap;
 use hyper::Method;
-use std::fmt;
+use thiserror::Error;
 
-/// Longest request id taken.
-const ID_MOST: usize = 256;
-/// Longest time that a client may state, in milliseconds: a day.
-const PATIENCE_MOST: Millis = 86_400_000.0;
+/// Longest request id.
+const MAX_REQUEST_ID_BYTES: usize = 256;
+/// Longest timeout that a client may state, in milliseconds: one day.
+const MAX_CLIENT_TIMEOUT_MS: Millis = 86_400_000.0;
 
-/// Class, tenant and client_timeout of a request.
+const REQUEST_ID_HEADER: &str = "Req-Id";
+const CLASS_HEADER: &str = "Req-Kind";
+const TENANT_HEADER: &str = "Req-Owner";
+const TIMEOUT_HEADER: &str = "Req-Deadline";
+const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key";
+
+/// Class, tenant and timeout of a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RequestHead {
     /// Position of the class in the settings.
     pub class: usize,
     /// Position of the tenant in the settings.
     pub tenant: usize,
-    /// How long the client waits for the answer.
-    pub client_timeout: Millis,
+    /// How long the client waits for the response.
+    pub client_timeout_ms: Millis,
 }
 
 /// What is wrong with a head.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HeadError {
-    /// A header is absent, stated more than once, or no text.
+    /// A header is absent, occurs more than once, or is not text.
+    #[error("{0} is missing")]
     Missing(&'static str),
-    /// A header's value has no valid form.
-    Bad(&'static str),
+    /// A header's value is malformed.
+    #[error("{0} is bad")]
+    Malformed(&'static str),
     /// The settings do not list a header's value.
+    #[error("{0} is unknown")]
     Unknown(&'static str),
-    /// The method or the idempotency key is not that of the class.
-    Form,
-}
-
-impl fmt::Display for HeadError {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            HeadError::Missing(name) => write!(f, "{name} is missing"),
-            HeadError::Bad(name) => write!(f, "{name} is bad"),
-            HeadError::Unknown(name) => write!(f, "{name} is unknown"),
-            HeadError::Form => f.write_str("the method or Idempotency-Key does not fit the class"),
-        }
-    }
+    /// The method or the idempotency key does not match the class.
+    #[error("the method or Idempotency-Key does not fit the class")]
+    ClassMismatch,
 }
 
-impl std::error::Error for HeadError {}
-
 impl RequestHead {
-    /// Reads a head.
-    pub fn read(
+    /// Parses and validates a head.
+    pub fn parse(
         method: &Method,
         headers: &HeaderMap,
         deployment: &Deployment,
     ) -> Result<RequestHead, HeadError> {
-        let id = one(headers, "Req-Id")?;
-        if id.is_empty() || id.len() > ID_MOST {
-            return Err(HeadError::Bad("Req-Id"));
-        }
-        let class = listed(&deployment.classes, headers, "Req-Kind")?;
-        let tenant = match deployment.tenants.is_empty() {
-            true => 0,
-            false => listed(&deployment.tenants, headers, "Req-Owner")?,
+        check_request_id(headers)?;
+        let class = listed_position(&deployment.classes, headers, CLASS_HEADER)?;
+        let tenant = if deployment.tenants.is_empty() {
+            0
+        } else {
+            listed_position(&deployment.tenants, headers, TENANT_HEADER)?
         };
-        let client_timeout =
-            span(one(headers, "Req-Deadline")?).ok_or(HeadError::Bad("Req-Deadline"))?;
-        let keyed = one(headers, "Idempotency-Key").is_ok_and(|key| !key.is_empty());
-        let fits = match deployment.policy.classes[class].idempotency {
-            Idempotency::Idempotent => method == Method::GET,
-            Idempotency::IdempotencyKey { .. } => method == Method::POST && keyed,
-            Idempotency::NonIdempotent => {
-                method == Method::POST && !headers.contains_key("idempotency-key")
-            }
-        };
-        if !fits {
-            return Err(HeadError::Form);
+        let client_timeout_ms = parse_time_span_ms(single_value(headers, TIMEOUT_HEADER)?)
+            .ok_or(HeadError::Malformed(TIMEOUT_HEADER))?;
+        let idempotency = deployment.policy.classes[class].idempotency;
+        if !matches_idempotency(idempotency, method, headers) {
+            return Err(HeadError::ClassMismatch);
         }
         Ok(RequestHead {
             class,
             tenant,
-            client_timeout,
+            client_timeout_ms,
         })
     }
 }
 
-/// The one value of a header.
-fn one<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, HeadError> {
-    let mut all = headers.get_all(name).iter();
-    let value = all.next().and_then(|value| value.to_str().ok());
-    value
-        .filter(|_| all.next().is_none())
-        .ok_or(HeadError::Missing(name))
+fn check_request_id(headers: &HeaderMap) -> Result<(), HeadError> {
+    let id = single_value(headers, REQUEST_ID_HEADER)?;
+    if id.is_empty() || id.len() > MAX_REQUEST_ID_BYTES {
+        return Err(HeadError::Malformed(REQUEST_ID_HEADER));
+    }
+    Ok(())
+}
+
+/// Whether the method and the idempotency key are those of a class.
+fn matches_idempotency(idempotency: Idempotency, method: &Method, headers: &HeaderMap) -> bool {
+    match idempotency {
+        Idempotency::Idempotent => method == Method::GET,
+        Idempotency::IdempotencyKey { .. } => {
+            let has_key =
+                single_value(headers, IDEMPOTENCY_KEY_HEADER).is_ok_and(|key| !key.is_empty());
+            method == Method::POST && has_key
+        }
+        Idempotency::NonIdempotent => {
+            method == Method::POST && !headers.contains_key(IDEMPOTENCY_KEY_HEADER)
+        }
+    }
+}
+
+/// The value of a header that must occur once.
+fn single_value<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, HeadError> {
+    let mut values = headers.get_all(name).iter();
+    let (Some(value), None) = (values.next(), values.next()) else {
+        return Err(HeadError::Missing(name));
+    };
+    value.to_str().map_err(|_| HeadError::Missing(name))
 }
 
 /// The position of a header's value in a list of the settings.
-fn listed(names: &[String], headers: &HeaderMap, name: &'static str) -> Result<usize, HeadError> {
-    let value = one(headers, name)?;
+fn listed_position(
+    names: &[String],
+    headers: &HeaderMap,
+    header: &'static str,
+) -> Result<usize, HeadError> {
+    let value = single_value(headers, header)?;
     names
         .iter()
-        .position(|known| known == value)
-        .ok_or(HeadError::Unknown(name))
+        .position(|name| name == value)
+        .ok_or(HeadError::Unknown(header))
 }
 
-/// A span of time as callers write it: a number and `m` for milliseconds or `u` for microseconds.
-fn span(text: &str) -> Option<Millis> {
+/// Parses a time span as clients write it: a number and `m` for milliseconds or `u` for
+/// microseconds.
+fn parse_time_span_ms(text: &str) -> Option<Millis> {
     let text = text.trim();
-    let (number, unit) = match (text.strip_suffix('m'), text.strip_suffix('u')) {
+    let (number, unit_ms) = match (text.strip_suffix('m'), text.strip_suffix('u')) {
         (Some(number), _) => (number, 1.0),
         (_, Some(number)) => (number, 0.001),
         _ => return None,
     };
-    let plain = !number.is_empty() && number.bytes().all(|b| b.is_ascii_digit() || b == b'.');
-    let value = plain.then(|| number.parse::<f64>().ok())?? * unit;
-    (0.0..=PATIENCE_MOST).contains(&value).then_some(value)
+    let is_decimal = |byte: u8| byte.is_ascii_digit() || byte == b'.';
+    if number.is_empty() || !number.bytes().all(is_decimal) {
+        return None;
+    }
+    let span_ms = number.parse::<f64>().ok()? * unit_ms;
+    (0.0..=MAX_CLIENT_TIMEOUT_MS)
+        .contains(&span_ms)
+        .then_some(span_ms)
 }
 
 #[cfg(test)]
--- a/balancer/src/inbound/request_head/tests.rs
+++ b/balancer/src/inbound/request_head/tests.rs
@@ -1,11 +1,11 @@
-//! The forms of times.
+//! The syntax of time spans.
 use super::*;
 
 #[test]
-fn spans_have_a_number_and_a_unit() {
-    assert_eq!(span("480m"), Some(480.0));
-    assert_eq!(span("1500u"), Some(1.5));
-    for bad in [
+fn parses_time_spans_of_a_number_and_a_unit() {
+    assert_eq!(parse_time_span_ms("480m"), Some(480.0));
+    assert_eq!(parse_time_span_ms("1500u"), Some(1.5));
+    for malformed in [
         "",
         "m",
         "480",
@@ -16,6 +16,6 @@
         "4 m",
         "99999999999m",
     ] {
-        assert_eq!(span(bad), None, "{bad}");
+        assert_eq!(parse_time_span_ms(malformed), None, "{malformed}");
     }
 }
--- a/balancer/src/inbound/responses.rs
+++ b/balancer/src/inbound/responses.rs
@@ -1,75 +1,89 @@
-//! The answers that clients get.
-use crate::body::payload::{ResponseBody, ResponseContent};
+//! The responses that clients get.
+use crate::body::response_body::{ResponseBody, ResponseContent, StreamedResponse};
 use crate::outbound::message::FinalResponse;
-use crate::telemetry::metrics::{InFlightRequest, Outcome};
+use crate::telemetry::metrics::{InFlightRequest, RequestOutcome};
 use balancer_core::Millis;
 use bytes::Bytes;
 use http_body_util::Full;
-use hyper::header::{self, HeaderValue};
+use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::{Response, StatusCode};
 
-/// An answer with this status and no body.
-pub fn plain<G>(status: StatusCode) -> Response<ResponseBody<G>> {
-    let mut response = Response::new(ResponseBody::Whole(Full::default()));
-    *response.status_mut() = status;
-    response
+/// A response to a client. `G` is held until its body ends.
+pub type ClientResponse<G> = Response<ResponseBody<G>>;
+
+/// A response with this status and without a body.
+pub fn empty_response<G>(status: StatusCode) -> ClientResponse<G> {
+    response_with_body(status, Bytes::new())
 }
 
-/// An answer to input that cannot be used, which says what is wrong.
-pub fn refuse_input<G>(status: StatusCode, what: &str) -> Response<ResponseBody<G>> {
-    let mut response = Response::new(ResponseBody::Whole(Full::new(Bytes::from(format!(
-        "{what}\n"
-    )))));
+/// A response to invalid input. Its body says what is wrong.
+pub fn input_error_response<G>(status: StatusCode, text: &str) -> ClientResponse<G> {
+    response_with_body(status, Bytes::from(format!("{text}\n")))
+}
+
+fn response_with_body<G>(status: StatusCode, body: Bytes) -> ClientResponse<G> {
+    let mut response = Response::new(ResponseBody::Buffered(Full::new(body)));
     *response.status_mut() = status;
     response
 }
 
-/// A refusal: another try does no harm, after `retry_after` if that is above 0.
-pub fn refusal<G>(retry_after: Millis) -> Response<ResponseBody<G>> {
-    let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
-    if retry_after > 0.0 {
-        // Digits and a point only, so this cannot fail.
-        if let Ok(after) = HeaderValue::try_from(format!("{:.3}", retry_after / 1000.0)) {
-            response.headers_mut().insert(header::RETRY_AFTER, after);
+/// Rejects a request that has not run: the client may retry after `retry_after_ms`. Zero gives no
+/// advice.
+pub fn rejection<G>(retry_after_ms: Millis) -> ClientResponse<G> {
+    let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
+    if retry_after_ms > 0.0 {
+        // Digits and a point are a valid header value.
+        if let Ok(seconds) = HeaderValue::try_from(format!("{:.3}", retry_after_ms / 1000.0)) {
+            response.headers_mut().insert(header::RETRY_AFTER, seconds);
         }
     }
     response
 }
 
-/// The one final answer to a request, which counts in the metrics as it ends; `released` is held until then.
-pub fn final_answer<G>(
+/// The one final response to a request. Sets the request's outcome, and holds `guard` until the
+/// body ends.
+pub fn final_response<G>(
     answer: FinalResponse,
-    taken: InFlightRequest,
-    released: G,
-) -> Response<ResponseBody<G>> {
+    request: InFlightRequest,
+    guard: G,
+) -> ClientResponse<G> {
     match answer {
-        FinalResponse::Served { headers, body } => {
-            let body = match body {
-                ResponseContent::Whole(body) => {
-                    taken.ends(Outcome::Ok);
-                    ResponseBody::Whole(Full::new(body))
-                }
-                ResponseContent::Frames(frames) => ResponseBody::Frames(frames, taken, released),
-            };
-            let mut response = Response::new(body);
-            *response.headers_mut() = headers;
-            response
-        }
-        FinalResponse::Refused { retry_after } => {
-            taken.ends(Outcome::Shed);
-            refusal(retry_after)
+        FinalResponse::Served { headers, body } => served_response(headers, body, request, guard),
+        FinalResponse::Rejected { retry_after } => {
+            request.set_outcome(RequestOutcome::Rejected);
+            rejection(retry_after)
         }
-        FinalResponse::Unusable(status) => {
-            taken.ends(Outcome::Errors);
-            refuse_input(status, "turned away by the service")
+        FinalResponse::ClientError(status) => {
+            request.set_outcome(RequestOutcome::Failed);
+            input_error_response(status, "turned away by the service")
         }
-        FinalResponse::Unsent(fault) => {
-            taken.ends(Outcome::Errors);
-            refuse_input(fault.status(), &fault.to_string())
+        FinalResponse::RequestBodyFailed(error) => {
+            request.set_outcome(RequestOutcome::Failed);
+            input_error_response(error.status(), &error.to_string())
         }
         FinalResponse::Failed => {
-            taken.ends(Outcome::Errors);
-            plain(StatusCode::BAD_GATEWAY)
+            request.set_outcome(RequestOutcome::Failed);
+            empty_response(StatusCode::BAD_GATEWAY)
         }
     }
 }
+
+fn served_response<G>(
+    headers: HeaderMap,
+    body: ResponseContent,
+    request: InFlightRequest,
+    guard: G,
+) -> ClientResponse<G> {
+    let body = match body {
+        ResponseContent::Buffered(body) => {
+            request.set_outcome(RequestOutcome::Served);
+            ResponseBody::Buffered(Full::new(body))
+        }
+        ResponseContent::Streamed(stream) => {
+            ResponseBody::Streamed(StreamedResponse::new(stream, request, guard))
+        }
+    };
+    let mut response = Response::new(body);
+    *response.headers_mut() = headers;
+    response
+}
--- /dev/null
+++ b/balancer/src/net/client_stream.rs
@@ -0,0 +1,240 @@
+//! A TCP stream that stays accessible while hyper reads and writes it: how far a message is
+//! written, whether the peer has disconnected, and since when bytes are unread.
+use crate::net::socket_io;
+use std::cell::{Cell, RefCell, RefMut};
+use std::future::{poll_fn, Future};
+use std::io;
+use std::mem::MaybeUninit;
+use std::pin::{pin, Pin};
+use std::rc::{Rc, Weak};
+use std::task::{Context, Poll, Waker};
+use thiserror::Error;
+use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
+use tokio::net::TcpStream;
+use tokio::time::Instant;
+
+/// Largest head of a request or response; hyper rejects a larger one.
+pub const MAX_HEAD_BYTES: usize = 16 << 10;
+
+/// How far a message has been written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum WriteProgress {
+    /// Some of the message is still to be handed to the stream.
+    Partial,
+    /// All of the message has been handed to the stream.
+    HandedOver,
+    /// The socket has accepted the last byte.
+    Complete,
+}
+
+/// Decides whether the next message may be written; called once, at its first byte.
+pub type WritePermit = Box<dyn FnOnce() -> bool>;
+
+/// The error of a write that its [`WritePermit`] denied.
+#[derive(Debug, Error)]
+#[error("the write was denied")]
+struct WriteDenied;
+
+/// A stream with several holders; closed when the last one drops it.
+#[derive(Clone)]
+pub struct ClientStream {
+    stream: Rc<RefCell<TcpStream>>,
+    write_progress: Rc<Cell<WriteProgress>>,
+    /// Counts the messages that are written completely.
+    messages_written: Rc<Cell<u64>>,
+    /// Whether the runtime's readiness was cleared while bytes may be unread: the reader asks the
+    /// system first.
+    readiness_cleared: Rc<Cell<bool>>,
+    /// Since when bytes are known to be unread.
+    unread_since: Rc<Cell<Option<Instant>>>,
+    write_permit: Rc<RefCell<Option<WritePermit>>>,
+}
+
+/// The other side of a shared stream. Does not keep the connection open.
+pub struct Peer(Weak<RefCell<TcpStream>>);
+
+impl Peer {
+    /// Whether the peer has disconnected, or the connection is closed here.
+    pub fn has_disconnected(&self) -> bool {
+        self.0
+            .upgrade()
+            .is_none_or(|stream| peer_disconnected(&stream.borrow()))
+    }
+}
+
+/// Asks the system whether there is an unread byte. Returns 0 at the end of the stream.
+fn peek_byte(stream: &TcpStream) -> io::Result<usize> {
+    socket_io::retry_interrupted(|| {
+        socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
+    })
+}
+
+/// Whether the peer has closed, reset or half-closed the connection, even if bytes before the end
+/// are unread.
+fn peer_disconnected(stream: &TcpStream) -> bool {
+    match peek_byte(stream) {
+        Ok(0) => true,
+        // The runtime reports the end of the stream even behind unread bytes.
+        Ok(_) => {
+            let readiness = pin!(stream.ready(Interest::READABLE))
+                .poll(&mut Context::from_waker(Waker::noop()));
+            matches!(readiness, Poll::Ready(Ok(ready)) if ready.is_read_closed())
+        }
+        Err(error) => error.kind() != io::ErrorKind::WouldBlock,
+    }
+}
+
+impl ClientStream {
+    /// Shares a stream. `messages_written` counts the messages that are written completely.
+    pub fn new(stream: TcpStream, messages_written: Rc<Cell<u64>>) -> ClientStream {
+        ClientStream {
+            stream: Rc::new(RefCell::new(stream)),
+            write_progress: Rc::new(Cell::new(WriteProgress::Partial)),
+            messages_written,
+            readiness_cleared: Rc::default(),
+            unread_since: Rc::default(),
+            write_permit: Rc::default(),
+        }
+    }
+
+    /// How far the newest message has been written. The writer of the message sets it up to
+    /// [`WriteProgress::HandedOver`].
+    pub fn write_progress(&self) -> Rc<Cell<WriteProgress>> {
+        self.write_progress.clone()
+    }
+
+    /// Whether the socket is open and has no unread bytes. Asks the system, because the runtime
+    /// learns of bytes and of the end only when it next polls.
+    pub fn is_open_and_drained(&self) -> bool {
+        peek_byte(&self.stream.borrow())
+            .is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
+    }
+
+    /// Whether the peer has closed, reset or half-closed the connection, even if bytes before the
+    /// end are unread.
+    pub fn peer_disconnected(&self) -> bool {
+        peer_disconnected(&self.stream.borrow())
+    }
+
+    /// The other side.
+    pub fn peer(&self) -> Peer {
+        Peer(Rc::downgrade(&self.stream))
+    }
+
+    /// Writes the next message only if `permit` allows it at the first byte.
+    pub fn set_write_permit(&self, permit: WritePermit) {
+        *self.write_permit.borrow_mut() = Some(permit);
+    }
+
+    fn check_write_permit(&self) -> io::Result<()> {
+        let permit = self.write_permit.borrow_mut().take();
+        if permit.is_none_or(|permit| permit()) {
+            return Ok(());
+        }
+        Err(io::Error::other(WriteDenied))
+    }
+
+    /// Acknowledges received bytes at once: some peers delay a further small write until then.
+    pub fn acknowledge_received_data(&self) {
+        // A failure only delays such a write.
+        let _ = socket2::SockRef::from(&*self.stream.borrow()).set_tcp_quickack(true);
+    }
+
+    /// Records that bytes are unread, if there are any: they arrived at `since` at the earliest.
+    pub fn record_unread(&self, since: Instant) {
+        if self.unread_since.get().is_some() {
+            return;
+        }
+        if peek_byte(&self.stream.borrow()).is_ok_and(|count| count > 0) {
+            self.unread_since.set(Some(since));
+        }
+    }
+
+    /// When the bytes that were just read arrived: at the recorded time, or now.
+    pub fn take_arrival_time(&self) -> Instant {
+        self.unread_since.take().unwrap_or_else(Instant::now)
+    }
+
+    /// Returns once the peer has disconnected.
+    pub async fn wait_for_disconnect(&self) {
+        while !self.peer_disconnected() {
+            self.record_unread(Instant::now());
+            // With unread bytes the stream stays readable, and the end behind them would not wake
+            // this task. Clearing the readiness makes the runtime wait for the next event; it never
+            // clears the end of the stream.
+            self.readiness_cleared.set(true);
+            let clear = || Err::<(), _>(io::ErrorKind::WouldBlock.into());
+            let _ = self.stream.borrow().try_io(Interest::READABLE, clear);
+            let readable = poll_fn(|cx| self.stream.borrow().poll_read_ready(cx)).await;
+            if readable.is_err() {
+                return;
+            }
+        }
+    }
+
+    fn stream(&self) -> RefMut<'_, TcpStream> {
+        self.stream.borrow_mut()
+    }
+}
+
+impl AsyncRead for ClientStream {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &mut ReadBuf<'_>,
+    ) -> Poll<io::Result<()>> {
+        let stream = self.stream.borrow();
+        if self.readiness_cleared.get() {
+            match socket_io::try_read(&stream, buf) {
+                Err(error) if error.kind() == io::ErrorKind::WouldBlock => {
+                    self.readiness_cleared.set(false);
+                }
+                result => return Poll::Ready(result),
+            }
+        }
+        socket_io::poll_read(&stream, cx, buf)
+    }
+}
+
+impl AsyncWrite for ClientStream {
+    fn poll_write(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        buf: &[u8],
+    ) -> Poll<io::Result<usize>> {
+        self.check_write_permit()?;
+        socket_io::poll_write(&self.stream.borrow(), cx, &[io::IoSlice::new(buf)])
+    }
+
+    fn poll_flush(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        let flushed = Pin::new(&mut *self.stream()).poll_flush(cx);
+        // hyper flushes the socket only after it has written all of the message.
+        let is_written = matches!(flushed, Poll::Ready(Ok(())));
+        if is_written && self.write_progress.get() == WriteProgress::HandedOver {
+            self.write_progress.set(WriteProgress::Complete);
+            self.messages_written
+                .set(self.messages_written.get().wrapping_add(1));
+        }
+        flushed
+    }
+
+    fn poll_shutdown(self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut *self.stream()).poll_shutdown(cx)
+    }
+
+    fn poll_write_vectored(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bufs: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        self.check_write_permit()?;
+        socket_io::poll_write(&self.stream.borrow(), cx, bufs)
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        self.stream.borrow().is_write_vectored()
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/balancer/src/net/descriptor_budget/tests.rs
@@ -0,0 +1,32 @@
+//! Sharing of the budget between two processes of a balancer.
+use super::*;
+
+fn acquire_all_clients(budget: &DescriptorBudget) -> Vec<ConnectionPermit> {
+    std::iter::from_fn(|| budget.try_acquire_client()).collect()
+}
+
+/// Guards against two processes that together use more descriptors than one may.
+#[tokio::test]
+async fn yields_half_of_the_budget_until_the_other_process_ends() {
+    let budget = DescriptorBudget::new(RESERVED_DESCRIPTORS + 40);
+    assert_eq!(acquire_all_clients(&budget).len(), 30);
+    budget.yield_half().await;
+    let clients = acquire_all_clients(&budget);
+    assert_eq!(clients.len(), 15);
+    let upstreams: Vec<_> = std::iter::from_fn(|| budget.try_acquire_upstream()).collect();
+    assert_eq!(upstreams.len(), 5);
+    drop(upstreams);
+    budget.reclaim();
+    // Permits that are in use when the other process starts are yielded as they are released.
+    let further_clients = acquire_all_clients(&budget);
+    assert_eq!(further_clients.len(), 15);
+    let mut yielding = std::pin::pin!(budget.yield_half());
+    assert!(
+        tokio::time::timeout(std::time::Duration::ZERO, &mut yielding)
+            .await
+            .is_err()
+    );
+    drop(clients);
+    yielding.await;
+    assert!(budget.try_acquire_client().is_none());
+}
--- a/balancer/src/net/retry_io.rs
+++ b/balancer/src/net/retry_io.rs
@@ -1,27 +1,30 @@
-//! Repeats what the system may fail for a moment.
+//! Repeats I/O calls that fail for a transient reason.
 use std::io;
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Pause between two tries.
-const PAUSE: Duration = Duration::from_millis(50);
+/// Time between two attempts.
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Tries until it succeeds, or fails for good, or `limit` has passed; the last error counts.
+/// Repeats a call until it succeeds, fails permanently, or `limit` has passed. Returns the last
+/// result.
 pub async fn retry_io<T>(
     limit: Duration,
     mut attempt: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
-    let until = Instant::now() + limit;
+    let deadline = Instant::now() + limit;
     loop {
         match attempt() {
-            Err(error) if may_pass(&error) && Instant::now() < until => sleep(PAUSE).await,
-            done => return done,
+            Err(error) if is_transient(&error) && Instant::now() < deadline => {
+                sleep(RETRY_INTERVAL).await;
+            }
+            result => return result,
         }
     }
 }
 
 /// Whether the same call may succeed a little later.
-pub fn may_pass(error: &io::Error) -> bool {
+fn is_transient(error: &io::Error) -> bool {
     use io::ErrorKind::{InvalidData, InvalidInput, NotFound, PermissionDenied, Unsupported};
     !matches!(
         error.kind(),
--- a/balancer/src/net/socket_io.rs
+++ b/balancer/src/net/socket_io.rs
@@ -1,8 +1,9 @@
-//! Reads and writes on sockets that may be short or interrupted.
+//! Reads and writes on sockets, where a call may be short or interrupted.
 //!
-//! The runtime takes a read or write that moved less than it was given for a sign that the socket is drained or full, and
-//! waits for the next event. But the system may end a call early for other reasons, and then that event never comes. Here
-//! only `EAGAIN` says so, and a call that a signal interrupted is made again.
+//! After a short read or write the runtime assumes that the socket is drained or full, and waits
+//! for the next event. But the system may end a call early for other reasons, and then that event
+//! never arrives. Here only `EAGAIN` means drained or full, and a call that a signal interrupted is
+//! repeated.
 use socket2::SockRef;
 use std::io::{self, IoSlice, Read, Write};
 use std::pin::Pin;
@@ -10,24 +11,24 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::net::TcpStream;
 
-/// Makes a call again for as long as it is interrupted.
-pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+/// Repeats a call while signals interrupt it.
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
-            Err(e) if e.kind() == io::ErrorKind::Interrupted => {}
-            done => return done,
+            Err(error) if error.kind() == io::ErrorKind::Interrupted => {}
+            result => return result,
         }
     }
 }
 
-/// Reads what is there, at once; fails with `WouldBlock` if there is nothing.
-pub fn read_now(stream: &TcpStream, buf: &mut ReadBuf<'_>) -> io::Result<()> {
-    let count = uninterrupted(|| (&*SockRef::from(stream)).read(buf.initialize_unfilled()))?;
+/// Reads available bytes without waiting; fails with `WouldBlock` if there are none.
+pub fn try_read(stream: &TcpStream, buf: &mut ReadBuf<'_>) -> io::Result<()> {
+    let count = retry_interrupted(|| (&*SockRef::from(stream)).read(buf.initialize_unfilled()))?;
     buf.advance(count);
     Ok(())
 }
 
-/// Reads once there is something to read.
+/// Reads as soon as bytes are available.
 pub fn poll_read(
     stream: &TcpStream,
     cx: &mut Context<'_>,
@@ -35,14 +36,14 @@
 ) -> Poll<io::Result<()>> {
     loop {
         ready!(stream.poll_read_ready(cx))?;
-        match stream.try_io(Interest::READABLE, || read_now(stream, buf)) {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            done => return Poll::Ready(done),
+        match stream.try_io(Interest::READABLE, || try_read(stream, buf)) {
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            result => return Poll::Ready(result),
         }
     }
 }
 
-/// Writes once there is room.
+/// Writes as soon as the socket accepts bytes.
 pub fn poll_write(
     stream: &TcpStream,
     cx: &mut Context<'_>,
@@ -50,10 +51,10 @@
 ) -> Poll<io::Result<usize>> {
     loop {
         ready!(stream.poll_write_ready(cx))?;
-        let write = || uninterrupted(|| (&*SockRef::from(stream)).write_vectored(bufs));
+        let write = || retry_interrupted(|| (&*SockRef::from(stream)).write_vectored(bufs));
         match stream.try_io(Interest::WRITABLE, write) {
-            Err(e) if e.kind() == io::ErrorKind::WouldBlock => {}
-            done => return Poll::Ready(done),
+            Err(error) if error.kind() == io::ErrorKind::WouldBlock => {}
+            result => return Poll::Ready(result),
         }
     }
 }
@@ -62,7 +63,7 @@
 pub struct Socket(TcpStream);
 
 impl Socket {
-    /// Takes a stream over.
+    /// Wraps a stream.
     pub fn new(stream: TcpStream) -> Socket {
         Socket(stream)
     }
--- a/balancer/src/net/socket_io/tests.rs
+++ b/balancer/src/net/socket_io/tests.rs
@@ -1,18 +1,21 @@
-//! Calls that the system interrupts or ends early.
+//! Repetition of interrupted calls.
 use super::*;
 
 #[test]
-fn an_interrupted_call_is_made_again_and_any_other_end_counts() {
-    let mut left = 3;
-    let served = uninterrupted(|| {
-        left -= 1;
-        if left > 0 {
+fn repeats_interrupted_calls_and_returns_every_other_result() {
+    let mut calls_left = 3;
+    let result = retry_interrupted(|| {
+        calls_left -= 1;
+        if calls_left > 0 {
             return Err(io::ErrorKind::Interrupted.into());
         }
         Ok(7)
     });
-    assert_eq!((served.expect("the third call is served"), left), (7, 0));
-    let failed: io::Result<()> = uninterrupted(|| Err(io::ErrorKind::TimedOut.into()));
+    assert_eq!(
+        (result.expect("the third call succeeds"), calls_left),
+        (7, 0)
+    );
+    let failed: io::Result<()> = retry_interrupted(|| Err(io::ErrorKind::TimedOut.into()));
     assert_eq!(
         failed.expect_err("it fails").kind(),
         io::ErrorKind::TimedOut
--- a/balancer/src/outbound/attempt.rs
+++ b/balancer/src/outbound/attempt.rs
@@ -1,66 +1,78 @@
-//! Attempts: one request to one upstream, once.
-use crate::body::payload::{
-    frames, AttemptBody, BodySender, Fault, RequestBody, ResponseContent, BODY_MOST, STALLED,
-    WHOLE_MOST,
-};
+//! One attempt: sends a request to one upstream once, and reads its response.
+use crate::body::body_error::BodyError;
+use crate::body::limits::MAX_BODY_BYTES;
+use crate::body::request_body::AttemptBody;
+use crate::body::response_body::{response_stream, ResponseContent};
 use crate::control::invariants::{Guard, WriteConditions};
-use crate::inbound::client_stream::{ClientStream, Written};
-use crate::outbound::connection_pool::Upstream;
-use crate::outbound::connector::{Connected, Connector};
+use crate::net::client_stream::{ClientStream, WriteProgress};
+use crate::outbound::connection_pool::{Connection, Upstream};
+use crate::outbound::connector::{AcquiredConnection, ConnectionOrigin, Connector};
+use crate::outbound::headers::{remove_hop_by_hop_headers, DEADLINE_HEADER};
 use crate::outbound::message::{FinalResponse, OutboundRequest};
+use crate::outbound::response_outcome::{
+    has_unambiguous_end, outcome_of_read_error, outcome_of_response,
+};
+use crate::outbound::response_relay::{buffer_body, declares_large_body, BufferedBody, Relay};
 use balancer_core::AttemptOutcome;
-use bytes::{Bytes, BytesMut};
-use http_body_util::BodyExt;
+use bytes::Bytes;
 use hyper::body::{Body, Incoming};
-use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
+use hyper::client::conn::TrySendError;
+use hyper::header::HeaderValue;
+use hyper::http::response;
 use hyper::{Request, Response, StatusCode};
 use std::cell::Cell;
-use std::error::Error;
-use std::io;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::time::{timeout, timeout_at, Instant};
+use tokio::time::{timeout, Instant};
 
-/// How long a body is held back on a connection that has rested. Some go stale unseen: only what is written to them
-/// brings the reset, several round trips of a data centre sooner than this. While a request's last byte is not
-/// written it has surely not run, so that it can go out on another connection.
-const TRIAL: Duration = Duration::from_millis(2);
-/// An answer that does not state its length is held back for this long at most, to see whether it is a small one.
-const HELD: Duration = Duration::from_secs(1);
-/// How long a connection may take to be ready for its next request once an answer has been read whole.
-const SETTLE: Duration = Duration::from_millis(5);
+/// How long a request's body is held back on a connection that was idle. The reset of a stale
+/// connection arrives within this time, and a request whose last byte is unwritten has not run and
+/// may use another connection.
+const STALE_CONNECTION_CHECK: Duration = Duration::from_millis(2);
+/// Time allowed for a connection to become ready for its next request after a complete response.
+const CONNECTION_READY_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// Tells how long an attempt will be waited for.
-pub const DEADLINE: HeaderName = HeaderName::from_static("req-deadline");
-const DECLINED: HeaderName = HeaderName::from_static("srv-declined");
+/// How an attempt ended.
+#[derive(Debug)]
+pub struct AttemptResult {
+    /// The outcome for the decision module.
+    pub outcome: AttemptOutcome,
+    /// The final response that the attempt has for the client. `None` if it has none, or has passed
+    /// it on already.
+    pub response: Option<FinalResponse>,
+}
+
+impl From<AttemptOutcome> for AttemptResult {
+    fn from(outcome: AttemptOutcome) -> AttemptResult {
+        AttemptResult {
+            outcome,
+            response: None,
+        }
+    }
+}
 
-/// Headers that belong to one connection and are not passed on.
-const HOP: [HeaderName; 8] = [
-    header::CONNECTION,
-    HeaderName::from_static("keep-alive"),
-    header::PROXY_AUTHENTICATE,
-    header::PROXY_AUTHORIZATION,
-    header::TE,
-    header::TRAILER,
-    header::TRANSFER_ENCODING,
-    header::UPGRADE,
-];
+/// Why an attempt ended before the head of a response.
+enum ExchangeError {
+    Outcome(AttemptOutcome),
+    /// The client's side of the request body failed.
+    RequestBody(BodyError),
+}
 
-/// Takes out the headers that belong to one connection; the length of a body is framed anew.
-pub fn end_to_end(headers: &mut HeaderMap) {
-    let named: Vec<HeaderName> = headers
-        .get_all(header::CONNECTION)
-        .iter()
-        .filter_map(|v| v.to_str().ok())
-        .flat_map(|v| v.split(','))
-        .filter_map(|v| v.trim().parse().ok())
-        .collect();
-    for name in HOP
-        .iter()
-        .chain(&named)
-        .chain(&[header::CONTENT_LENGTH, header::EXPECT])
-    {
-        headers.remove(name);
+impl From<AttemptOutcome> for ExchangeError {
+    fn from(outcome: AttemptOutcome) -> ExchangeError {
+        ExchangeError::Outcome(outcome)
+    }
+}
+
+impl From<ExchangeError> for AttemptResult {
+    fn from(error: ExchangeError) -> AttemptResult {
+        match error {
+            ExchangeError::Outcome(outcome) => outcome.into(),
+            ExchangeError::RequestBody(error) => AttemptResult {
+                outcome: AttemptOutcome::Cancelled,
+                response: Some(FinalResponse::RequestBodyFailed(error)),
+            },
+        }
     }
 }
 
@@ -68,8 +80,7 @@
 #[derive(Clone)]
 pub struct Transport {
     connector: Connector,
-    /// How long a connection that has rested is tried with a request's head before the body follows.
-    trial: Duration,
+    stale_connection_check: Duration,
     guard: Guard,
 }
 
@@ -78,7 +89,7 @@
     pub fn new(connector: Connector, guard: Guard) -> Self {
         Transport {
             connector,
-            trial: TRIAL,
+            stale_connection_check: STALE_CONNECTION_CHECK,
             guard,
         }
     }
@@ -93,315 +104,274 @@
         self.connector.sockets_exhausted()
     }
 
-    /// Has the request's first byte denied if something has changed since it was handed over: the connection's task may
-    /// write it later, and the whole process may be held up in between. Tells whether that happened.
-    fn guard_first_byte(
+    /// Carries out one attempt, which writes its request at most once. Dropping the future closes
+    /// the connection.
+    ///
+    /// Calls `on_connected` when there is a connection to write to. Passes a large response to
+    /// `on_response_started` when it begins; the attempt ends with that response's body.
+    pub async fn attempt(
         &self,
-        socket: &ClientStream,
-        to: &Rc<Upstream>,
-        out: &Rc<OutboundRequest>,
-        until: Instant,
-    ) -> Rc<Cell<bool>> {
-        let denied = Rc::new(Cell::new(false));
-        let (told, guard, to, out) = (denied.clone(), self.guard.clone(), to.clone(), out.clone());
-        socket.set_permit(Box::new(move || {
-            told.set(
-                guard
-                    .write(conditions(&to, &out, until, out.client_left()))
-                    .is_err(),
-            );
-            !told.get()
-        }));
-        denied
+        upstream: Rc<Upstream>,
+        request: Rc<OutboundRequest>,
+        deadline: Instant,
+        on_connected: impl Fn(),
+        on_response_started: impl FnOnce(FinalResponse),
+    ) -> AttemptResult {
+        let attempt = Attempt {
+            transport: self,
+            upstream,
+            request,
+            deadline,
+        };
+        let exchange = match attempt.exchange(on_connected).await {
+            Ok(exchange) => exchange,
+            Err(error) => return error.into(),
+        };
+        attempt
+            .receive_response(exchange, on_response_started)
+            .await
+            .unwrap_or_else(AttemptResult::from)
     }
+}
 
-    /// Carries one attempt out: its request is written once at most. Dropping the future closes the connection.
-    /// `connected` is told when there is a connection to write to. A large answer is handed to `begun` when it begins,
-    /// and the attempt ends with it.
-    pub async fn attempt(
-        &self,
-        to: Rc<Upstream>,
-        out: Rc<OutboundRequest>,
-        until: Instant,
-        connected: impl Fn(),
-        begun: impl FnOnce(FinalResponse),
-    ) -> (AttemptOutcome, Option<FinalResponse>) {
-        let (mut conn, answer) = loop {
-            let (mut conn, reused) = match self.connector.connect(&to, until).await {
-                Ok(Connected::Idle(conn)) => (conn, true),
-                Ok(Connected::New(conn)) => (conn, false),
-                Err(ending) => return (ending, None),
-            };
-            connected();
-            let now = Instant::now();
-            // Guards against what was decided before dialling and must not be written after it: the upstream's
-            // grace, the attempt's time or the request itself may be over by now.
-            if self
-                .guard
-                .write(conditions(&to, &out, until, false))
-                .is_err()
-            {
-                return (AttemptOutcome::NotSent, None);
-            }
-            let denied = self.guard_first_byte(&conn.socket, &to, &out, until);
-            let written = conn.socket.written();
-            let body = AttemptBody::new(&out.body, reused.then_some(self.trial), written.clone());
-            let Some(Ok(mut request)) = body.map(|body| out.request(body)) else {
-                return (AttemptOutcome::NotSent, None);
-            };
-            let left = (until - now).as_micros();
-            if let Ok(left) = HeaderValue::try_from(format!("{left}u")) {
-                request.headers_mut().insert(DEADLINE, left);
-            }
-            let answer = tokio::select! {
-                biased;
-                answer = conn.sender.try_send_request(request) => answer,
-                // Guards against upstreams that leave a body half read. A request that never ended never ran.
-                () = out.stalled() => return (AttemptOutcome::ConnectFailed, None),
-            };
-            if let Some(fault) = out.fault() {
-                return (
-                    AttemptOutcome::Cancelled,
-                    Some(FinalResponse::Unsent(fault)),
-                );
+/// A request on its way to one upstream.
+struct Attempt<'a> {
+    transport: &'a Transport,
+    upstream: Rc<Upstream>,
+    request: Rc<OutboundRequest>,
+    /// The attempt must have ended by then.
+    deadline: Instant,
+}
+
+/// A request that was written, and the head of its response.
+struct Exchange {
+    connection: Connection,
+    response: Response<Incoming>,
+}
+
+impl Attempt<'_> {
+    /// Connects, writes the request and reads the head of its response. Each stale idle connection
+    /// is used once; its closing says nothing about the upstream.
+    async fn exchange(&self, on_connected: impl Fn()) -> Result<Exchange, ExchangeError> {
+        loop {
+            let connector = &self.transport.connector;
+            let acquired = connector.connect(&self.upstream, self.deadline).await?;
+            on_connected();
+            if let Some(exchange) = self.exchange_on(acquired).await? {
+                return Ok(exchange);
             }
-            match answer {
-                Ok(answer) => break (conn, answer),
-                Err(_) if denied.get() => return (AttemptOutcome::NotSent, None),
-                Err(mut e) => {
-                    // The last byte was never written. A connection that rested and had been closed meanwhile says
-                    // nothing about the upstream, so the next one is tried; each is tried once.
-                    let unwritten = written.get() != Written::Whole || e.take_message().is_some();
-                    match (unwritten, reused) {
-                        (true, true) => {}
-                        (true, false) => return (AttemptOutcome::ConnectFailed, None),
-                        (false, _) => return (broken(e.error()), None),
-                    }
-                }
+        }
+    }
+
+    /// Writes the request to this connection and reads the head of its response. `None` if the
+    /// connection is stale: it was closed while it was idle, and the request has not run.
+    async fn exchange_on(
+        &self,
+        acquired: AcquiredConnection,
+    ) -> Result<Option<Exchange>, ExchangeError> {
+        let AcquiredConnection {
+            mut connection,
+            origin,
+        } = acquired;
+        let connected_at = Instant::now();
+        self.check_write_allowed()?;
+        let write_denied = self.deny_late_first_byte(&connection.socket);
+        let progress = connection.socket.write_progress();
+        let request = self.build_request(origin, &progress, connected_at)?;
+        let sent = tokio::select! {
+            biased;
+            sent = connection.sender.try_send_request(request) => sent,
+            // An upstream that stops reading a body has not run the request.
+            () = self.request.body.stalled() => {
+                return Err(AttemptOutcome::ConnectFailed.into());
             }
         };
-        let length = answer.body().size_hint().exact();
-        if !has_an_end(&answer) || length.is_some_and(|length| length > BODY_MOST) {
-            return (AttemptOutcome::Error, None);
+        if let Some(error) = self.request.body.error() {
+            return Err(ExchangeError::RequestBody(error));
         }
-        let ending = ending(&answer);
-        let (mut head, mut body) = answer.into_parts();
-        let large = length.is_some_and(|length| length > WHOLE_MOST as u64);
-        let mut held = BytesMut::new();
-        // One that says that it is small comes whole or not at all: its attempt has a time-out.
-        let most = length.is_none().then_some(HELD);
-        let whole = if large {
-            Ok(false)
-        } else {
-            hold(&mut body, &mut held, most).await
-        };
-        let answer = match (whole, ending) {
-            (Err(ending), _) => return (ending, None),
-            (Ok(false), AttemptOutcome::Success) => {
-                end_to_end(&mut head.headers);
-                let (give, frames) = frames(length);
-                begun(FinalResponse::Served {
-                    headers: head.headers,
-                    body: ResponseContent::Frames(frames),
-                });
-                if let Err(ending) =
-                    pass_on(give, held.freeze(), body, (!large).then_some(until)).await
-                {
-                    return (ending, None);
-                }
-                None
+        match sent {
+            Ok(response) => Ok(Some(Exchange {
+                connection,
+                response,
+            })),
+            Err(_) if write_denied.get() => Err(AttemptOutcome::NotSent.into()),
+            Err(error) => {
+                require_stale_connection(error, origin, progress.get())?;
+                Ok(None)
             }
-            // Whoever has more to say than that has not been read to the end.
-            (Ok(false), AttemptOutcome::Cancelled) => {
-                return (ending, Some(FinalResponse::Unusable(head.status)))
-            }
-            (Ok(false), _) => return (ending, None),
-            (Ok(true), AttemptOutcome::Success) => {
-                end_to_end(&mut head.headers);
-                Some(FinalResponse::Served {
-                    headers: head.headers,
-                    body: ResponseContent::Whole(held.freeze()),
-                })
-            }
-            // Guards against callers whose bad input makes upstreams look bad: it says nothing about the upstream,
-            // and sent to another it would be turned away again.
-            (Ok(true), AttemptOutcome::Cancelled) => Some(FinalResponse::Unusable(head.status)),
-            (Ok(true), _) => None,
-        };
-        // Back before the outcome is told: what the module sends next may go on this connection.
-        if let Ok(Ok(())) = timeout(SETTLE, conn.sender.ready()).await {
-            to.put_answered(conn);
         }
-        (ending, answer)
     }
-}
 
-/// What holds now of an attempt that must be written by `until`.
-fn conditions(
-    to: &Upstream,
-    out: &OutboundRequest,
-    until: Instant,
-    client_left: bool,
-) -> WriteConditions {
-    let now = Instant::now();
-    WriteConditions {
-        endpoint_closed: to.closed(now),
-        expired: now >= until,
-        request_ended: out.over.get(),
-        client_left,
+    /// The write conditions may have changed while the attempt connected.
+    fn check_write_allowed(&self) -> Result<(), AttemptOutcome> {
+        let conditions = write_conditions(&self.upstream, &self.request, self.deadline, false);
+        self.transport
+            .guard
+            .write(conditions)
+            .map_err(|_| AttemptOutcome::NotSent)
     }
-}
 
-/// Reads an answer while it may be a small one, for so long at most. Tells whether this was all of it.
-async fn hold(
-    body: &mut Incoming,
-    held: &mut BytesMut,
-    most: Option<Duration>,
-) -> Result<bool, AttemptOutcome> {
-    let until = most.map(|most| Instant::now() + most);
-    while held.len() <= WHOLE_MOST {
-        let frame = match until {
-            Some(until) if !held.is_empty() => match timeout_at(until, body.frame()).await {
-                Ok(frame) => frame,
-                Err(_) => return Ok(false),
-            },
-            // Or nothing of it has come that could be passed on.
-            _ => body.frame().await,
+    /// Checks the write conditions again at the request's first byte: the connection's task may
+    /// write it later, and the whole process may be suspended in between. Returns whether the write
+    /// was denied.
+    fn deny_late_first_byte(&self, socket: &ClientStream) -> Rc<Cell<bool>> {
+        let denied = Rc::new(Cell::new(false));
+        let denied_by_permit = denied.clone();
+        let guard = self.transport.guard.clone();
+        let upstream = self.upstream.clone();
+        let request = self.request.clone();
+        let deadline = self.deadline;
+        socket.set_write_permit(Box::new(move || {
+            let client_disconnected = request.client_disconnected();
+            let conditions = write_conditions(&upstream, &request, deadline, client_disconnected);
+            denied_by_permit.set(guard.write(conditions).is_err());
+            !denied_by_permit.get()
+        }));
+        denied
+    }
+
+    /// The request with its remaining time, and with a body that waits until the connection is
+    /// known to be open.
+    fn build_request(
+        &self,
+        origin: ConnectionOrigin,
+        progress: &Rc<Cell<WriteProgress>>,
+        now: Instant,
+    ) -> Result<Request<AttemptBody>, AttemptOutcome> {
+        let body_delay = match origin {
+            ConnectionOrigin::Reused => Some(self.transport.stale_connection_check),
+            ConnectionOrigin::New => None,
         };
-        match frame {
-            None => return Ok(true),
-            Some(Ok(frame)) => held.extend_from_slice(frame.data_ref().unwrap_or(&Bytes::new())),
-            Some(Err(e)) => return Err(broken(&e)),
+        let body = AttemptBody::new(&self.request.body, body_delay, progress.clone())
+            .ok_or(AttemptOutcome::NotSent)?;
+        let mut request = self
+            .request
+            .to_http(body)
+            .map_err(|_| AttemptOutcome::NotSent)?;
+        let remaining_us = (self.deadline - now).as_micros();
+        if let Ok(remaining) = HeaderValue::try_from(format!("{remaining_us}u")) {
+            request.headers_mut().insert(DEADLINE_HEADER, remaining);
         }
+        Ok(request)
     }
-    Ok(false)
-}
 
-/// Passes a large answer on as fast as it is taken. One that may still be small is broken off at `until`, the end of its
-/// request's time. Guards against answers that begin and never end: their callers would be owed the rest for ever.
-async fn pass_on(
-    give: BodySender,
-    held: Bytes,
-    mut body: Incoming,
-    until: Option<Instant>,
-) -> Result<(), AttemptOutcome> {
-    let mut given = held.len() as u64;
-    let gone = |()| AttemptOutcome::Cancelled;
-    if !held.is_empty() {
-        give.give(held).await.map_err(gone)?;
-    }
-    loop {
-        let timed = until.filter(|_| given <= WHOLE_MOST as u64);
-        let stalls = Instant::now() + STALLED;
-        let (due, ending) = match timed {
-            Some(until) if until < stalls => (until, AttemptOutcome::Timeout),
-            _ => (stalls, AttemptOutcome::Reset),
-        };
-        match timeout_at(due, body.frame()).await.map_err(|_| ending)? {
-            None => {
-                give.end();
-                return Ok(());
+    /// Buffers or relays the body of a response, and returns the connection to the pool after a
+    /// complete one.
+    async fn receive_response(
+        &self,
+        exchange: Exchange,
+        on_response_started: impl FnOnce(FinalResponse),
+    ) -> Result<AttemptResult, AttemptOutcome> {
+        let Exchange {
+            connection,
+            response,
+        } = exchange;
+        let declared_length = response.body().size_hint().exact();
+        let is_too_large = declared_length.is_some_and(|length| length > MAX_BODY_BYTES);
+        if is_too_large || !has_unambiguous_end(&response) {
+            return Err(AttemptOutcome::Error);
+        }
+        let outcome = outcome_of_response(&response);
+        let (head, mut body) = response.into_parts();
+        let response = match buffer_body(&mut body, declared_length).await? {
+            BufferedBody::Complete(buffered) => final_response(outcome, head, buffered),
+            BufferedBody::Partial(buffered) if outcome == AttemptOutcome::Success => {
+                let relay = self.start_relay(head, body, declared_length, on_response_started);
+                relay.run(buffered).await?;
+                None
             }
-            Some(Ok(frame)) => {
-                let Ok(piece) = frame.into_data() else {
-                    continue;
-                };
-                given += piece.len() as u64;
-                if given > BODY_MOST {
-                    return Err(AttemptOutcome::Error);
-                }
-                give.give(piece).await.map_err(gone)?;
+            // The rest stays unread, so the connection is closed.
+            BufferedBody::Partial(_) => {
+                return Ok(AttemptResult {
+                    outcome,
+                    response: client_error(outcome, head.status),
+                })
             }
-            Some(Err(e)) => return Err(broken(&e)),
-        }
+        };
+        // Before the outcome is reported: the next attempt that the core starts may use this
+        // connection.
+        self.return_connection(connection).await;
+        Ok(AttemptResult { outcome, response })
     }
-}
 
-/// How an attempt ended whose answer did not come whole: the connection broke, or what came can't be read. The
-/// second says nothing about the connection, and must not make good ones that rest look bad.
-fn broken(e: &(dyn Error + 'static)) -> AttemptOutcome {
-    let unreadable = match e.downcast_ref::<hyper::Error>() {
-        Some(e) if e.is_parse() => true,
-        Some(e) => e
-            .source()
-            .and_then(|s| s.downcast_ref::<io::Error>())
-            .is_some_and(|s| {
-                // What hyper says of chunks that are none.
-                matches!(
-                    s.kind(),
-                    io::ErrorKind::InvalidInput | io::ErrorKind::InvalidData
-                )
-            }),
-        None => false,
-    };
-    if unreadable {
-        AttemptOutcome::Error
-    } else {
-        AttemptOutcome::Reset
+    /// Passes the head of a large response on.
+    fn start_relay(
+        &self,
+        mut head: response::Parts,
+        body: Incoming,
+        declared_length: Option<u64>,
+        on_response_started: impl FnOnce(FinalResponse),
+    ) -> Relay {
+        remove_hop_by_hop_headers(&mut head.headers);
+        let (sender, stream) = response_stream(declared_length);
+        on_response_started(FinalResponse::Served {
+            headers: head.headers,
+            body: ResponseContent::Streamed(stream),
+        });
+        let small_body_deadline = (!declares_large_body(declared_length)).then_some(self.deadline);
+        Relay::new(sender, body, small_body_deadline)
     }
-}
 
-/// Whether it is certain where an answer ends: it states its length once, in one way, or else that it ends with its
-/// connection. Without either it may be cut short, and one with two framings may be read otherwise than it was meant.
-fn has_an_end<B>(answer: &Response<B>) -> bool {
-    let all = |name| answer.headers().get_all(name).iter().collect::<Vec<_>>();
-    match (
-        &all(header::TRANSFER_ENCODING)[..],
-        &all(header::CONTENT_LENGTH)[..],
-    ) {
-        ([], [length]) => length.as_bytes().iter().all(u8::is_ascii_digit),
-        ([], []) => {
-            let closes = |v: &HeaderValue| v.as_bytes().eq_ignore_ascii_case(b"close");
-            answer
-                .headers()
-                .get_all(header::CONNECTION)
-                .iter()
-                .any(closes)
+    async fn return_connection(&self, mut connection: Connection) {
+        let ready = timeout(CONNECTION_READY_TIMEOUT, connection.sender.ready()).await;
+        if matches!(ready, Ok(Ok(()))) {
+            self.upstream.return_after_response(connection);
         }
-        ([coding], []) => coding.as_bytes().eq_ignore_ascii_case(b"chunked"),
-        _ => false,
     }
 }
 
-/// What an answer says. Only a mark that the request was turned away proves that it never ran.
-fn ending<B>(answer: &Response<B>) -> AttemptOutcome {
-    let declined = answer.headers().get(DECLINED).is_some_and(|v| v == "1");
-    match answer.status() {
-        StatusCode::OK => AttemptOutcome::Success,
-        StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if declined => {
-            AttemptOutcome::Rejected
-        }
-        // Passed on it would be a refusal, which promises that nothing has run.
-        StatusCode::TOO_MANY_REQUESTS => AttemptOutcome::Error,
-        status if status.is_client_error() => AttemptOutcome::Cancelled,
-        _ => AttemptOutcome::Error,
+/// Fails unless the error shows that an idle connection was stale. Without its last byte the
+/// request has not run.
+fn require_stale_connection(
+    mut error: TrySendError<Request<AttemptBody>>,
+    origin: ConnectionOrigin,
+    progress: WriteProgress,
+) -> Result<(), AttemptOutcome> {
+    let has_unwritten_bytes = progress != WriteProgress::Complete || error.take_message().is_some();
+    if !has_unwritten_bytes {
+        return Err(outcome_of_read_error(error.error()));
+    }
+    match origin {
+        ConnectionOrigin::Reused => Ok(()),
+        ConnectionOrigin::New => Err(AttemptOutcome::ConnectFailed),
     }
 }
 
-impl OutboundRequest {
-    /// Returns once nobody has taken any of the body for long though there was some.
-    async fn stalled(&self) {
-        match &self.body {
-            RequestBody::Whole(_) => std::future::pending().await,
-            RequestBody::Upload(upload) => upload.stalled().await,
-        }
+/// The final response of an attempt whose response was buffered completely.
+fn final_response(
+    outcome: AttemptOutcome,
+    mut head: response::Parts,
+    body: Bytes,
+) -> Option<FinalResponse> {
+    if outcome != AttemptOutcome::Success {
+        return client_error(outcome, head.status);
     }
+    remove_hop_by_hop_headers(&mut head.headers);
+    Some(FinalResponse::Served {
+        headers: head.headers,
+        body: ResponseContent::Buffered(body),
+    })
+}
 
-    /// What is wrong with the body on its caller's side.
-    fn fault(&self) -> Option<Fault> {
-        match &self.body {
-            RequestBody::Whole(_) => None,
-            RequestBody::Upload(upload) => upload.fault(),
-        }
-    }
+/// The final response to a request that its upstream found invalid. Another upstream would reject
+/// it too, and it says nothing about this one.
+fn client_error(outcome: AttemptOutcome, status: StatusCode) -> Option<FinalResponse> {
+    (outcome == AttemptOutcome::Cancelled).then_some(FinalResponse::ClientError(status))
+}
 
-    fn request(&self, body: AttemptBody) -> Result<Request<AttemptBody>, hyper::http::Error> {
-        let mut request = Request::builder()
-            .method(self.method.clone())
-            .uri(self.target.clone())
-            .body(body)?;
-        *request.headers_mut() = self.headers.clone();
-        Ok(request)
+/// The conditions under which a request is written now. The attempt ends at `deadline`.
+fn write_conditions(
+    upstream: &Upstream,
+    request: &OutboundRequest,
+    deadline: Instant,
+    client_disconnected: bool,
+) -> WriteConditions {
+    let now = Instant::now();
+    WriteConditions {
+        endpoint_closed: upstream.is_closed_for_writes(now),
+        expired: now >= deadline,
+        request_ended: request.ended.get(),
+        client_left: client_disconnected,
     }
 }
 
--- a/balancer/src/outbound/connection_pool.rs
+++ b/balancer/src/outbound/connection_pool.rs
@@ -1,6 +1,6 @@
-//! One upstream and the open connections to it that carry no request now.
-use crate::body::payload::AttemptBody;
-use crate::inbound::client_stream::ClientStream;
+//! One upstream and its pool of idle connections.
+use crate::body::request_body::AttemptBody;
+use crate::net::client_stream::ClientStream;
 use hyper::client::conn::http1;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -10,9 +10,10 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// A connection that has brought an answer is used again after this long at the soonest. Guards against taking a second answer,
-/// which may come some milliseconds behind the first, for that to the next request: once it is there it is seen.
-const SETTLING: Duration = Duration::from_millis(10);
+/// Time between a response and the next request on its connection. An upstream's surplus second
+/// response, which may follow some milliseconds later, is then detected as unread data and not read
+/// as the response to the next request.
+const REUSE_DELAY: Duration = Duration::from_millis(10);
 
 /// One open connection; closed when dropped.
 pub struct Connection {
@@ -20,8 +21,8 @@
     pub sender: http1::SendRequest<AttemptBody>,
     /// The socket below it.
     pub socket: ClientStream,
-    /// The upstream's generation that it was made for.
-    pub generation: u64,
+    /// The upstream's generation for which it was opened.
+    generation: u64,
     /// Its task, which reads and writes.
     task: AbortHandle,
     /// Its share of the process's descriptors.
@@ -52,143 +53,167 @@
         }
     }
 
-    /// Whether it can carry a request. Guards against requests written to one that the other side has closed,
-    /// and against reading what came behind an answer, a second copy or noise, as the answer to the next.
-    pub fn is_clean(&self) -> bool {
-        self.sender.is_ready() && self.socket.quiet()
+    /// Whether the connection can carry a request: the other side has not closed it, and there are
+    /// no unread bytes that would be taken for the next response.
+    fn is_reusable(&self) -> bool {
+        self.sender.is_ready() && self.socket.is_open_and_drained()
     }
 }
 
-struct Idle {
+struct IdleConnection {
     connection: Connection,
-    since: Instant,
-    /// From when on it may be used.
-    settled: Instant,
+    idle_since: Instant,
+    /// It may carry a request from then on.
+    reusable_at: Instant,
 }
 
-/// What an upstream has for an attempt.
-pub enum Available {
+/// What the pool has for an attempt.
+pub enum PooledConnection {
     /// A connection that can be used now.
-    Connection(Connection),
-    /// One that can be used from then on, if it is still good.
-    From(Instant),
-    /// None.
-    Nothing,
+    Ready(Connection),
+    /// A connection that can be used at this time, if it is still open then.
+    ReadyAt(Instant),
+    /// No connection.
+    None,
 }
 
-/// One upstream: where it is, and the connections to it that carry nothing now.
+/// One upstream: its address, and its idle connections in the order in which they became idle.
 pub struct Upstream {
-    /// Where it listens.
-    pub addr: Cell<SocketAddr>,
-    /// After this nothing may be written to it: it drains or is gone, and the grace is over.
-    pub closes: Cell<Option<Instant>>,
-    /// Counts the processes that have been there.
+    address: Cell<SocketAddr>,
+    /// After this time nothing may be written to the upstream. Set while it drains, is gone or is
+    /// suspended.
+    write_deadline: Cell<Option<Instant>>,
+    /// Counts the processes behind the address.
     generation: Cell<u64>,
-    idle: RefCell<Vec<Idle>>,
+    idle: RefCell<Vec<IdleConnection>>,
     /// Wakes an attempt that waits for a connection when one becomes idle.
-    available: Notify,
+    idle_added: Notify,
 }
 
 impl Upstream {
-    /// An upstream that nothing is connected to yet.
-    pub fn new(addr: SocketAddr) -> Rc<Upstream> {
+    /// An upstream without connections.
+    pub fn new(address: SocketAddr) -> Rc<Upstream> {
         Rc::new(Upstream {
-            addr: Cell::new(addr),
-            closes: Cell::new(None),
+            address: Cell::new(address),
+            write_deadline: Cell::new(None),
             generation: Cell::new(0),
             idle: RefCell::default(),
-            available: Notify::new(),
+            idle_added: Notify::new(),
         })
     }
 
-    /// Counts the processes that have been there: a connection belongs to one of them.
+    /// Where it listens.
+    pub fn address(&self) -> SocketAddr {
+        self.address.get()
+    }
+
+    /// Sets where it listens, and returns the previous address.
+    pub fn replace_address(&self, address: SocketAddr) -> SocketAddr {
+        self.address.replace(address)
+    }
+
+    /// Counts the processes behind the address: a connection belongs to one of them.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
 
-    /// Another process has taken its place: connections to the old one, those in use too, carry nothing more.
-    pub fn replaced(&self) {
+    /// Another process has replaced the upstream's: no connection to the old one carries another
+    /// request.
+    pub fn mark_replaced(&self) {
         self.generation.set(self.generation.get() + 1);
         self.close_idle();
     }
 
-    /// Closes the connections that carry no request now.
+    /// After this time nothing may be written to the upstream, if it is set.
+    pub fn write_deadline(&self) -> Option<Instant> {
+        self.write_deadline.get()
+    }
+
+    /// Sets or clears the time after which nothing may be written to the upstream.
+    pub fn set_write_deadline(&self, deadline: Option<Instant>) {
+        self.write_deadline.set(deadline);
+    }
+
+    /// Whether nothing may be written to the upstream any more.
+    pub fn is_closed_for_writes(&self, now: Instant) -> bool {
+        self.write_deadline
+            .get()
+            .is_some_and(|deadline| now >= deadline)
+    }
+
+    /// Closes all idle connections.
     pub fn close_idle(&self) {
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes the connections that have been idle for longer than `most`, and those the other side closed.
-    pub fn sweep(&self, now: Instant, most: Duration) {
-        self.idle
-            .borrow_mut()
-            .retain(|i| !i.connection.sender.is_closed() && now - i.since < most);
+    /// Closes the connections that have been idle for `idle_limit`, and those that the other side
+    /// closed.
+    pub fn close_expired(&self, now: Instant, idle_limit: Duration) {
+        self.idle.borrow_mut().retain(|idle| {
+            !idle.connection.sender.is_closed() && now - idle.idle_since < idle_limit
+        });
     }
 
-    /// Since when the connection that has been idle longest is idle.
-    pub fn oldest_idle(&self) -> Option<Instant> {
-        self.idle.borrow().first().map(|i| i.since)
+    /// Since when the longest idle connection is idle.
+    pub fn oldest_idle_since(&self) -> Option<Instant> {
+        self.idle.borrow().first().map(|idle| idle.idle_since)
     }
 
-    /// Closes the connection that has been idle longest.
-    pub fn drop_oldest(&self) {
+    /// Closes the longest idle connection.
+    pub fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         if !idle.is_empty() {
             idle.remove(0);
         }
     }
 
-    /// The connection used last of those that can be used now, unless it has been idle for `most`: the others then go idle
-    /// and close, instead of all being kept warm by turns.
-    pub fn take(&self, most: Duration) -> Available {
+    /// Takes the most recently used connection that is ready and has been idle for less than
+    /// `idle_limit`. The others stay idle and expire, instead of all being kept open by turns.
+    pub fn take_idle(&self, idle_limit: Duration) -> PooledConnection {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
-        idle.retain(|i| now - i.since < most);
-        while let Some(at) = idle.iter().rposition(|i| i.settled <= now) {
-            let i = idle.remove(at);
-            if i.connection.is_clean() {
-                return Available::Connection(i.connection);
+        idle.retain(|idle| now - idle.idle_since < idle_limit);
+        while let Some(position) = idle.iter().rposition(|idle| idle.reusable_at <= now) {
+            let candidate = idle.remove(position);
+            if candidate.connection.is_reusable() {
+                return PooledConnection::Ready(candidate.connection);
             }
         }
         idle.iter()
-            .map(|i| i.settled)
+            .map(|idle| idle.reusable_at)
             .min()
-            .map_or(Available::Nothing, Available::From)
+            .map_or(PooledConnection::None, PooledConnection::ReadyAt)
     }
 
-    /// Takes a connection back that has brought an answer and carries no request now.
-    pub fn put_answered(&self, connection: Connection) {
-        connection.socket.acknowledge();
-        self.put(connection, SETTLING);
+    /// Returns a connection after a complete response.
+    pub fn return_after_response(&self, connection: Connection) {
+        connection.socket.acknowledge_received_data();
+        self.add_idle(connection, REUSE_DELAY);
     }
 
-    /// Takes a connection that has carried nothing yet.
-    pub fn put_unused(&self, connection: Connection) {
-        self.put(connection, Duration::ZERO);
+    /// Adds a connection that has not carried a request since it became available.
+    pub fn add_unused(&self, connection: Connection) {
+        self.add_idle(connection, Duration::ZERO);
     }
 
-    /// Takes a connection that may be used after `settling`. One that may not be used again is closed.
-    fn put(&self, connection: Connection, settling: Duration) {
+    /// Adds a connection that may be used after `reuse_delay`. Closes one that may not be used
+    /// again.
+    fn add_idle(&self, connection: Connection, reuse_delay: Duration) {
         let now = Instant::now();
-        if !self.closed(now)
-            && connection.generation == self.generation.get()
-            && connection.is_clean()
-        {
-            self.idle.borrow_mut().push(Idle {
-                connection,
-                since: now,
-                settled: now + settling,
-            });
-            self.available.notify_one();
+        let is_current = connection.generation == self.generation.get();
+        if self.is_closed_for_writes(now) || !is_current || !connection.is_reusable() {
+            return;
         }
+        self.idle.borrow_mut().push(IdleConnection {
+            connection,
+            idle_since: now,
+            reusable_at: now + reuse_delay,
+        });
+        self.idle_added.notify_one();
     }
 
     /// Waits until a connection has become idle. Another attempt may take it first.
-    pub async fn available(&self) {
-        self.available.notified().await;
-    }
-
-    /// Whether nothing may be written to it any more.
-    pub fn closed(&self, now: Instant) -> bool {
-        self.closes.get().is_some_and(|at| now >= at)
+    pub async fn idle_connection_added(&self) {
+        self.idle_added.notified().await;
     }
 }
--- a/balancer/src/outbound/connector.rs
+++ b/balancer/src/outbound/connector.rs
@@ -1,65 +1,80 @@
-//! Connections to upstreams: an idle one where there is one, a new one otherwise.
-use crate::inbound::client_stream::{ClientStream, HEAD_MOST};
-use crate::net::descriptor_budget::{is_shortage, DescriptorBudget};
-use crate::outbound::connection_pool::{Available, Connection, Upstream};
+//! Connections to upstreams: an idle one from the pool, or a new one.
+use crate::net::client_stream::{ClientStream, MAX_HEAD_BYTES};
+use crate::net::descriptor_budget::{is_resource_shortage, DescriptorBudget};
+use crate::outbound::connection_pool::{Connection, PooledConnection, Upstream};
 use balancer_core::AttemptOutcome;
 use hyper::client::conn::http1;
 use hyper_util::rt::TokioIo;
 use std::cell::Cell;
+use std::io;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::net::TcpStream;
 use tokio::sync::mpsc::{self, error::SendError};
 use tokio::time::{sleep_until, timeout_at, Instant};
 
-/// How long the time-out of an idle connection is undercut: what is sent on one that the upstream is about to
-/// close ends as a reset, and the upstream counts from its last byte, not from when we read it.
+/// Subtracted from an upstream's idle timeout: a request on a connection that the upstream is about
+/// to close ends as a reset, and the upstream counts from its last byte, not from when it was read
+/// here.
 const IDLE_MARGIN: Duration = Duration::from_millis(250);
+/// Shortest time for which a dial continues, whether or not its attempt still waits for it. TCP
+/// retransmits lost handshake packets after a second.
+const MIN_DIAL_TIME: Duration = Duration::from_secs(2);
+/// A hedged dial to the same upstream starts each time this fraction of the dial timeout has
+/// passed; the first open connection is used.
+const HEDGES_PER_DIAL_TIMEOUT: u32 = 8;
+/// Most dials for one attempt.
+const MAX_DIALS: usize = 3;
 
-/// How long a dial goes on at the least, whether or not its attempt still waits for it. What a network loses of a
-/// connection's setup is sent again after a second.
-const BACKGROUND_DIAL: Duration = Duration::from_secs(2);
-
-/// One dial is followed by a further one to the same upstream each time this fraction of the dial timeout has passed, and
-/// the first connection that is up is used: where a network loses some of what sets connections up, few are lost twice.
-const HEDGES_PER_TIMEOUT: u32 = 8;
-/// Dials for one attempt, at the most: an upstream that is down must not be sent a multiple.
-const DIALS_MOST: usize = 3;
+/// Where a connection comes from.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum ConnectionOrigin {
+    /// From the pool: it was idle, and may have gone stale.
+    Reused,
+    /// Opened for this attempt.
+    New,
+}
 
 /// A connection that an attempt may use.
-pub enum Connected {
-    /// It has carried requests before, or was left by another attempt.
-    Idle(Connection),
-    /// It was made for this attempt.
-    New(Connection),
+pub struct AcquiredConnection {
+    /// The open connection.
+    pub connection: Connection,
+    /// Where it comes from.
+    pub origin: ConnectionOrigin,
 }
 
-/// Makes connections within the process's budget of sockets.
+/// The result of a dial.
+type DialResult = Result<Connection, AttemptOutcome>;
+
+/// Opens connections within the process's budget of descriptors.
 #[derive(Clone)]
 pub struct Connector {
-    /// A connection that is not up after this long counts as failed.
+    /// Longest time that an attempt waits for a new connection.
     dial_timeout: Duration,
-    /// Connections are closed when idle for this long.
+    /// Connections are closed after being idle for this long.
     idle_limit: Duration,
     sockets: DescriptorBudget,
-    /// Counts the requests written whole.
-    written: Rc<Cell<u64>>,
+    /// Counts the requests that are written completely.
+    requests_written: Rc<Cell<u64>>,
 }
 
 impl Connector {
-    /// `idle_close` is when upstreams close idle connections; `written` counts the requests written whole.
+    /// Upstreams close connections that are idle for `upstream_idle_timeout`; `requests_written`
+    /// counts the requests that are written completely.
     pub fn new(
         dial_timeout: Duration,
-        idle_close: Duration,
+        upstream_idle_timeout: Duration,
         sockets: DescriptorBudget,
-        written: Rc<Cell<u64>>,
+        requests_written: Rc<Cell<u64>>,
     ) -> Self {
-        let idle_limit = idle_close.saturating_sub(IDLE_MARGIN).max(idle_close / 2);
+        let idle_limit = upstream_idle_timeout
+            .saturating_sub(IDLE_MARGIN)
+            .max(upstream_idle_timeout / 2);
         Connector {
             dial_timeout,
             idle_limit,
             sockets,
-            written,
+            requests_written,
         }
     }
 
@@ -73,102 +88,85 @@
         self.sockets.is_exhausted()
     }
 
-    /// An idle connection to the upstream, also one that can be used in a moment, or else a new one by then: whichever comes
-    /// first of those that are dialled and those that become idle meanwhile. A dial that is not needed or too late goes on,
-    /// for the next attempt.
+    /// Returns the first connection to the upstream that is available by `deadline`: an idle one,
+    /// one that becomes idle, or a new one. A dial that loses or is too late continues, and its
+    /// connection joins the pool.
     pub async fn connect(
         &self,
         upstream: &Rc<Upstream>,
-        until: Instant,
-    ) -> Result<Connected, AttemptOutcome> {
-        let until = until.min(Instant::now() + self.dial_timeout);
-        let hedge_delay = self.dial_timeout / HEDGES_PER_TIMEOUT;
-        let mut hedge_at = Instant::now() + hedge_delay;
-        let (results, mut dialled) = mpsc::channel(DIALS_MOST);
-        let mut dials = 0;
-        // An attempt with hardly any time dials rather than wait.
-        let latest_settled = Instant::now() + until.saturating_duration_since(Instant::now()) / 2;
+        deadline: Instant,
+    ) -> Result<AcquiredConnection, AttemptOutcome> {
+        let deadline = deadline.min(Instant::now() + self.dial_timeout);
+        let mut dials = Dials::new(self, upstream);
+        // An attempt with little time left dials rather than wait for an idle connection to become
+        // reusable.
+        let latest_reuse_at =
+            Instant::now() + deadline.saturating_duration_since(Instant::now()) / 2;
         loop {
-            let settled = match upstream.take(self.idle_limit) {
-                Available::Connection(connection) => return Ok(Connected::Idle(connection)),
-                Available::From(settled) if settled <= latest_settled => Some(settled),
-                Available::From(_) | Available::Nothing => None,
+            let reusable_at = match upstream.take_idle(self.idle_limit) {
+                PooledConnection::Ready(connection) => {
+                    return Ok(AcquiredConnection {
+                        connection,
+                        origin: ConnectionOrigin::Reused,
+                    })
+                }
+                PooledConnection::ReadyAt(at) if at <= latest_reuse_at => Some(at),
+                PooledConnection::ReadyAt(_) | PooledConnection::None => None,
             };
-            if dials == 0 && settled.is_none() {
-                dials += 1;
-                self.start_dial(upstream, results.clone());
+            if dials.started == 0 && reusable_at.is_none() {
+                dials.start();
             }
             tokio::select! {
                 biased;
-                Some(made) = dialled.recv() => return made.map(Connected::New),
-                () = upstream.available() => {}
-                () = sleep_until(settled.unwrap_or(until)), if settled.is_some() => {}
-                () = sleep_until(until) => return Err(AttemptOutcome::ConnectFailed),
-                () = sleep_until(hedge_at), if (1..DIALS_MOST).contains(&dials) && self.sockets.is_plentiful() => {
-                    dials += 1;
-                    self.start_dial(upstream, results.clone());
-                    hedge_at += hedge_delay;
+                Some(dialled) = dials.receiver.recv() => {
+                    return dialled.map(|connection| AcquiredConnection {
+                        connection,
+                        origin: ConnectionOrigin::New,
+                    })
                 }
+                () = upstream.idle_connection_added() => {}
+                () = sleep_until(reusable_at.unwrap_or(deadline)), if reusable_at.is_some() => {}
+                () = sleep_until(deadline) => return Err(AttemptOutcome::ConnectFailed),
+                () = sleep_until(dials.next_hedge_at), if dials.may_hedge() => dials.hedge(),
             }
         }
     }
 
-    /// Starts a dial that goes on whether or not anybody still waits for it: a connection that nobody waits for any more
-    /// becomes an idle one.
-    fn start_dial(
-        &self,
-        upstream: &Rc<Upstream>,
-        waiting: mpsc::Sender<Result<Connection, AttemptOutcome>>,
-    ) {
-        let (connector, upstream) = (self.clone(), upstream.clone());
-        let until = Instant::now() + self.dial_timeout.max(BACKGROUND_DIAL);
+    /// Starts a dial that continues without its attempt: a connection that nothing waits for any
+    /// more joins the pool.
+    fn start_dial(&self, upstream: &Rc<Upstream>, results: mpsc::Sender<DialResult>) {
+        let connector = self.clone();
+        let upstream = upstream.clone();
+        let deadline = Instant::now() + self.dial_timeout.max(MIN_DIAL_TIME);
         tokio::task::spawn_local(async move {
-            let made = tokio::select! {
-                made = connector.dial(&upstream, until) => made,
-                () = unaffordable(&waiting, &connector.sockets) => return,
+            let dialled = tokio::select! {
+                dialled = connector.dial(&upstream, deadline) => dialled,
+                () = unneeded_and_unaffordable(&results, &connector.sockets) => return,
             };
-            if let Err(SendError(Ok(mut unused))) = waiting.send(made).await {
+            if let Err(SendError(Ok(mut unused))) = results.send(dialled).await {
                 if unused.sender.ready().await.is_ok() {
-                    upstream.put_unused(unused);
+                    upstream.add_unused(unused);
                 }
             }
         });
     }
 
-    async fn dial(
-        &self,
-        upstream: &Upstream,
-        until: Instant,
-    ) -> Result<Connection, AttemptOutcome> {
-        // Guards against blaming an upstream for a shortage of our own.
+    async fn dial(&self, upstream: &Upstream, deadline: Instant) -> DialResult {
+        // A shortage of descriptors here says nothing about the upstream.
         let permit = self
             .sockets
             .try_acquire_upstream()
             .ok_or(AttemptOutcome::NotSent)?;
         let generation = upstream.generation();
-        let connecting = TcpStream::connect(upstream.addr.get());
-        let stream = timeout_at(until, connecting)
+        let stream = open_stream(upstream, deadline).await?;
+        let socket = ClientStream::new(stream, self.requests_written.clone());
+        let (sender, connection) = http1::Builder::new()
+            .max_buf_size(MAX_HEAD_BYTES)
+            .handshake(TokioIo::new(socket.clone()))
             .await
             .map_err(|_| AttemptOutcome::ConnectFailed)?;
-        let stream = stream.map_err(|e| {
-            if is_shortage(&e) {
-                AttemptOutcome::NotSent
-            } else {
-                AttemptOutcome::ConnectFailed
-            }
-        })?;
-        stream
-            .set_nodelay(true)
-            .map_err(|_| AttemptOutcome::ConnectFailed)?;
-        let socket = ClientStream::new(stream, self.written.clone());
-        let io = TokioIo::new(socket.clone());
-        let handshake = http1::Builder::new()
-            .max_buf_size(HEAD_MOST)
-            .handshake(io)
-            .await;
-        let (sender, connection) = handshake.map_err(|_| AttemptOutcome::ConnectFailed)?;
         let task = tokio::task::spawn_local(async move {
-            // How the connection ended shows in the attempt that was on it.
+            // The attempt on the connection sees how it ends.
             let _ = connection.await;
         });
         Ok(Connection::new(
@@ -181,12 +179,71 @@
     }
 }
 
-/// Returns once nobody waits for a dial any more and sockets are too short to go on with it.
-async fn unaffordable(
-    waiting: &mpsc::Sender<Result<Connection, AttemptOutcome>>,
-    sockets: &DescriptorBudget,
-) {
-    waiting.closed().await;
+/// The dials of one attempt.
+struct Dials<'a> {
+    connector: &'a Connector,
+    upstream: &'a Rc<Upstream>,
+    started: usize,
+    hedge_delay: Duration,
+    next_hedge_at: Instant,
+    sender: mpsc::Sender<DialResult>,
+    receiver: mpsc::Receiver<DialResult>,
+}
+
+impl<'a> Dials<'a> {
+    fn new(connector: &'a Connector, upstream: &'a Rc<Upstream>) -> Dials<'a> {
+        let hedge_delay = connector.dial_timeout / HEDGES_PER_DIAL_TIMEOUT;
+        let next_hedge_at = Instant::now() + hedge_delay;
+        let (sender, receiver) = mpsc::channel(MAX_DIALS);
+        Dials {
+            connector,
+            upstream,
+            started: 0,
+            hedge_delay,
+            next_hedge_at,
+            sender,
+            receiver,
+        }
+    }
+
+    fn start(&mut self) {
+        self.started += 1;
+        self.connector
+            .start_dial(self.upstream, self.sender.clone());
+    }
+
+    fn may_hedge(&self) -> bool {
+        (1..MAX_DIALS).contains(&self.started) && self.connector.sockets.is_plentiful()
+    }
+
+    fn hedge(&mut self) {
+        self.start();
+        self.next_hedge_at += self.hedge_delay;
+    }
+}
+
+async fn open_stream(upstream: &Upstream, deadline: Instant) -> Result<TcpStream, AttemptOutcome> {
+    let stream = timeout_at(deadline, TcpStream::connect(upstream.address()))
+        .await
+        .map_err(|_| AttemptOutcome::ConnectFailed)?
+        .map_err(|error| outcome_of_connect_error(&error))?;
+    stream
+        .set_nodelay(true)
+        .map_err(|_| AttemptOutcome::ConnectFailed)?;
+    Ok(stream)
+}
+
+fn outcome_of_connect_error(error: &io::Error) -> AttemptOutcome {
+    if is_resource_shortage(error) {
+        AttemptOutcome::NotSent
+    } else {
+        AttemptOutcome::ConnectFailed
+    }
+}
+
+/// Returns once no attempt waits for a dial and sockets are too short to continue it.
+async fn unneeded_and_unaffordable(results: &mpsc::Sender<DialResult>, sockets: &DescriptorBudget) {
+    results.closed().await;
     if sockets.is_plentiful() {
         std::future::pending::<()>().await;
     }
--- a/balancer/src/outbound/connector/tests.rs
+++ b/balancer/src/outbound/connector/tests.rs
@@ -1,108 +1,124 @@
-//! Dialling, over a network on which connections come up late.
+//! Dials over a network on which connections open late.
 use super::*;
 use crate::test_support::FullListener;
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
-/// Longer than it takes until what was lost of a connection's setup is sent again.
-const LATE: Duration = Duration::from_millis(1500);
-const LONG: Duration = Duration::from_secs(20);
+/// Longer than the time after which TCP retransmits a lost handshake packet.
+const RETRANSMISSION_TIME: Duration = Duration::from_millis(1500);
+const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn connector(dial_timeout: Duration) -> Connector {
-    Connector::new(dial_timeout, LONG, DescriptorBudget::new(64), Rc::default())
+    Connector::new(
+        dial_timeout,
+        LONG_TIMEOUT,
+        DescriptorBudget::new(64),
+        Rc::default(),
+    )
 }
 
-fn until() -> Instant {
-    Instant::now() + LONG
+fn origin_of(
+    connected: Result<AcquiredConnection, AttemptOutcome>,
+) -> Result<ConnectionOrigin, AttemptOutcome> {
+    connected.map(|connected| connected.origin)
 }
 
-/// Guards against dialling anew again and again where connections come up late, each time for nothing.
+fn far_deadline() -> Instant {
+    Instant::now() + LONG_TIMEOUT
+}
+
+/// Guards against dialling again and again in vain where connections open late.
 #[tokio::test]
-async fn a_connection_that_comes_up_late_serves_the_next_attempt() {
+async fn next_attempt_uses_a_connection_that_opened_late() {
     let test = async {
         let mut listener = FullListener::bind();
-        let (connector, upstream) = (
-            connector(Duration::from_millis(100)),
-            Upstream::new(listener.address()),
-        );
-        let first = connector.connect(&upstream, until()).await;
+        let connector = connector(Duration::from_millis(100));
+        let upstream = Upstream::new(listener.address());
+        let first = connector.connect(&upstream, far_deadline()).await;
         assert!(
             matches!(first, Err(AttemptOutcome::ConnectFailed)),
-            "it is not up in time"
+            "it does not open in time"
         );
         listener.admit();
-        sleep(LATE).await;
-        let second = connector.connect(&upstream, until()).await;
+        sleep(RETRANSMISSION_TIME).await;
+        let second = connector.connect(&upstream, far_deadline()).await;
         assert!(
-            matches!(second, Ok(Connected::Idle(_))),
-            "it came up meanwhile"
+            matches!(origin_of(second), Ok(ConnectionOrigin::Reused)),
+            "it opened meanwhile"
         );
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against attempts that wait for a dial though another connection has become idle.
+/// Guards against waiting for a dial though another connection has become idle.
 #[tokio::test]
-async fn an_attempt_that_dials_takes_a_connection_that_becomes_idle() {
+async fn dialling_attempt_uses_a_connection_that_becomes_idle() {
     let test = async {
         let mut listener = FullListener::bind();
-        let (connector, upstream) = (connector(LONG), Upstream::new(listener.address()));
+        let connector = connector(LONG_TIMEOUT);
+        let upstream = Upstream::new(listener.address());
         let dialling = {
-            let (connector, upstream) = (connector.clone(), upstream.clone());
-            tokio::task::spawn_local(async move { connector.connect(&upstream, until()).await })
+            let connector = connector.clone();
+            let upstream = upstream.clone();
+            tokio::task::spawn_local(
+                async move { connector.connect(&upstream, far_deadline()).await },
+            )
         };
         sleep(Duration::from_millis(100)).await;
         listener.admit();
-        let Ok(Connected::New(busy)) = connector.connect(&upstream, until()).await else {
+        let Ok(busy) = connector.connect(&upstream, far_deadline()).await else {
             panic!("another attempt connects at once");
         };
-        assert!(!dialling.is_finished(), "the first one's dial is late");
+        assert_eq!(busy.origin, ConnectionOrigin::New);
+        assert!(!dialling.is_finished(), "the first attempt's dial is late");
         sleep(Duration::from_millis(10)).await;
-        upstream.put_unused(busy);
+        upstream.add_unused(busy.connection);
         let start = Instant::now();
         let connected = dialling.await.expect("runs");
-        assert!(matches!(connected, Ok(Connected::Idle(_))));
+        assert!(matches!(origin_of(connected), Ok(ConnectionOrigin::Reused)));
         assert!(
-            start.elapsed() < LATE / 3,
+            start.elapsed() < RETRANSMISSION_TIME / 3,
             "it did not wait for its own dial"
         );
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against connections to a process that has been replaced meanwhile.
+/// Guards against using a connection to a process that has been replaced meanwhile.
 #[tokio::test]
-async fn a_late_connection_to_a_replaced_process_is_not_used() {
+async fn discards_a_late_connection_to_a_replaced_process() {
     let test = async {
         let mut listener = FullListener::bind();
-        let (connector, upstream) = (
-            connector(Duration::from_millis(100)),
-            Upstream::new(listener.address()),
-        );
-        assert!(connector.connect(&upstream, until()).await.is_err());
-        upstream.replaced();
+        let connector = connector(Duration::from_millis(100));
+        let upstream = Upstream::new(listener.address());
+        assert!(connector.connect(&upstream, far_deadline()).await.is_err());
+        upstream.mark_replaced();
         listener.admit();
-        sleep(LATE).await;
-        assert!(matches!(upstream.take(LONG), Available::Nothing));
+        sleep(RETRANSMISSION_TIME).await;
+        assert!(matches!(
+            upstream.take_idle(LONG_TIMEOUT),
+            PooledConnection::None
+        ));
     };
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against losing a request's time to one connection that comes up late, where the next one would be up at once.
+/// Guards against losing a request's time to one connection that opens late, where another would
+/// open at once.
 #[tokio::test]
-async fn a_further_dial_overtakes_a_late_one() {
+async fn hedged_dial_overtakes_a_late_one() {
     let test = async {
         let mut listener = FullListener::bind();
-        let (connector, upstream) = (
-            connector(Duration::from_millis(800)),
-            Upstream::new(listener.address()),
-        );
+        let connector = connector(Duration::from_millis(800));
+        let upstream = Upstream::new(listener.address());
         let dialling =
-            tokio::task::spawn_local(async move { connector.connect(&upstream, until()).await });
+            tokio::task::spawn_local(
+                async move { connector.connect(&upstream, far_deadline()).await },
+            );
         sleep(Duration::from_millis(50)).await;
         listener.admit();
         let connected = dialling.await.expect("runs");
-        assert!(matches!(connected, Ok(Connected::New(_))));
+        assert!(matches!(origin_of(connected), Ok(ConnectionOrigin::New)));
     };
     LocalSet::new().run_until(test).await;
 }
--- a/balancer/src/outbound/dispatch.rs
+++ b/balancer/src/outbound/dispatch.rs
@@ -1,6 +1,6 @@
 //! How the attempts of a balancer are carried out.
-use crate::body::payload::ResponseContent;
-use crate::outbound::attempt::Transport;
+use crate::body::response_body::ResponseContent;
+use crate::outbound::attempt::{AttemptResult, Transport};
 use crate::outbound::connection_pool::Upstream;
 use crate::outbound::message::{FinalResponse, OutboundRequest};
 use balancer_core::AttemptOutcome;
@@ -10,42 +10,49 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Carries attempts out, or pretends to.
+/// Carries attempts out, or simulates them.
 #[derive(Clone)]
 pub enum Dispatch {
     /// Over sockets to the upstreams.
     Sockets(Transport),
-    /// Nowhere: each attempt ends at once as if its upstream had served it with an empty body.
+    /// Without sockets: each attempt ends at once as if its upstream had served it with an empty
+    /// body.
     Hollow,
 }
 
 impl Dispatch {
-    /// Carries one attempt out; see [`Transport::attempt`].
+    /// Carries out one attempt; see [`Transport::attempt`].
     pub async fn attempt(
         &self,
         upstream: Rc<Upstream>,
         request: Rc<OutboundRequest>,
-        until: Instant,
-        connected: impl Fn(),
-        begun: impl FnOnce(FinalResponse),
-    ) -> (AttemptOutcome, Option<FinalResponse>) {
+        deadline: Instant,
+        on_connected: impl Fn(),
+        on_response_started: impl FnOnce(FinalResponse),
+    ) -> AttemptResult {
         match self {
             Dispatch::Sockets(transport) => {
                 transport
-                    .attempt(upstream, request, until, connected, begun)
+                    .attempt(
+                        upstream,
+                        request,
+                        deadline,
+                        on_connected,
+                        on_response_started,
+                    )
                     .await
             }
-            Dispatch::Hollow => {
-                let served = FinalResponse::Served {
+            Dispatch::Hollow => AttemptResult {
+                outcome: AttemptOutcome::Success,
+                response: Some(FinalResponse::Served {
                     headers: HeaderMap::new(),
-                    body: ResponseContent::Whole(Bytes::new()),
-                };
-                (AttemptOutcome::Success, Some(served))
-            }
+                    body: ResponseContent::Buffered(Bytes::new()),
+                }),
+            },
         }
     }
 
-    /// How long connections to upstreams may be idle; none where there are no connections.
+    /// How long connections to upstreams may be idle; `None` without sockets.
     pub fn idle_limit(&self) -> Option<Duration> {
         match self {
             Dispatch::Sockets(transport) => Some(transport.idle_limit()),
--- a/balancer/src/outbound/endpoint_table.rs
+++ b/balancer/src/outbound/endpoint_table.rs
@@ -1,4 +1,5 @@
-//! The endpoints that the decision module may name, with their connections kept in step with what discovery reports.
+//! The endpoints that the decision module may name, and their connections. Follows the updates of
+//! discovery.
 use crate::discovery::endpoints::{EndpointUpdate, ListedEndpoint};
 use crate::outbound::connection_pool::Upstream;
 use balancer_core::{Availability, Millis, UpstreamId};
@@ -7,176 +8,182 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-struct KnownEndpoint {
+struct EndpointEntry {
     upstream: Rc<Upstream>,
     availability: Availability,
     /// When the upstream last started.
     started_at: Millis,
 }
 
-impl KnownEndpoint {
-    fn new(endpoint: &ListedEndpoint) -> KnownEndpoint {
+impl EndpointEntry {
+    fn new(endpoint: &ListedEndpoint) -> EndpointEntry {
         let member = &endpoint.member;
-        KnownEndpoint {
+        EndpointEntry {
             upstream: Upstream::new(endpoint.address),
             availability: member.availability,
             started_at: member.started_at,
         }
     }
 
-    /// Takes a new report over. What is written to an upstream that drains or is gone must end by `closes`.
-    fn update(&mut self, endpoint: &ListedEndpoint, suspended: bool, closes: Instant) {
+    /// Applies a discovery report. Writes to an upstream that drains or is gone must end by
+    /// `write_deadline`.
+    fn update(&mut self, endpoint: &ListedEndpoint, suspended: bool, write_deadline: Instant) {
         let member = &endpoint.member;
-        // Another address or another start: the old connections lead nowhere.
-        if self.upstream.addr.replace(endpoint.address) != endpoint.address
-            || self.started_at != member.started_at
-        {
-            self.upstream.replaced();
+        let previous_address = self.upstream.replace_address(endpoint.address);
+        if previous_address != endpoint.address || self.started_at != member.started_at {
+            self.upstream.mark_replaced();
         }
-        (self.availability, self.started_at) = (member.availability, member.started_at);
+        self.availability = member.availability;
+        self.started_at = member.started_at;
         match member.availability {
             Availability::Ready if suspended => {}
-            Availability::Ready => self.upstream.closes.set(None),
-            Availability::Draining | Availability::Gone => self.close(closes),
+            Availability::Ready => self.upstream.set_write_deadline(None),
+            Availability::Draining | Availability::Gone => self.drain(write_deadline),
         }
     }
 
-    fn remove(&mut self, closes: Instant) {
+    fn remove(&mut self, write_deadline: Instant) {
         self.availability = Availability::Gone;
-        self.close(closes);
+        self.drain(write_deadline);
     }
 
-    fn close(&self, closes: Instant) {
-        let closes = self.upstream.closes.get().unwrap_or(closes);
-        self.upstream.closes.set(Some(closes));
+    /// Closes idle connections. An earlier write deadline stays in force.
+    fn drain(&self, write_deadline: Instant) {
+        let write_deadline = self.upstream.write_deadline().unwrap_or(write_deadline);
+        self.upstream.set_write_deadline(Some(write_deadline));
         self.upstream.close_idle();
     }
 }
 
-/// Every endpoint that the decision module may name: those listed, and those that are gone with attempts out.
+/// Every endpoint that the decision module may name: the listed ones, and removed ones that have
+/// attempts in flight.
 pub struct EndpointTable {
-    by_id: HashMap<UpstreamId, KnownEndpoint>,
-    /// Within this time after the update sends to a draining upstream must end.
+    by_id: HashMap<UpstreamId, EndpointEntry>,
+    /// Writes to a draining upstream must end within this time after the update.
     drain_grace: Duration,
     /// Whether any endpoint has ever been listed.
-    listed: bool,
+    has_ever_listed: bool,
 }
 
 impl EndpointTable {
-    /// A table without endpoints. Sends to a draining upstream must end within `drain_grace` of the update.
+    /// A table without endpoints. Writes to a draining upstream must end within `drain_grace` of
+    /// the update.
     pub fn new(drain_grace: Duration) -> EndpointTable {
         EndpointTable {
             by_id: HashMap::new(),
             drain_grace,
-            listed: false,
+            has_ever_listed: false,
         }
     }
 
     /// Whether any endpoint has ever been listed.
-    pub fn ever_listed(&self) -> bool {
-        self.listed
+    pub fn has_ever_listed(&self) -> bool {
+        self.has_ever_listed
     }
 
     /// Whether this endpoint is listed now.
-    pub fn lists(&self, id: UpstreamId) -> bool {
+    pub fn is_listed(&self, id: UpstreamId) -> bool {
         self.by_id
             .get(&id)
-            .is_some_and(|known| known.availability != Availability::Gone)
+            .is_some_and(|entry| entry.availability != Availability::Gone)
     }
 
-    /// Whether this endpoint is gone and not yet forgotten.
-    pub fn is_gone(&self, id: UpstreamId) -> bool {
+    /// Whether this endpoint is no longer listed, but still in the table.
+    pub fn is_removed(&self, id: UpstreamId) -> bool {
         self.by_id
             .get(&id)
-            .is_some_and(|known| known.availability == Availability::Gone)
+            .is_some_and(|entry| entry.availability == Availability::Gone)
     }
 
-    /// The endpoints that are gone and not yet forgotten.
-    pub fn gone(&self) -> Vec<UpstreamId> {
-        let gone = self
-            .by_id
+    /// The endpoints that are no longer listed, but still in the table.
+    pub fn removed(&self) -> Vec<UpstreamId> {
+        self.by_id
             .iter()
-            .filter(|(_, known)| known.availability == Availability::Gone);
-        gone.map(|(&id, _)| id).collect()
+            .filter(|(_, entry)| entry.availability == Availability::Gone)
+            .map(|(&id, _)| id)
+            .collect()
     }
 
-    /// Forgets an endpoint.
+    /// Removes an endpoint from the table.
     pub fn forget(&mut self, id: UpstreamId) {
         self.by_id.remove(&id);
     }
 
     /// The upstream of an endpoint.
     pub fn upstream(&self, id: UpstreamId) -> Option<&Rc<Upstream>> {
-        self.by_id.get(&id).map(|known| &known.upstream)
+        self.by_id.get(&id).map(|entry| &entry.upstream)
     }
 
-    /// Takes an update over, as the whole list or as what changed.
+    /// Applies an update: a snapshot also removes the endpoints that it does not list.
     pub fn apply(
         &mut self,
         update: &EndpointUpdate,
-        full: bool,
-        suspended: impl Fn(UpstreamId) -> bool,
+        is_snapshot: bool,
+        is_suspended: impl Fn(UpstreamId) -> bool,
     ) {
-        let closes = Instant::now() + self.drain_grace;
-        self.listed |= !update.endpoints.is_empty();
-        if full {
-            self.remove_unlisted(update, closes);
+        let write_deadline = Instant::now() + self.drain_grace;
+        self.has_ever_listed |= !update.endpoints.is_empty();
+        if is_snapshot {
+            self.remove_unlisted(update, write_deadline);
         }
         for endpoint in &update.endpoints {
             let id = endpoint.member.id;
-            let known = self
+            let entry = self
                 .by_id
                 .entry(id)
-                .or_insert_with(|| KnownEndpoint::new(endpoint));
-            known.update(endpoint, suspended(id), closes);
+                .or_insert_with(|| EndpointEntry::new(endpoint));
+            entry.update(endpoint, is_suspended(id), write_deadline);
         }
     }
 
-    fn remove_unlisted(&mut self, update: &EndpointUpdate, closes: Instant) {
+    fn remove_unlisted(&mut self, update: &EndpointUpdate, write_deadline: Instant) {
         let listed: HashSet<UpstreamId> = update
             .endpoints
             .iter()
             .map(|endpoint| endpoint.member.id)
             .collect();
-        for (id, known) in &mut self.by_id {
+        for (id, entry) in &mut self.by_id {
             if !listed.contains(id) {
-                known.remove(closes);
+                entry.remove(write_deadline);
             }
         }
     }
 
-    /// Staff leave an upstream out from now on: nothing more is written there.
+    /// An operator suspends an upstream: nothing more is written to it.
     pub fn suspend(&self, id: UpstreamId) {
-        if let Some(known) = self.by_id.get(&id) {
-            known.upstream.closes.set(Some(Instant::now()));
-            known.upstream.close_idle();
+        if let Some(entry) = self.by_id.get(&id) {
+            entry.upstream.set_write_deadline(Some(Instant::now()));
+            entry.upstream.close_idle();
         }
     }
 
-    /// Staff use an upstream again, which was restarted while it was left out.
+    /// An operator restores an upstream, which was restarted while it was suspended.
     pub fn restore(&self, id: UpstreamId) {
-        if let Some(known) = self.by_id.get(&id) {
-            known.upstream.replaced();
-            if known.availability == Availability::Ready {
-                known.upstream.closes.set(None);
+        if let Some(entry) = self.by_id.get(&id) {
+            entry.upstream.mark_replaced();
+            if entry.availability == Availability::Ready {
+                entry.upstream.set_write_deadline(None);
             }
         }
     }
 
-    /// Closes the connections that have been idle for longer than this.
-    pub fn sweep(&self, idle_limit: Duration) {
+    /// Closes the connections that have been idle for `idle_limit`.
+    pub fn close_expired(&self, idle_limit: Duration) {
         let now = Instant::now();
-        for known in self.by_id.values() {
-            known.upstream.sweep(now, idle_limit);
+        for entry in self.by_id.values() {
+            entry.upstream.close_expired(now, idle_limit);
         }
     }
 
-    /// Closes the connection that has been idle longest, of all upstreams.
+    /// Closes the longest idle connection of all upstreams.
     pub fn close_oldest_idle(&self) {
-        let upstreams = self.by_id.values().map(|known| &known.upstream);
-        let idle = upstreams.filter_map(|upstream| Some((upstream.oldest_idle()?, upstream)));
-        if let Some((_, upstream)) = idle.min_by_key(|&(since, _)| since) {
-            upstream.drop_oldest();
+        let oldest = self
+            .by_id
+            .values()
+            .filter_map(|entry| Some((entry.upstream.oldest_idle_since()?, &entry.upstream)))
+            .min_by_key(|&(idle_since, _)| idle_since);
+        if let Some((_, upstream)) = oldest {
+            upstream.close_oldest_idle();
         }
     }
 }
--- /dev/null
+++ b/balancer/src/outbound/headers.rs
@@ -0,0 +1,38 @@
+//! Headers that the balancer adds, reads or removes when it forwards requests and responses.
+use hyper::header::{self, HeaderMap, HeaderName};
+
+/// Remaining time of an attempt, as the balancer states it to an upstream.
+pub const DEADLINE_HEADER: HeaderName = HeaderName::from_static("req-deadline");
+/// Marks a response whose upstream rejected the request without running it.
+pub const REJECTED_HEADER: HeaderName = HeaderName::from_static("srv-declined");
+
+/// Headers that belong to one connection and are not forwarded.
+const HOP_BY_HOP_HEADERS: [HeaderName; 8] = [
+    header::CONNECTION,
+    HeaderName::from_static("keep-alive"),
+    header::PROXY_AUTHENTICATE,
+    header::PROXY_AUTHORIZATION,
+    header::TE,
+    header::TRAILER,
+    header::TRANSFER_ENCODING,
+    header::UPGRADE,
+];
+
+/// Removes the headers that belong to one connection, and those that frame the body: the next
+/// connection frames it anew.
+pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
+    let connection_options: Vec<HeaderName> = headers
+        .get_all(header::CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(','))
+        .filter_map(|option| option.trim().parse().ok())
+        .collect();
+    for name in HOP_BY_HOP_HEADERS
+        .iter()
+        .chain(&connection_options)
+        .chain(&[header::CONTENT_LENGTH, header::EXPECT])
+    {
+        headers.remove(name);
+    }
+}
--- a/balancer/src/outbound/message.rs
+++ b/balancer/src/outbound/message.rs
@@ -1,16 +1,19 @@
-//! What the parts of a balancer hand one another about a request: the request as it goes to upstreams, and its answer.
-use crate::body::payload::{Fault, RequestBody, ResponseContent};
-use crate::inbound::client_stream::Peer;
+//! A request as it goes to upstreams, and the final response to it.
+use crate::body::body_error::BodyError;
+use crate::body::request_body::{AttemptBody, RequestBody};
+use crate::body::response_body::ResponseContent;
+use crate::net::client_stream::Peer;
 use balancer_core::Millis;
 use hyper::header::{HeaderMap, HeaderValue};
-use hyper::{Method, StatusCode, Uri};
+use hyper::{Method, Request, StatusCode, Uri};
 use std::borrow::Cow;
 use std::cell::Cell;
+use thiserror::Error;
 
-/// A request as it goes on to upstreams.
+/// A request as it is forwarded to upstreams.
 pub struct OutboundRequest {
-    /// The caller's id for it.
-    pub name: Option<HeaderValue>,
+    /// The client's id for the request.
+    pub request_id: Option<HeaderValue>,
     /// Its method.
     pub method: Method,
     /// Path and query.
@@ -19,54 +22,68 @@
     pub headers: HeaderMap,
     /// Its body.
     pub body: RequestBody,
-    /// Set when the request has ended: what has not been written for it by then must not be.
-    pub over: Cell<bool>,
-    /// The client's side of its connection, where there is one.
+    /// Set when the request has its final response or its client has disconnected: nothing more is
+    /// written for it.
+    pub ended: Cell<bool>,
+    /// The client's side of its connection. `None` for requests without a socket.
     pub client: Option<Peer>,
 }
 
 impl OutboundRequest {
-    /// The client's id for it, for logs.
+    /// The client's id for the request, for logs.
     pub fn label(&self) -> Cow<'_, str> {
-        self.name
+        self.request_id
             .as_ref()
-            .map_or("-".into(), |name| String::from_utf8_lossy(name.as_bytes()))
+            .map_or("-".into(), |id| String::from_utf8_lossy(id.as_bytes()))
     }
 
-    /// Whether its client has left. Asks the system: the runtime learns of it only when it next waits.
-    pub fn client_left(&self) -> bool {
-        self.client.as_ref().is_some_and(Peer::left)
+    /// The request for one attempt, with the attempt's body.
+    pub fn to_http(&self, body: AttemptBody) -> Result<Request<AttemptBody>, hyper::http::Error> {
+        let mut request = Request::builder()
+            .method(self.method.clone())
+            .uri(self.target.clone())
+            .body(body)?;
+        *request.headers_mut() = self.headers.clone();
+        Ok(request)
+    }
+
+    /// Whether the client has disconnected. Asks the system, because the runtime learns of it only
+    /// when it next polls.
+    pub fn client_disconnected(&self) -> bool {
+        self.client.as_ref().is_some_and(Peer::has_disconnected)
     }
 }
 
-/// The one final answer to a request.
+/// The one final response to a request.
 #[derive(Debug)]
 pub enum FinalResponse {
-    /// An upstream's answer.
+    /// An upstream's response.
     Served {
         /// Its end-to-end headers.
         headers: HeaderMap,
         /// Its body.
         body: ResponseContent,
     },
-    /// Refused: another try does no harm.
-    Refused {
-        /// How long the client should stay away; zero: no advice.
+    /// Rejected without having run: the client may retry.
+    Rejected {
+        /// Milliseconds before the client should retry; zero gives no advice.
         retry_after: Millis,
     },
-    /// Turned away by the upstream as something it can't use.
-    Unusable(StatusCode),
-    /// Its body did not come as it should.
-    Unsent(Fault),
-    /// Failed, with no promise about its effect.
+    /// The upstream found the request invalid, with this status.
+    ClientError(StatusCode),
+    /// The client's request body failed.
+    RequestBodyFailed(BodyError),
+    /// Failed. The request may have run.
     Failed,
 }
 
-/// Why a request was not taken.
-#[derive(Debug)]
+/// Why the driver did not accept a request.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SubmitError {
-    /// As many are open as may be.
-    Full,
-    /// One with its id is open.
-    Known,
+    /// The limit of pending requests is reached.
+    #[error("the limit of pending requests is reached")]
+    AtCapacity,
+    /// A request with the same id is pending.
+    #[error("a request with this Req-Id is open")]
+    DuplicateRequestId,
 }
--- a/balancer/src/outbound/mod.rs
+++ b/balancer/src/outbound/mod.rs
@@ -5,4 +5,7 @@
 pub(crate) mod connector;
 pub(crate) mod dispatch;
 pub(crate) mod endpoint_table;
+pub(crate) mod headers;
 pub(crate) mod message;
+mod response_outcome;
+mod response_relay;
--- /dev/null
+++ b/balancer/src/outbound/response_relay.rs
@@ -0,0 +1,148 @@
+//! Reads response bodies of upstreams: buffers small ones, relays large ones to the client as they
+//! arrive.
+use crate::body::limits::{BODY_STALL_TIMEOUT, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
+use crate::body::response_body::BodySender;
+use crate::outbound::response_outcome::outcome_of_read_error;
+use balancer_core::AttemptOutcome;
+use bytes::{Bytes, BytesMut};
+use http_body_util::BodyExt;
+use hyper::body::{Frame, Incoming};
+use std::time::Duration;
+use tokio::time::{timeout_at, Instant};
+
+/// Longest time that a body of undeclared length is buffered before it counts as large.
+const UNDECLARED_LENGTH_BUFFER_TIME: Duration = Duration::from_secs(1);
+
+/// What was read of a response body before the response was passed on.
+pub enum BufferedBody {
+    /// The complete body.
+    Complete(Bytes),
+    /// The start of a body that is large or slow; the rest is still to be read.
+    Partial(Bytes),
+}
+
+/// Buffers a body while it may be a small one. A body that declares a large length is not read at
+/// all. One that declares a small length is read to its end: the attempt's timeout limits it.
+pub async fn buffer_body(
+    body: &mut Incoming,
+    declared_length: Option<u64>,
+) -> Result<BufferedBody, AttemptOutcome> {
+    if declares_large_body(declared_length) {
+        return Ok(BufferedBody::Partial(Bytes::new()));
+    }
+    let deadline = match declared_length {
+        Some(_) => None,
+        None => Some(Instant::now() + UNDECLARED_LENGTH_BUFFER_TIME),
+    };
+    let mut buffer = BytesMut::new();
+    while buffer.len() <= MAX_BUFFERED_BODY_BYTES {
+        // Until the first byte there is nothing to relay, so no deadline applies.
+        let frame = match deadline {
+            Some(deadline) if !buffer.is_empty() => timeout_at(deadline, body.frame()).await,
+            _ => Ok(body.frame().await),
+        };
+        let Ok(frame) = frame else {
+            return Ok(BufferedBody::Partial(buffer.freeze()));
+        };
+        let Some(frame) = frame else {
+            return Ok(BufferedBody::Complete(buffer.freeze()));
+        };
+        let frame = frame.map_err(|error| outcome_of_read_error(&error))?;
+        if let Some(data) = frame.data_ref() {
+            buffer.extend_from_slice(data);
+        }
+    }
+    Ok(BufferedBody::Partial(buffer.freeze()))
+}
+
+/// Whether a body's declared length is too large for buffering.
+pub fn declares_large_body(declared_length: Option<u64>) -> bool {
+    declared_length.is_some_and(|length| length > MAX_BUFFERED_BODY_BYTES as u64)
+}
+
+/// A body that is relayed to the client.
+pub struct Relay {
+    sender: BodySender,
+    body: Incoming,
+    /// Bytes passed on so far.
+    forwarded: u64,
+    /// Applies while no more than a small body's bytes are forwarded. Guards against responses that
+    /// begin and never end.
+    small_body_deadline: Option<Instant>,
+}
+
+/// When the next frame must have arrived, and the outcome of the attempt if it has not.
+struct FrameDeadline {
+    at: Instant,
+    outcome: AttemptOutcome,
+}
+
+impl Relay {
+    /// Relays `body` to `sender`. While the body may still be a small one, `small_body_deadline`
+    /// ends it.
+    pub fn new(sender: BodySender, body: Incoming, small_body_deadline: Option<Instant>) -> Relay {
+        Relay {
+            sender,
+            body,
+            forwarded: 0,
+            small_body_deadline,
+        }
+    }
+
+    /// Forwards `buffered` and then the rest of the body, as fast as the client reads it.
+    pub async fn run(mut self, buffered: Bytes) -> Result<(), AttemptOutcome> {
+        self.forwarded = buffered.len() as u64;
+        if !buffered.is_empty() {
+            self.send(buffered).await?;
+        }
+        loop {
+            let Some(frame) = self.next_frame().await? else {
+                self.sender.finish();
+                return Ok(());
+            };
+            // Trailers are not forwarded.
+            let Ok(data) = frame.into_data() else {
+                continue;
+            };
+            self.forwarded += data.len() as u64;
+            if self.forwarded > MAX_BODY_BYTES {
+                return Err(AttemptOutcome::Error);
+            }
+            self.send(data).await?;
+        }
+    }
+
+    async fn send(&self, data: Bytes) -> Result<(), AttemptOutcome> {
+        self.sender
+            .send(data)
+            .await
+            .map_err(|_| AttemptOutcome::Cancelled)
+    }
+
+    async fn next_frame(&mut self) -> Result<Option<Frame<Bytes>>, AttemptOutcome> {
+        let deadline = self.frame_deadline();
+        let frame = timeout_at(deadline.at, self.body.frame())
+            .await
+            .map_err(|_| deadline.outcome)?;
+        frame
+            .transpose()
+            .map_err(|error| outcome_of_read_error(&error))
+    }
+
+    fn frame_deadline(&self) -> FrameDeadline {
+        let small_body_deadline = self
+            .small_body_deadline
+            .filter(|_| self.forwarded <= MAX_BUFFERED_BODY_BYTES as u64);
+        let stalled_at = Instant::now() + BODY_STALL_TIMEOUT;
+        match small_body_deadline {
+            Some(deadline) if deadline < stalled_at => FrameDeadline {
+                at: deadline,
+                outcome: AttemptOutcome::Timeout,
+            },
+            _ => FrameDeadline {
+                at: stalled_at,
+                outcome: AttemptOutcome::Reset,
+            },
+        }
+    }
+}
--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -5,14 +5,15 @@
 use crate::control::driver::DriverHandle;
 use crate::control::invariants::Guard;
 use crate::control::startup::{Control, ControlOptions};
-use crate::inbound::server::{Phase, Server};
+use crate::inbound::phase::Phase;
+use crate::inbound::server::Server;
 use crate::net::descriptor_budget::DescriptorBudget;
 use crate::net::retry_io::retry_io;
 use crate::outbound::attempt::Transport;
 use crate::outbound::connector::Connector;
 use crate::outbound::dispatch::Dispatch;
 use crate::process::config::Config;
-use crate::telemetry::log::{start_events, Log};
+use crate::telemetry::log::{start_events, LogOutput};
 use crate::telemetry::metrics::Metrics;
 use balancer_core::Millis;
 use balancer_settings::Deployment;
@@ -254,7 +255,7 @@
         guard: guard.clone(),
         known: known.as_ref(),
         discovery: addresses,
-        log: Log::StandardError,
+        log: LogOutput::StandardError,
     })?;
     tokio::task::spawn_local(follow(hangup, address_of_discovery, metrics.clone()));
     tokio::task::spawn_local(discovery.run(handle.clone()));
--- a/balancer/src/telemetry/metrics.rs
+++ b/balancer/src/telemetry/metrics.rs
@@ -1,4 +1,5 @@
-//! The metrics that operators fetch: counted once, where an event is final, from the start of the process.
+//! The metrics that operators fetch. Each event is counted once, when it is final, from the start
+//! of the process.
 use crate::control::invariants::GuardCounts;
 use balancer_core::EndpointCounts;
 use std::cell::Cell;
@@ -7,96 +8,115 @@
 
 /// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outcome {
+pub enum RequestOutcome {
     /// Served.
-    Ok,
-    /// Refused: another try does no harm.
-    Shed,
+    Served,
+    /// Rejected without having run: the client may retry.
+    Rejected,
     /// Failed.
-    Errors,
+    Failed,
+}
+
+impl RequestOutcome {
+    /// All outcomes, in the order of their counts.
+    const ALL: [RequestOutcome; 3] = [
+        RequestOutcome::Served,
+        RequestOutcome::Rejected,
+        RequestOutcome::Failed,
+    ];
+
+    /// Its name in metrics. Dashboards refer to these names, so they stay.
+    fn metric_name(self) -> &'static str {
+        match self {
+            RequestOutcome::Served => "ok",
+            RequestOutcome::Rejected => "shed",
+            RequestOutcome::Failed => "errors",
+        }
+    }
 }
 
 /// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed it, an answer said that it ends, or it broke.
+    /// The client closed it, a response announced its end, or it broke.
     Finished,
-    /// Its client sent what is no request, and was told so.
+    /// The client sent something that is no request, and was answered so.
     Malformed,
-    /// Its client was waited for long enough.
-    Overdue,
-    /// It was idle, and a new connection needed its place.
-    MakesWay,
-    /// The program ends, or clients are sent away.
+    /// The balancer had waited long enough for the client.
+    TimedOut,
+    /// It was idle, and a new connection needed its descriptor.
+    Evicted,
+    /// The process shuts down, or clients are sent away.
     Shutdown,
 }
 
 impl CloseReason {
     /// All reasons, in the order of their counts.
-    pub const ALL: [CloseReason; 5] = [
+    const ALL: [CloseReason; 5] = [
         CloseReason::Finished,
         CloseReason::Malformed,
-        CloseReason::Overdue,
-        CloseReason::MakesWay,
+        CloseReason::TimedOut,
+        CloseReason::Evicted,
         CloseReason::Shutdown,
     ];
 
-    /// Its name in metrics and logs.
+    /// Its name in metrics and logs. Dashboards refer to these names, so they stay.
     pub fn name(self) -> &'static str {
         match self {
             CloseReason::Finished => "finished",
             CloseReason::Malformed => "malformed",
-            CloseReason::Overdue => "overdue",
-            CloseReason::MakesWay => "makes_way",
+            CloseReason::TimedOut => "overdue",
+            CloseReason::Evicted => "makes_way",
             CloseReason::Shutdown => "shutdown",
         }
     }
 }
 
-/// Counts of one class, by [`Outcome`].
-struct Class {
-    /// Its name as a label's value.
+/// Counts of one class.
+struct ClassCounts {
+    /// The class's name, escaped as a label's value.
     label: String,
-    ended: [Cell<u64>; 3],
+    /// Completed requests by [`RequestOutcome`].
+    completed: [Cell<u64>; RequestOutcome::ALL.len()],
 }
 
 /// All counts of this process.
 pub struct Metrics {
-    classes: Vec<Class>,
-    /// Attempts written whole to upstreams.
-    tries: Rc<Cell<u64>>,
-    /// Configurations read again and followed, and those that could not be read.
-    reloads: [Cell<u64>; 2],
-    /// Rules that were broken, and writes that were denied.
+    classes: Vec<ClassCounts>,
+    /// Attempts that were written completely to upstreams.
+    attempts: Rc<Cell<u64>>,
+    reloads_applied: Cell<u64>,
+    reloads_rejected: Cell<u64>,
+    /// Violations of invariants, and denied writes.
     guard: GuardCounts,
-    /// Clients' connections that were closed, by reason.
-    closed: [Cell<u64>; CloseReason::ALL.len()],
+    /// Closed client connections by [`CloseReason`].
+    connections_closed: [Cell<u64>; CloseReason::ALL.len()],
 }
 
-/// The names of the outcomes, in the order of [`Outcome`].
-const ENDED: [&str; 3] = ["ok", "shed", "errors"];
-
 impl Metrics {
-    /// Counts for these classes, all at zero.
+    /// Metrics for these classes, with all counts at zero.
     pub fn new(classes: &[String]) -> Rc<Metrics> {
-        let class = |name: &String| Class {
-            label: escaped(name),
-            ended: Default::default(),
-        };
-        let classes = classes.iter().map(class).collect();
-        let (tries, reloads, guard, closed) = Default::default();
+        let classes = classes
+            .iter()
+            .map(|name| ClassCounts {
+                label: escape_label(name),
+                completed: Default::default(),
+            })
+            .collect();
         Rc::new(Metrics {
             classes,
-            tries,
-            reloads,
-            guard,
-            closed,
+            attempts: Rc::default(),
+            reloads_applied: Cell::default(),
+            reloads_rejected: Cell::default(),
+            guard: GuardCounts::default(),
+            connections_closed: Default::default(),
         })
     }
 
-    /// The count of attempts written whole, for those who write them.
+    /// The count of attempts that are written completely, which the connections to upstreams
+    /// update.
     pub fn attempts(&self) -> Rc<Cell<u64>> {
-        self.tries.clone()
+        self.attempts.clone()
     }
 
     /// The counts of the guard.
@@ -106,66 +126,67 @@
 
     /// Counts a client's connection as closed.
     pub fn record_connection_closed(&self, reason: CloseReason) {
-        bump(&self.closed[reason as usize]);
+        increment(&self.connections_closed[reason as usize]);
     }
 
-    /// Counts a request as ended that was never taken.
-    pub fn record_completed(&self, class: usize, outcome: Outcome) {
+    /// Counts a request of this class as completed.
+    pub fn record_completed(&self, class: usize, outcome: RequestOutcome) {
         if let Some(class) = self.classes.get(class) {
-            bump(&class.ended[outcome as usize]);
+            increment(&class.completed[outcome as usize]);
         }
     }
 
-    /// Counts a configuration that was read again, and whether it is followed.
-    pub fn record_reload(&self, followed: bool) {
-        bump(&self.reloads[usize::from(!followed)]);
+    /// Counts a reload of the configuration, which was applied or rejected.
+    pub fn record_reload(&self, applied: bool) {
+        increment(if applied {
+            &self.reloads_applied
+        } else {
+            &self.reloads_rejected
+        });
     }
 
-    /// The metrics as operators read them, with how many requests are active, and upstreams listed and avoided.
-    pub fn text(&self, active: usize, endpoints: EndpointCounts) -> String {
+    /// The metrics as operators read them, with the number of active requests and of listed and
+    /// avoided endpoints.
+    pub fn render(&self, active_requests: usize, endpoints: EndpointCounts) -> String {
         let mut text = String::new();
-        let mut line = |figure: &str, value: u64| {
-            // Writing to a string cannot fail.
-            let _ = writeln!(text, "node_{figure} {value}");
-        };
-        for (outcome, name) in ENDED.iter().enumerate() {
+        for outcome in RequestOutcome::ALL {
             for class in &self.classes {
-                line(
-                    &format!("{name}{{kind=\"{}\"}}", class.label),
-                    class.ended[outcome].get(),
-                );
+                let name = labelled(outcome.metric_name(), "kind", &class.label);
+                write_metric(&mut text, &name, class.completed[outcome as usize].get());
             }
         }
-        line("tries", self.tries.get());
-        line("active", active as u64);
-        line("pool_size", endpoints.listed as u64);
-        line("pool_ejected", endpoints.avoided as u64);
-        line("config_applied", self.reloads[0].get());
-        line("config_rejected", self.reloads[1].get());
+        write_metric(&mut text, "tries", self.attempts.get());
+        write_metric(&mut text, "active", active_requests as u64);
+        write_metric(&mut text, "pool_size", endpoints.listed as u64);
+        write_metric(&mut text, "pool_ejected", endpoints.avoided as u64);
+        write_metric(&mut text, "config_applied", self.reloads_applied.get());
+        write_metric(&mut text, "config_rejected", self.reloads_rejected.get());
         for (rule, count) in self.guard.violations() {
-            line(&format!("violations{{rule=\"{}\"}}", rule.name()), count);
-        }
-        for (reason, count) in self.guard.denials() {
-            line(
-                &format!("writes_denied{{reason=\"{}\"}}", reason.name()),
+            write_metric(
+                &mut text,
+                &labelled("violations", "rule", rule.name()),
                 count,
             );
         }
-        for (reason, count) in CloseReason::ALL.iter().zip(&self.closed) {
-            line(
-                &format!("connections_closed{{reason=\"{}\"}}", reason.name()),
-                count.get(),
-            );
+        for (reason, count) in self.guard.denials() {
+            let name = labelled("writes_denied", "reason", reason.name());
+            write_metric(&mut text, &name, count);
+        }
+        for reason in CloseReason::ALL {
+            let name = labelled("connections_closed", "reason", reason.name());
+            let count = &self.connections_closed[reason as usize];
+            write_metric(&mut text, &name, count.get());
         }
         text
     }
 }
 
-/// A request that was taken. It ends when this is dropped; without an outcome by then its client is gone.
+/// A request that the driver has accepted. Its outcome is counted when this is dropped; without an
+/// outcome the client has disconnected, and nothing is counted.
 pub struct InFlightRequest {
     metrics: Rc<Metrics>,
     class: usize,
-    outcome: Cell<Option<Outcome>>,
+    outcome: Cell<Option<RequestOutcome>>,
 }
 
 impl InFlightRequest {
@@ -178,8 +199,8 @@
         }
     }
 
-    /// Notes how the request ends; the last word counts.
-    pub fn ends(&self, outcome: Outcome) {
+    /// Sets how the request ends. The last outcome counts.
+    pub fn set_outcome(&self, outcome: RequestOutcome) {
         self.outcome.set(Some(outcome));
     }
 }
@@ -192,12 +213,21 @@
     }
 }
 
-fn bump(count: &Cell<u64>) {
+fn increment(count: &Cell<u64>) {
     count.set(count.get().wrapping_add(1));
 }
 
-/// A label's value as it stands between quotes.
-fn escaped(value: &str) -> String {
+fn write_metric(text: &mut String, name: &str, value: u64) {
+    // Writing to a string cannot fail.
+    let _ = writeln!(text, "node_{name} {value}");
+}
+
+fn labelled(name: &str, label: &str, value: &str) -> String {
+    format!("{name}{{{label}=\"{value}\"}}")
+}
+
+/// Escapes a label's value, which stands between quotes.
+fn escape_label(value: &str) -> String {
     value
         .replace('\\', "\\\\")
         .replace('"', "\\\"")
@@ -205,76 +235,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_request_counts_once_as_it_ended() {
-        let metrics = Metrics::new(&["read".into(), "odd \"\\\n".into()]);
-        let (served, gone) = (
-            InFlightRequest::new(&metrics, 0),
-            InFlightRequest::new(&metrics, 1),
-        );
-        served.ends(Outcome::Ok);
-        assert!(
-            metrics
-                .text(
-                    2,
-                    EndpointCounts {
-                        listed: 4,
-                        avoided: 1
-                    }
-                )
-                .contains("node_ok{kind=\"read\"} 0\n"),
-            "not before its end"
-        );
-        served.ends(Outcome::Errors);
-        drop((served, gone));
-        metrics.record_completed(1, Outcome::Shed);
-        metrics.attempts().set(7);
-        metrics.record_reload(false);
-        metrics.record_connection_closed(CloseReason::Overdue);
-        let wanted = [
-            "node_ok{kind=\"read\"} 0",
-            "node_ok{kind=\"odd \\\"\\\\\\n\"} 0",
-            "node_shed{kind=\"read\"} 0",
-            "node_shed{kind=\"odd \\\"\\\\\\n\"} 1",
-            "node_errors{kind=\"read\"} 1",
-            "node_errors{kind=\"odd \\\"\\\\\\n\"} 0",
-            "node_tries 7",
-            "node_active 2",
-            "node_pool_size 4",
-            "node_pool_ejected 1",
-            "node_config_applied 0",
-            "node_config_rejected 1",
-            "node_violations{rule=\"attempt_limit\"} 0",
-            "node_violations{rule=\"concurrent_attempt\"} 0",
-            "node_violations{rule=\"unsafe_repeat\"} 0",
-            "node_violations{rule=\"refused_after_run\"} 0",
-            "node_violations{rule=\"answer_overdue\"} 0",
-            "node_violations{rule=\"closed_unanswered\"} 0",
-            "node_writes_denied{reason=\"endpoint_closed\"} 0",
-            "node_writes_denied{reason=\"expired\"} 0",
-            "node_writes_denied{reason=\"request_ended\"} 0",
-            "node_writes_denied{reason=\"client_left\"} 0",
-            "node_connections_closed{reason=\"finished\"} 0",
-            "node_connections_closed{reason=\"malformed\"} 0",
-            "node_connections_closed{reason=\"overdue\"} 1",
-            "node_connections_closed{reason=\"makes_way\"} 0",
-            "node_connections_closed{reason=\"shutdown\"} 0",
-        ];
-        assert_eq!(
-            metrics
-                .text(
-                    2,
-                    EndpointCounts {
-                        listed: 4,
-                        avoided: 1
-                    }
-                )
-                .lines()
-                .collect::<Vec<_>>(),
-            wanted
-        );
-    }
-}
+mod tests;
--- /dev/null
+++ b/balancer/src/telemetry/metrics/tests.rs
@@ -0,0 +1,62 @@
+//! The text of the metrics.
+use super::*;
+
+const ENDPOINTS: EndpointCounts = EndpointCounts {
+    listed: 4,
+    avoided: 1,
+};
+
+const EXPECTED: [&str; 27] = [
+    "node_ok{kind=\"read\"} 0",
+    "node_ok{kind=\"odd \\\"\\\\\\n\"} 0",
+    "node_shed{kind=\"read\"} 0",
+    "node_shed{kind=\"odd \\\"\\\\\\n\"} 1",
+    "node_errors{kind=\"read\"} 1",
+    "node_errors{kind=\"odd \\\"\\\\\\n\"} 0",
+    "node_tries 7",
+    "node_active 2",
+    "node_pool_size 4",
+    "node_pool_ejected 1",
+    "node_config_applied 0",
+    "node_config_rejected 1",
+    "node_violations{rule=\"attempt_limit\"} 0",
+    "node_violations{rule=\"concurrent_attempt\"} 0",
+    "node_violations{rule=\"unsafe_repeat\"} 0",
+    "node_violations{rule=\"refused_after_run\"} 0",
+    "node_violations{rule=\"answer_overdue\"} 0",
+    "node_violations{rule=\"closed_unanswered\"} 0",
+    "node_writes_denied{reason=\"endpoint_closed\"} 0",
+    "node_writes_denied{reason=\"expired\"} 0",
+    "node_writes_denied{reason=\"request_ended\"} 0",
+    "node_writes_denied{reason=\"client_left\"} 0",
+    "node_connections_closed{reason=\"finished\"} 0",
+    "node_connections_closed{reason=\"malformed\"} 0",
+    "node_connections_closed{reason=\"overdue\"} 1",
+    "node_connections_closed{reason=\"makes_way\"} 0",
+    "node_connections_closed{reason=\"shutdown\"} 0",
+];
+
+#[test]
+fn counts_each_request_once_with_its_last_outcome() {
+    let metrics = Metrics::new(&["read".into(), "odd \"\\\n".into()]);
+    let answered = InFlightRequest::new(&metrics, 0);
+    let disconnected = InFlightRequest::new(&metrics, 1);
+    answered.set_outcome(RequestOutcome::Served);
+    assert!(
+        metrics
+            .render(2, ENDPOINTS)
+            .contains("node_ok{kind=\"read\"} 0\n"),
+        "it is not counted before its end"
+    );
+    answered.set_outcome(RequestOutcome::Failed);
+    drop(answered);
+    drop(disconnected);
+    metrics.record_completed(1, RequestOutcome::Rejected);
+    metrics.attempts().set(7);
+    metrics.record_reload(false);
+    metrics.record_connection_closed(CloseReason::TimedOut);
+    assert_eq!(
+        metrics.render(2, ENDPOINTS).lines().collect::<Vec<_>>(),
+        EXPECTED
+    );
+}
