--- a/balancer/src/test_support.rs
+++ b/balancer/src/test_support.rs
@@ -1,5 +1,5 @@
-//! What several test files of this crate share.
-use crate::body::payload::RequestBody;
+//! Helpers that several test files of this crate share.
+use crate::body::request_body::RequestBody;
 use crate::outbound::message::OutboundRequest;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
@@ -7,25 +7,25 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::Duration;
 
-/// A request without a body, as it goes on to upstreams.
+/// A GET request as it is forwarded to upstreams.
 pub fn get_request() -> OutboundRequest {
     OutboundRequest {
-        name: None,
+        request_id: None,
         method: Method::GET,
         target: Uri::from_static("/api"),
         headers: HeaderMap::new(),
-        body: RequestBody::Whole(Bytes::new()),
-        over: Cell::new(false),
+        body: RequestBody::Buffered(Bytes::new()),
+        ended: Cell::new(false),
         client: None,
     }
 }
 
-/// A listener whose accept queue is full: the system drops what tries to connect, and the one that connects tries again
-/// after a second. So connections come up late, as over a network that loses packets.
+/// A listener with a full accept queue. The system drops connection attempts and retransmits them
+/// after a second, so that connections open late, as over a network that loses packets.
 pub struct FullListener {
     listener: TcpListener,
     queued: usize,
-    _waiting: Vec<TcpStream>,
+    _queued_clients: Vec<TcpStream>,
 }
 
 impl FullListener {
@@ -39,11 +39,11 @@
         let listener = TcpListener::from(socket);
         let address = listener.local_addr().expect("an address");
         let connect = || TcpStream::connect_timeout(&address, Duration::from_millis(100)).ok();
-        let waiting: Vec<TcpStream> = std::iter::from_fn(connect).collect();
+        let queued_clients: Vec<TcpStream> = std::iter::from_fn(connect).collect();
         FullListener {
             listener,
-            queued: waiting.len(),
-            _waiting: waiting,
+            queued: queued_clients.len(),
+            _queued_clients: queued_clients,
         }
     }
 
@@ -52,7 +52,8 @@
         self.listener.local_addr().expect("an address")
     }
 
-    /// Empties the queue: from now on connections come up, those that were dropped once they are tried again.
+    /// Empties the queue: from now on connections open, and dropped ones open when they are
+    /// retransmitted.
     pub fn admit(&mut self) {
         for _ in 0..std::mem::take(&mut self.queued) {
             self.listener.accept().expect("accepts");
--- a/balancer/tests/hollow.rs
+++ b/balancer/tests/hollow.rs
@@ -3,7 +3,7 @@
 
 use balancer::hollow::{AppliedUpdate, HollowBalancer, HollowOptions, RequestOutcome};
 use balancer::process::config::Config;
-use balancer::telemetry::log::Log;
+use balancer::telemetry::log::LogOutput;
 use common::{config, listing, read, PATIENCE};
 use std::collections::BTreeMap;
 use std::future::Future;
@@ -164,7 +164,7 @@
                 discovery: config.discovery,
                 known,
                 seed: number as u64,
-                log: Log::Discard,
+                log: LogOutput::Discard,
             };
             let report = report.clone();
             let on_update = move |update| {
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -5,7 +5,7 @@
 use crate::process::ChildProcess;
 use balancer::hollow::{HollowBalancer, HollowOptions};
 use balancer::process::config::Config;
-use balancer::telemetry::log::Log;
+use balancer::telemetry::log::LogOutput;
 use std::fs;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::Path;
@@ -64,7 +64,7 @@
         discovery: config.discovery,
         known: None,
         seed: config.seed.wrapping_add(u64::from(number)),
-        log: Log::Discard,
+        log: LogOutput::Discard,
     };
     // Discovery's stand-in sees when an update is in force: the balancer then watches for what follows it.
     HollowBalancer::start(options, |_| {})
