--- a/balancer-core/tests/limits.rs
+++ b/balancer-core/tests/limits.rs
@@ -26,7 +26,10 @@
 
 #[test]
 fn edges() {
-    assert_eq!(tenant_limits(0.0, &[3.0, 0.0], &[1.0, 1.0], 0.1), [0.0, 0.0]);
+    assert_eq!(
+        tenant_limits(0.0, &[3.0, 0.0], &[1.0, 1.0], 0.1),
+        [0.0, 0.0]
+    );
     assert_eq!(
         tenant_limits(12.0, &[50.0], &[1.0], 0.1),
         [12.0],
--- a/balancer/src/admin/process_coordinator.rs
+++ b/balancer/src/admin/process_coordinator.rs
@@ -3,7 +3,7 @@
 use crate::admin::override_store::ProcessLock;
 use crate::admin::override_sync::OverrideSync;
 use crate::control::driver::DriverHandle;
-use crate::inbound::server::Phase;
+use crate::inbound::phase::Phase;
 use crate::net::descriptor_budget::DescriptorBudget;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
--- a/balancer/src/admin/server.rs
+++ b/balancer/src/admin/server.rs
@@ -3,7 +3,7 @@
 use crate::admin::override_sync::OverrideSync;
 use crate::admin::response::{to_wire, AdminError, AdminResponse};
 use crate::control::driver::DriverHandle;
-use crate::inbound::server::Phase;
+use crate::inbound::phase::Phase;
 use crate::net::socket_io::Socket;
 use crate::telemetry::metrics::Metrics;
 use balancer_core::Millis;
@@ -141,7 +141,7 @@
     fn metrics(&self) -> AdminResponse {
         let active = self.driver.active_requests();
         let endpoints = self.driver.endpoint_counts();
-        AdminResponse::Metrics(self.metrics.text(active, endpoints))
+        AdminResponse::Metrics(self.metrics.render(active, endpoints))
     }
 
     async fn pause(&self) -> Result<AdminResponse, AdminError> {
--- a/balancer/src/control/control_plane.rs
+++ b/balancer/src/control/control_plane.rs
@@ -6,7 +6,7 @@
 use crate::discovery::endpoints::EndpointUpdate;
 use crate::discovery::watch::{Discovery, DiscoveryOptions, POLL_ACKNOWLEDGE_TIMEOUT};
 use crate::outbound::dispatch::Dispatch;
-use crate::telemetry::log::Log;
+use crate::telemetry::log::LogOutput;
 use balancer_core::{Balancer, Settings, SettingsError};
 use balancer_settings::Deployment;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     /// The newest value is discovery's address.
     pub discovery: watch::Receiver<SocketAddr>,
     /// Receives log lines.
-    pub log: Log,
+    pub log: LogOutput,
 }
 
 /// A control plane whose timers run. The discovery client is still to be started.
--- a/balancer/src/control/driver/event_loop.rs
+++ b/balancer/src/control/driver/event_loop.rs
@@ -80,7 +80,7 @@
             Action::Reject {
                 request,
                 retry_after,
-            } => state.respond(request, FinalResponse::Refused { retry_after }),
+            } => state.respond(request, FinalResponse::Rejected { retry_after }),
             Action::Fail { request } => state.respond(request, FinalResponse::Failed),
             Action::CloseIdleConnections(upstream) => state.close_idle_connections(upstream),
             Action::PollEndpoints => self.0.poll_requested.notify_one(),
@@ -88,7 +88,7 @@
                 state.set_decision_timer(after, token);
                 self.0.timers_changed.notify_one();
             }
-            Action::Log(line) => state.log().line(&line),
+            Action::Log(line) => state.log().write_line(&line),
         }
     }
 
@@ -103,10 +103,10 @@
         let task = tokio::task::spawn_local(async move {
             let connected = || handle.0.state.borrow_mut().attempt_connected(id);
             let response_started = |response| handle.response_started(id, response);
-            let (outcome, response) = dispatch
+            let result = dispatch
                 .attempt(upstream, request, deadline, connected, response_started)
                 .await;
-            handle.attempt_ended(id, outcome, response);
+            handle.attempt_ended(id, result.outcome, result.response);
         });
         task.abort_handle()
     }
--- a/balancer/src/control/driver/submission.rs
+++ b/balancer/src/control/driver/submission.rs
@@ -1,6 +1,7 @@
 //! Submission of requests, and what their clients do afterwards.
 use super::DriverHandle;
-use crate::body::payload::{RequestBody, UploadObserver};
+use crate::body::request_body::RequestBody;
+use crate::body::upload::UploadObserver;
 use crate::control::driver_state::requests::NewRequest;
 use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
 use balancer_core::{Event, Millis, Request, RequestId};
@@ -64,7 +65,7 @@
             request,
         })?;
         let id = submitted.id;
-        if let RequestBody::Upload(upload) = &submitted.request.body {
+        if let RequestBody::Streamed(upload) = &submitted.request.body {
             upload.observe(Box::new(PendingUpload {
                 handle: self.clone(),
                 id,
--- a/balancer/src/control/driver/tests.rs
+++ b/balancer/src/control/driver/tests.rs
@@ -8,7 +8,7 @@
 use crate::outbound::attempt::Transport;
 use crate::outbound::connector::Connector;
 use crate::outbound::dispatch::Dispatch;
-use crate::telemetry::log::Log;
+use crate::telemetry::log::LogOutput;
 use crate::telemetry::metrics::Metrics;
 use crate::test_support::{get_request, FullListener};
 use balancer_core::{Balancer, Class, Endpoint, Idempotency, Settings, UpstreamId};
@@ -49,7 +49,7 @@
         idempotency_by_class: vec![Idempotency::Idempotent],
         rejects_after_start: false,
         guard,
-        log: Log::Discard,
+        log: LogOutput::Discard,
     })
 }
 
--- a/balancer/src/control/driver_options.rs
+++ b/balancer/src/control/driver_options.rs
@@ -2,7 +2,7 @@
 use crate::clock::Clock;
 use crate::control::invariants::Guard;
 use crate::outbound::dispatch::Dispatch;
-use crate::telemetry::log::Log;
+use crate::telemetry::log::LogOutput;
 use balancer_core::{Balancer, Idempotency};
 use std::time::Duration;
 
@@ -25,5 +25,5 @@
     /// Checks the decision module's actions.
     pub guard: Guard,
     /// Receives the decision module's log lines.
-    pub log: Log,
+    pub log: LogOutput,
 }
--- a/balancer/src/control/driver_state.rs
+++ b/balancer/src/control/driver_state.rs
@@ -9,7 +9,7 @@
 use crate::control::timers::TimerQueue;
 use crate::outbound::dispatch::Dispatch;
 use crate::outbound::endpoint_table::EndpointTable;
-use crate::telemetry::log::Log;
+use crate::telemetry::log::LogOutput;
 use balancer_core::{Action, Balancer, Event, Idempotency, Millis};
 use std::collections::VecDeque;
 
@@ -23,7 +23,7 @@
     balancer: Balancer,
     clock: Clock,
     dispatch: Dispatch,
-    log: Log,
+    log: LogOutput,
     guard: Guard,
     idempotency_by_class: Vec<Idempotency>,
     rejects_after_start: bool,
@@ -83,7 +83,7 @@
     }
 
     /// Where log lines go.
-    pub fn log(&self) -> Log {
+    pub fn log(&self) -> LogOutput {
         self.log
     }
 }
--- a/balancer/src/control/driver_state/attempt_lifecycle.rs
+++ b/balancer/src/control/driver_state/attempt_lifecycle.rs
@@ -63,7 +63,7 @@
             request = request.0,
             id = %prepared.request.label(),
             attempt = id.number,
-            upstream = %prepared.upstream.addr.get(),
+            upstream = %prepared.upstream.address(),
             wait_ms = timeout_ms,
             "attempt started"
         );
@@ -110,7 +110,7 @@
 
     /// Closes an idle connection if an attempt to `upstream` needs a descriptor and none is free.
     fn free_descriptor_for(&self, upstream: &Upstream) {
-        if upstream.oldest_idle().is_none() && self.dispatch.sockets_exhausted() {
+        if upstream.oldest_idle_since().is_none() && self.dispatch.sockets_exhausted() {
             self.endpoints.close_oldest_idle();
         }
     }
--- a/balancer/src/control/driver_state/endpoints.rs
+++ b/balancer/src/control/driver_state/endpoints.rs
@@ -6,7 +6,7 @@
 impl DriverState {
     /// Whether any endpoint has ever been listed.
     pub fn has_endpoints(&self) -> bool {
-        self.endpoints.ever_listed()
+        self.endpoints.has_ever_listed()
     }
 
     /// How many endpoints are listed, and how many of them requests avoid now.
@@ -16,7 +16,7 @@
 
     /// Whether an endpoint is listed, or suspended by staff.
     pub fn is_known_upstream(&self, id: UpstreamId) -> bool {
-        self.balancer.is_suspended(id) || self.endpoints.lists(id)
+        self.balancer.is_suspended(id) || self.endpoints.is_listed(id)
     }
 
     /// Staff have suspended an endpoint: nothing more is written to it.
@@ -33,14 +33,14 @@
     pub fn apply_endpoints(&mut self, update: &EndpointUpdate, full: bool) {
         self.endpoints
             .apply(update, full, |id| self.balancer.is_suspended(id));
-        for id in self.endpoints.gone() {
+        for id in self.endpoints.removed() {
             self.forget_endpoint_if_unused(id);
         }
     }
 
     /// Forgets an endpoint that is no longer listed and has no attempt in flight.
     pub(super) fn forget_endpoint_if_unused(&mut self, id: UpstreamId) {
-        if self.endpoints.is_gone(id) && !self.attempts.any_to(id) {
+        if self.endpoints.is_removed(id) && !self.attempts.any_to(id) {
             self.endpoints.forget(id);
         }
     }
@@ -60,7 +60,7 @@
     /// Closes the connections that have been idle for too long.
     pub fn close_expired_connections(&self) {
         if let Some(idle_limit) = self.dispatch.idle_limit() {
-            self.endpoints.sweep(idle_limit);
+            self.endpoints.close_expired(idle_limit);
         }
     }
 }
--- a/balancer/src/control/driver_state/requests.rs
+++ b/balancer/src/control/driver_state/requests.rs
@@ -1,6 +1,6 @@
 //! The driver's pending requests: submission, deadlines and final responses.
 use super::DriverState;
-use crate::body::payload::RequestBody;
+use crate::body::request_body::RequestBody;
 use crate::clock::{from_millis, to_millis};
 use crate::control::attempt_id::AttemptId;
 use crate::control::pending_requests::PendingRequest;
@@ -48,7 +48,7 @@
             .copied()
             .unwrap_or(Idempotency::NonIdempotent);
         let client_timeout = (new.client_timeout - RESPONSE_DELIVERY_MARGIN_MS).max(0.0);
-        let deadline = if matches!(new.request.body, RequestBody::Whole(_)) {
+        let deadline = if matches!(new.request.body, RequestBody::Buffered(_)) {
             (self.now() + client_timeout).min(self.latest_deadline)
         } else {
             f64::INFINITY
--- a/balancer/src/control/pending_requests.rs
+++ b/balancer/src/control/pending_requests.rs
@@ -121,7 +121,7 @@
         let label = self.request.label();
         guard.check_response_time(now - self.deadline, &label);
         match response {
-            FinalResponse::Refused { .. } if !guard.may_reject(&self.history, &label) => {
+            FinalResponse::Rejected { .. } if !guard.may_reject(&self.history, &label) => {
                 FinalResponse::Failed
             }
             response => response,
@@ -154,7 +154,7 @@
 
     /// Marks the request as over, so that no attempt writes it any more.
     fn take_reply(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
-        self.request.over.set(true);
+        self.request.ended.set(true);
         self.reply.take()
     }
 
@@ -185,13 +185,13 @@
     /// Adds a request. Fails if the table is full or the client's id for the request is in use.
     pub fn insert(&mut self, pending: PendingRequest) -> Result<RequestId, SubmitError> {
         if self.by_id.len() >= self.max_requests {
-            return Err(SubmitError::Full);
+            return Err(SubmitError::AtCapacity);
         }
         // Upstreams recognize repeats of a request by the client's id. No other request may use the id while an
         // attempt with it may be in flight.
-        if let Some(client_request_id) = &pending.request.name {
+        if let Some(client_request_id) = &pending.request.request_id {
             if !self.client_request_ids.insert(client_request_id.clone()) {
-                return Err(SubmitError::Known);
+                return Err(SubmitError::DuplicateRequestId);
             }
         }
         let id = self.allocate_id();
@@ -243,7 +243,7 @@
             return;
         }
         let removed = self.by_id.remove(&id);
-        if let Some(name) = removed.and_then(|pending| pending.request.name.clone()) {
+        if let Some(name) = removed.and_then(|pending| pending.request.request_id.clone()) {
             self.client_request_ids.remove(&name);
         }
     }
--- a/balancer/src/discovery/watch.rs
+++ b/balancer/src/discovery/watch.rs
@@ -7,7 +7,7 @@
 use crate::discovery::client::{CallError, DiscoveryClient};
 use crate::discovery::consumer::{CallFailure, EndpointConsumer};
 use crate::discovery::endpoints::{EndpointUpdate, TopologyNames};
-use crate::telemetry::log::Log;
+use crate::telemetry::log::LogOutput;
 use balancer_settings::Deployment;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -42,7 +42,7 @@
     /// The version of the list that the balancer already has, if any.
     pub known_version: Option<u64>,
     /// Receives log lines.
-    pub log: Log,
+    pub log: LogOutput,
 }
 
 /// Keeps the endpoint list up to date: polls when requested and keeps a watch that stands.
@@ -57,7 +57,7 @@
     version: Option<u64>,
     /// The error that was logged last, unless a call has succeeded since.
     logged_error: Option<String>,
-    log: Log,
+    log: LogOutput,
 }
 
 impl Discovery {
@@ -109,7 +109,7 @@
 
     /// Goes over to another address, where the versions of the old one mean nothing.
     fn migrate(&mut self, address: SocketAddr) {
-        self.log.line(&format!("discovery: now at {address}"));
+        self.log.write_line(&format!("discovery: now at {address}"));
         self.client.migrate(address);
         self.version = None;
     }
@@ -192,7 +192,7 @@
         self.client.disconnect();
         let error = error.to_string();
         if self.logged_error.as_ref() != Some(&error) {
-            self.log.line(&format!("discovery: {error}"));
+            self.log.write_line(&format!("discovery: {error}"));
             self.logged_error = Some(error);
         }
     }
--- a/balancer/src/hollow.rs
+++ b/balancer/src/hollow.rs
@@ -2,7 +2,7 @@
 //! Thousands of them run on one thread.
 //!
 //! Each holds one connection to discovery, which counts against the process's limit of file descriptors.
-use crate::body::payload::RequestBody;
+use crate::body::request_body::RequestBody;
 use crate::clock::{to_millis, Clock};
 use crate::control::control_plane::{ControlPlane, ControlPlaneOptions};
 use crate::control::driver::DriverHandle;
@@ -11,7 +11,7 @@
 use crate::discovery::endpoints::EndpointUpdate;
 use crate::outbound::dispatch::Dispatch;
 use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
-use crate::telemetry::log::Log;
+use crate::telemetry::log::LogOutput;
 use crate::telemetry::metrics::Metrics;
 
 use balancer_settings::Deployment;
@@ -37,7 +37,7 @@
     /// Seeds the decision module's random choices.
     pub seed: u64,
     /// Receives log lines.
-    pub log: Log,
+    pub log: LogOutput,
 }
 
 /// An endpoint update that a balancer has put in force.
@@ -126,14 +126,16 @@
             .submit(class, tenant, to_millis(deadline), empty_request());
         let response = match submitted {
             Ok(response) => response.response().await,
-            Err(SubmitError::Full | SubmitError::Known) => return RequestOutcome::Rejected,
+            Err(SubmitError::AtCapacity | SubmitError::DuplicateRequestId) => {
+                return RequestOutcome::Rejected
+            }
         };
         match response {
             FinalResponse::Served { .. } => RequestOutcome::Served,
-            FinalResponse::Refused { .. } => RequestOutcome::Rejected,
-            FinalResponse::Unusable(_) | FinalResponse::Unsent(_) | FinalResponse::Failed => {
-                RequestOutcome::Failed
-            }
+            FinalResponse::Rejected { .. } => RequestOutcome::Rejected,
+            FinalResponse::ClientError(_)
+            | FinalResponse::RequestBodyFailed(_)
+            | FinalResponse::Failed => RequestOutcome::Failed,
         }
     }
 }
@@ -183,12 +185,12 @@
 /// A request that is never written.
 fn empty_request() -> OutboundRequest {
     OutboundRequest {
-        name: None,
+        request_id: None,
         method: Method::GET,
         target: Uri::default(),
         headers: HeaderMap::new(),
-        body: RequestBody::Whole(Bytes::new()),
-        over: Cell::new(false),
+        body: RequestBody::Buffered(Bytes::new()),
+        ended: Cell::new(false),
         client: None,
     }
 }
--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -8,7 +8,8 @@
 use crate::control::driver::DriverHandle;
 use crate::control::invariants::Guard;
 use crate::discovery::endpoints::EndpointUpdate;
-use crate::inbound::server::{Phase, Server};
+use crate::inbound::phase::Phase;
+use crate::inbound::server::Server;
 use crate::net::descriptor_budget::DescriptorBudget;
 use crate::net::retry_io::retry_io;
 use crate::outbound::attempt::Transport;
@@ -21,7 +22,7 @@
 use crate::process::shutdown::Shutdown;
 use crate::process::shutdown_schedule::ShutdownSchedule;
 use crate::process::signals::Signals;
-use crate::telemetry::log::{start_events, Log};
+use crate::telemetry::log::{start_events, LogOutput};
 use crate::telemetry::metrics::Metrics;
 use balancer_core::{Millis, SettingsError};
 use balancer_settings::Deployment;
@@ -206,7 +207,7 @@
         guard: parts.guard.clone(),
         known: cached_snapshot,
         discovery: discovery_addresses,
-        log: Log::StandardError,
+        log: LogOutput::StandardError,
     })
 }
 
