--- a/balancer-core/src/policy.rs
+++ b/balancer-core/src/policy.rs
@@ -141,6 +141,7 @@
         }
     }
 
+    /// Sets the first timer, and polls the endpoint list if it is not pushed.
     fn start(&mut self, actions: &mut Vec<Action>) {
         let fraction = MIN_FIRST_CYCLE + (1.0 - MIN_FIRST_CYCLE) * self.random.fraction();
         actions.push(Action::SetTimer {
@@ -221,6 +222,7 @@
             .record_load(self.endpoints.admissible_load(now));
     }
 
+    /// Ends an admission cycle: recomputes capacity, limits and the subset of endpoints.
     fn end_cycle(&mut self, now: Millis, actions: &mut Vec<Action>) {
         self.record_overdue_requests(now);
         self.admission
--- a/balancer-core/src/policy/admission.rs
+++ b/balancer-core/src/policy/admission.rs
@@ -150,6 +150,7 @@
         true
     }
 
+    /// Ends a cycle: learns demand and capacity, and computes the limits of the next cycle.
     pub(super) fn end_cycle(&mut self, now: Millis) {
         // A cycle that a new tenant ended early counts by the part of it that passed.
         let elapsed_cycles = ((now - self.cycle_started_at) / ADMISSION_CYCLE).clamp(0.0, 1.0);
--- a/balancer-core/src/policy/attempts.rs
+++ b/balancer-core/src/policy/attempts.rs
@@ -63,6 +63,7 @@
         true
     }
 
+    /// Picks the endpoint of the next attempt; `None` if no attempt is allowed or no endpoint is usable.
     fn pick_endpoint(&mut self, now: Millis, id: RequestId) -> Option<usize> {
         let pending = self.pending.get(&id)?;
         if !pending.has_remaining_attempts(self.settings.max_attempts)
@@ -88,12 +89,7 @@
             is_last_resort: true,
             ..usual
         };
-        let local_fraction = self.endpoints.local_fraction();
-        let [first, second] = if self.admission.exceeds_local_quota(local_fraction) {
-            [ZoneChoice::Other, ZoneChoice::Preferred]
-        } else {
-            [ZoneChoice::Preferred, ZoneChoice::Other]
-        };
+        let [first, second] = self.zone_choices();
         let picks = [
             (first, usual),
             (second, usual),
@@ -105,6 +101,16 @@
         })
     }
 
+    /// The zones to pick from, in order.
+    fn zone_choices(&self) -> [ZoneChoice; 2] {
+        let local_fraction = self.endpoints.local_fraction();
+        if self.admission.exceeds_local_quota(local_fraction) {
+            [ZoneChoice::Other, ZoneChoice::Preferred]
+        } else {
+            [ZoneChoice::Preferred, ZoneChoice::Other]
+        }
+    }
+
     fn retry_rule(&self, pending: &PendingRequest, now: Millis) -> RetryRule {
         let Some(first_run) = pending.first_run() else {
             return RetryRule::Anywhere;
@@ -173,6 +179,8 @@
         pending.expires_at() - now
     }
 
+    /// Records the end of an attempt. After the last one in flight, retries the request or gives its final
+    /// response.
     pub(super) fn handle_attempt_ended(
         &mut self,
         now: Millis,
@@ -213,6 +221,7 @@
         self.reject_or_fail(end.request, actions);
     }
 
+    /// Records what an outcome shows of the endpoint, its connections and the tier's capacity.
     fn record_attempt_outcome(
         &mut self,
         attempt: &Attempt,
--- a/balancer-core/src/policy/capacity.rs
+++ b/balancer-core/src/policy/capacity.rs
@@ -39,7 +39,7 @@
 const SPARE_INFLIGHT: f64 = 1.0;
 /// Requests in flight always allowed: a replica with little traffic receives them in pairs by chance.
 const MIN_INFLIGHT: f64 = 2.0;
-/// Latency, as a multiple of the unloaded one, for which the soft limit leaves room. More means a queue, and
+/// Latency, as a multiple of the unloaded one, that the soft limit allows for. More means a queue, and
 /// overloaded endpoints stay slow for long.
 const SOFT_LATENCY_MULTIPLE: f64 = 1.6;
 /// The same for the soft limit where many replicas share the first tier.
@@ -186,8 +186,8 @@
         self.is_first_tier && local_inflight >= even_inflight.max(MIN_INFLIGHT)
     }
 
-    /// Requests per cycle that this replica sends all endpoints. Rejections of an overload do not reduce it
-    /// below the stated quotas.
+    /// Requests per cycle that this replica sends to all endpoints: the mean of the admitted ones, but no more
+    /// than the stated quotas.
     pub(super) fn sent_per_cycle(&self, ready_fraction: f64) -> f64 {
         let stated = if self.is_first_tier {
             self.quota * ready_fraction
@@ -265,6 +265,7 @@
         }
     }
 
+    /// Changes capacity by the latency of the cycle's responses.
     fn adapt(&mut self, admitted: f64) {
         let responses = std::mem::take(&mut self.responses);
         let mean = responses.latency_ratio_sum / responses.count;
--- a/balancer-core/src/policy/endpoints.rs
+++ b/balancer-core/src/policy/endpoints.rs
@@ -197,7 +197,7 @@
         }
     }
 
-    /// An endpoint rejected a request while the endpoint list was stale: avoid it until discovery answers.
+    /// An endpoint rejected a request while the endpoint list was stale: avoid it until discovery responds.
     pub(super) fn mark_may_be_draining(&mut self, index: usize) {
         self.slots[index].may_be_draining = true;
     }
--- a/balancer-core/src/policy/endpoints/picker.rs
+++ b/balancer-core/src/policy/endpoints/picker.rs
@@ -19,7 +19,7 @@
     pub(crate) class: usize,
     /// Requests per millisecond that this replica sends each endpoint with full capacity.
     pub(crate) even_rate: f64,
-    /// The endpoint of the previous attempt.
+    /// The endpoint of the previous attempt, which is not picked again.
     pub(crate) previous: Option<usize>,
     /// Whether ejected and unresponsive endpoints are acceptable; overloaded ones are not.
     pub(crate) is_last_resort: bool,
--- a/balancer-core/src/policy/endpoints/slow_start.rs
+++ b/balancer-core/src/policy/endpoints/slow_start.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Adds the tokens gained at `rate` per millisecond since the last call, and tells whether one is
+    /// Adds the tokens gained at `rate` per millisecond since the last call, and returns whether one is
     /// available. Unused tokens expire, so that they cannot all be used at once: at most one is kept, and
     /// that only for `window`.
     pub(super) fn refill(&mut self, rate: f64, window: Millis, now: Millis) -> bool {
--- a/balancer-core/src/policy/requests.rs
+++ b/balancer-core/src/policy/requests.rs
@@ -13,6 +13,7 @@
 const MIN_RETRY_AFTER_CYCLES: f64 = 0.5;
 
 impl Balancer {
+    /// Admits a request and sends its first attempt, or rejects it.
     pub(super) fn handle_request(
         &mut self,
         now: Millis,
@@ -40,6 +41,7 @@
         }
     }
 
+    /// Starts the time of a streamed request, and expects responses to its attempts from now on.
     pub(super) fn handle_body_complete(&mut self, now: Millis, id: RequestId, deadline: Millis) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
@@ -67,6 +69,7 @@
         }
     }
 
+    /// Prevents retries: the client receives this response.
     pub(super) fn handle_response_started(&mut self, now: Millis, id: RequestId, number: u32) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
--- a/balancer-core/src/policy/tenant_limits.rs
+++ b/balancer-core/src/policy/tenant_limits.rs
@@ -2,7 +2,7 @@
 
 /// The limit of each tenant for the next cycle, from its demand in the last one.
 ///
-/// Each tenant has a default limit by its weight. What a tenant does not use of it is lent to the others, but
+/// Each tenant has a default limit by its weight. What a tenant does not use of it is lent to the others, except
 /// for the fraction `reservation`. Limits are not negative, and their sum is at most `capacity`, up to
 /// rounding.
 pub fn tenant_limits(
