--- /dev/null
+++ b/balancer-core/tests/capacity.rs
@@ -0,0 +1,112 @@
+//! Learned capacity: how it follows latency and the number of endpoints.
+mod common;
+
+use balancer_core::{
+    Action, AttemptOutcome, Class, EndpointEvent, Idempotency, Settings, UpstreamId,
+};
+use common::{
+    class_with_late_value, draining, endpoints, no_response, outcome_after, settings_for_tenants,
+    settings_with_late_value, success_after, Response, TestHarness,
+};
+
+/// Guards against a slow recovery of capacity, caused by old latencies.
+#[test]
+fn capacity_recovers_soon_after_an_overload() {
+    let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 4);
+    harness.run_traffic(5000.0, 60.0, &[0], &success_after(50.0));
+    harness.run_traffic(8000.0, 60.0, &[0], &success_after(900.0));
+    harness.run_traffic(6000.0, 60.0, &[0], &success_after(50.0));
+    let from = harness.now;
+    harness.run_traffic(2000.0, 60.0, &[0], &success_after(50.0));
+    let sent = harness.sent_since(from).requests;
+    assert!(
+        sent > 100,
+        "{sent} of 120 admitted six seconds after the overload"
+    );
+}
+
+/// Guards against responses slower than a cycle that are not counted.
+#[test]
+fn responses_slower_than_a_cycle_reduce_capacity() {
+    let class = Class {
+        objective: 1000.0,
+        deadline: 3000.0,
+        ..class_with_late_value(Idempotency::Idempotent)
+    };
+    let settings = Settings {
+        classes: vec![class],
+        ..settings_for_tenants(&[1.0])
+    };
+    let mut harness = TestHarness::with_endpoints(settings, 8);
+    let upstream = |id: UpstreamId| {
+        let duration = if id.0 < 4 { 60.0 } else { 1400.0 };
+        Some(Response::success(duration))
+    };
+    harness.run_traffic(10_000.0, 120.0, &[0], &upstream);
+    let sent = harness.sent_since(5000.0).requests;
+    assert!(
+        sent < 450,
+        "{sent} of 600 admitted, though many responses are late; the quotas are 300"
+    );
+}
+
+/// Guards against a minimum capacity that stays at the stated quotas when half of a tier is gone.
+#[test]
+fn minimum_capacity_follows_the_ready_endpoints() {
+    let sent_with_ready = |ready: u64| {
+        let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 8);
+        harness.update_endpoints(EndpointEvent::Snapshot(endpoints(ready)));
+        harness.run_traffic(10_000.0, 120.0, &[0], &success_after(420.0));
+        harness.sent_since(5000.0).requests
+    };
+    let all = sent_with_ready(8);
+    let half = sent_with_ready(4);
+    assert!(
+        half * 3 < all * 2,
+        "{half} sent to half of the endpoints, {all} to all"
+    );
+}
+
+/// Guards against a reduction only by late responses, when the remaining endpoint is already overloaded.
+#[test]
+fn capacity_decreases_at_once_when_endpoints_drain() {
+    let burst = |drained: &[u64]| {
+        let settings = settings_with_late_value(Idempotency::NonIdempotent);
+        let mut harness = TestHarness::with_endpoints(settings, 4);
+        harness.run_traffic(5000.0, 60.0, &[0], &success_after(150.0));
+        harness.advance(1000.0);
+        let drained = drained.iter().map(|&id| draining(id)).collect();
+        harness.update_endpoints(EndpointEvent::Delta(drained));
+        let from = harness.now;
+        harness.run_traffic(900.0, 100.0, &[0], &no_response);
+        harness.sent_since(from).requests
+    };
+    let four_endpoints = burst(&[]);
+    let one_endpoint = burst(&[2, 3, 4]);
+    assert!(
+        one_endpoint > 2 && one_endpoint * 2 < four_endpoints,
+        "{four_endpoints} requests in flight to four endpoints, {one_endpoint} to one"
+    );
+}
+
+/// Guards against failures of all endpoints that are blamed on each one, and do not reduce capacity.
+#[test]
+fn shared_failures_reduce_capacity_below_the_quotas() {
+    let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 6);
+    let failing = outcome_after(AttemptOutcome::Error, 5.0);
+    harness.run_traffic(5000.0, 60.0, &[0], &success_after(50.0));
+    harness.run_traffic(10_000.0, 60.0, &[0], &failing);
+    let from = harness.now;
+    harness.run_traffic(5000.0, 60.0, &[0], &failing);
+    let sent = harness.sent_since(from).requests;
+    assert!(
+        sent < 150,
+        "{sent} of 300 requests sent while nearly all fail"
+    );
+    assert!(sent > 0, "some are sent to learn from");
+    let lines = harness.count_actions(|action| matches!(action, Action::Log(_)));
+    assert!(
+        (1..=3).contains(&lines),
+        "a change of state is logged once: {lines} lines"
+    );
+}
--- a/balancer-core/tests/classes.rs
+++ b/balancer-core/tests/classes.rs
@@ -1,13 +1,15 @@
-//! Classes of unlike work in one tier: what is usual for one must not be held against another.
+//! Classes with different latencies in one tier.
 mod common;
-use balancer_core::*;
-use common::*;
+
+use balancer_core::{AttemptOutcome, Class, Idempotency, RequestId, Settings};
+use common::{class, endpoints, tenants, RequestRecord, TestHarness};
+use std::collections::BTreeMap;
 
 const LIGHT: usize = 0;
 const HEAVY: usize = 1;
 
-/// A tier in which a light class with a short objective shares upstreams with a heavy one, both of which may be repeated.
-fn tier(quota_per_s: f64) -> World {
+/// A tier in which a light class with a short objective shares endpoints with a heavy one. Both are idempotent.
+fn harness_with_two_classes(quota_per_s: f64) -> TestHarness {
     let class = |objective, deadline| Class {
         objective,
         deadline,
@@ -20,87 +22,141 @@
         cancel: true,
         ..Settings::default()
     };
-    World::new(settings, 4, (1..=12).map(member).collect())
+    TestHarness::new(settings, 4, endpoints(12))
+}
+
+/// Requests of one class, and how many of them succeeded.
+#[derive(Debug)]
+struct Served {
+    requests: usize,
+    succeeded: usize,
+}
+
+struct ScheduledResponse {
+    at: f64,
+    request: u32,
+    attempt: usize,
+}
+
+/// Schedules responses to attempts as they are sent.
+struct ResponseSchedule<F> {
+    /// Latency by class and number of the attempt over all requests; `None`: no response.
+    latency: F,
+    scheduled: Vec<ScheduledResponse>,
+    attempts_by_request: BTreeMap<RequestId, usize>,
+    attempts: usize,
+}
+
+impl<F: Fn(usize, usize) -> Option<f64>> ResponseSchedule<F> {
+    /// Schedules responses to the attempts sent since the last call.
+    fn add_new_attempts(&mut self, harness: &TestHarness) {
+        for (&id, record) in &harness.requests {
+            let known = self.attempts_by_request.entry(id).or_insert(0);
+            let new_attempts = *known..record.attempts.len();
+            *known = record.attempts.len();
+            for attempt in new_attempts {
+                self.attempts += 1;
+                if let Some(latency) = (self.latency)(record.class, self.attempts) {
+                    self.scheduled.push(ScheduledResponse {
+                        at: record.attempts[attempt].sent_at + latency,
+                        request: id.0,
+                        attempt,
+                    });
+                }
+            }
+        }
+    }
+
+    /// Removes and returns the first response, if it is due by `until`.
+    fn pop_due(&mut self, until: f64) -> Option<ScheduledResponse> {
+        let first = (0..self.scheduled.len())
+            .min_by(|&a, &b| self.scheduled[a].at.total_cmp(&self.scheduled[b].at))?;
+        (self.scheduled[first].at <= until).then(|| self.scheduled.swap_remove(first))
+    }
 }
 
-/// Plays so many milliseconds at `per_s` requests a second, one in fifteen of them heavy. Each attempt of a class is
-/// answered after the time that `takes` says, if it says one. Tells how many of each class came and were answered.
-fn play(
-    w: &mut World,
+/// Sends `per_s` requests per second for `span`, one in fifteen of them heavy. Returns what happened to the light
+/// and the heavy ones; requests of the last three seconds do not count, because they need time to succeed.
+fn run_mixed_traffic(
+    harness: &mut TestHarness,
     span: f64,
     per_s: f64,
-    takes: impl Fn(usize, usize) -> Option<f64>,
-) -> [(usize, usize); 2] {
-    let (mut due, mut tried, mut attempts) = (Vec::new(), std::collections::BTreeMap::new(), 0);
-    let (until, first) = (
-        w.now + span,
-        w.seen.last_key_value().map_or(0, |(id, _)| id.0 + 1),
-    );
-    let mut next = w.now;
-    while w.now < until {
-        let id = w.seen.last_key_value().map_or(0, |(id, _)| id.0 + 1);
-        w.request(id, if id.is_multiple_of(15) { HEAVY } else { LIGHT }, 0);
+    latency: impl Fn(usize, usize) -> Option<f64>,
+) -> [Served; 2] {
+    let mut schedule = ResponseSchedule {
+        latency,
+        scheduled: Vec::new(),
+        attempts_by_request: BTreeMap::new(),
+        attempts: 0,
+    };
+    let until = harness.now + span;
+    let first_id = harness.next_request_id();
+    let mut next = harness.now;
+    while harness.now < until {
+        let id = harness.next_request_id();
+        let class = if id.is_multiple_of(15) { HEAVY } else { LIGHT };
+        harness.send_request(id, class, 0);
         next += 1000.0 / per_s;
-        loop {
-            // Attempts that have begun since the last look.
-            for (&RequestId(id), s) in &w.seen {
-                let seen = tried.entry(id).or_insert(0);
-                for n in std::mem::replace(seen, s.sends.len())..s.sends.len() {
-                    attempts += 1;
-                    due.extend(takes(s.class, attempts).map(|took| (s.sends[n].1 + took, id, n)));
-                }
-            }
-            let soonest = due
-                .iter()
-                .enumerate()
-                .min_by(|a, b| a.1 .0.total_cmp(&b.1 .0))
-                .map(|(i, _)| i);
-            let Some(i) = soonest.filter(|&i| due[i].0 <= next) else {
-                break;
-            };
-            let (at, id, n) = due.swap_remove(i);
-            w.pass((at - w.now).max(0.0));
-            if w.seen[&RequestId(id)].ended[n].is_none() {
-                w.outcome(id, n, AttemptOutcome::Success);
+        schedule.add_new_attempts(harness);
+        while let Some(response) = schedule.pop_due(next) {
+            harness.advance((response.at - harness.now).max(0.0));
+            let record = harness.request(response.request);
+            if record.attempts[response.attempt].outcome.is_none() {
+                harness.end_attempt(response.request, response.attempt, AttemptOutcome::Success);
             }
+            schedule.add_new_attempts(harness);
         }
-        w.pass((next - w.now).max(0.0));
+        harness.advance((next - harness.now).max(0.0));
     }
-    [LIGHT, HEAVY].map(|class| {
-        // Those that had time enough.
-        let all = w.seen.range(RequestId(first)..).map(|(_, s)| s);
-        let all = all.filter(|s| {
-            s.class == class && s.deadline - w.settings.classes[class].deadline < until - 3000.0
-        });
-        let (came, served) = all.fold((0, 0), |(came, served), s| {
-            (
-                came + 1,
-                served + usize::from(s.ended.contains(&Some(AttemptOutcome::Success))),
-            )
-        });
-        (came, served)
-    })
+    [LIGHT, HEAVY].map(|class| served(harness, class, first_id, until - 3000.0))
 }
 
-/// One answer in thirty gets lost: what is asked again for that must leave heavy calls the time that they take.
+/// What happened to the requests of a class from `first_id` on that were sent before `sent_before`.
+fn served(harness: &TestHarness, class: usize, first_id: u32, sent_before: f64) -> Served {
+    let deadline = harness.settings.classes[class].deadline;
+    let requests: Vec<&RequestRecord> = harness
+        .requests
+        .range(RequestId(first_id)..)
+        .map(|(_, record)| record)
+        .filter(|record| record.class == class && record.deadline - deadline < sent_before)
+        .collect();
+    Served {
+        requests: requests.len(),
+        succeeded: requests.iter().filter(|record| record.succeeded()).count(),
+    }
+}
+
+/// One response in thirty is lost: timeouts for retries must allow heavy requests their usual latency.
 #[test]
-fn heavy_calls_are_not_cut_off_at_the_time_that_light_ones_take() {
-    let mut w = tier(100.0);
-    let takes = |class, attempt: usize| {
-        let took = if class == HEAVY { 3000.0 } else { 20.0 };
-        (!attempt.is_multiple_of(30)).then_some(took)
+fn heavy_requests_do_not_time_out_at_the_latency_of_light_ones() {
+    let mut harness = harness_with_two_classes(100.0);
+    let latency = |class, attempt: usize| {
+        let latency = if class == HEAVY { 3000.0 } else { 20.0 };
+        (!attempt.is_multiple_of(30)).then_some(latency)
     };
-    let [light, heavy] = play(&mut w, 20_000.0, 40.0, takes);
-    assert!(light.1 * 10 >= light.0 * 9, "light: {light:?}");
-    assert!(heavy.1 * 10 >= heavy.0 * 9, "heavy: {heavy:?}");
+    let [light, heavy] = run_mixed_traffic(&mut harness, 20_000.0, 40.0, latency);
+    assert!(
+        light.succeeded * 10 >= light.requests * 9,
+        "light: {light:?}"
+    );
+    assert!(
+        heavy.succeeded * 10 >= heavy.requests * 9,
+        "heavy: {heavy:?}"
+    );
 }
 
-/// And where none is lost, upstreams that work on heavy calls are no crowded ones.
+/// Endpoints with heavy requests in flight are not overloaded.
 #[test]
-fn upstreams_that_work_on_heavy_calls_go_on_taking_light_ones() {
-    let mut w = tier(100.0);
-    let takes = |class, _| Some(if class == HEAVY { 2500.0 } else { 20.0 });
-    let [light, heavy] = play(&mut w, 20_000.0, 60.0, takes);
-    assert!(light.1 * 20 >= light.0 * 19, "light: {light:?}");
-    assert!(heavy.1 * 20 >= heavy.0 * 19, "heavy: {heavy:?}");
+fn endpoints_with_heavy_requests_receive_light_ones() {
+    let mut harness = harness_with_two_classes(100.0);
+    let latency = |class, _| Some(if class == HEAVY { 2500.0 } else { 20.0 });
+    let [light, heavy] = run_mixed_traffic(&mut harness, 20_000.0, 60.0, latency);
+    assert!(
+        light.succeeded * 20 >= light.requests * 19,
+        "light: {light:?}"
+    );
+    assert!(
+        heavy.succeeded * 20 >= heavy.requests * 19,
+        "heavy: {heavy:?}"
+    );
 }
--- /dev/null
+++ b/balancer-core/tests/common/checker.rs
@@ -0,0 +1,155 @@
+//! The rules that every action must keep.
+use super::harness::{AttemptRecord, RequestRecord, TestHarness};
+use balancer_core::{
+    Action, AttemptOutcome, Availability, Class, DedupScope, Endpoint, Idempotency, RequestId,
+    UpstreamId,
+};
+
+impl TestHarness {
+    /// Checks an action, and records its effect on requests and timers.
+    pub(super) fn check(&mut self, action: &Action) {
+        match action {
+            Action::Send {
+                request,
+                upstream,
+                timeout,
+            } => self.check_send(*request, *upstream, *timeout),
+            Action::Reject { request, .. } => {
+                self.check_rejection(*request);
+                self.complete(*request);
+            }
+            Action::Fail { request } => self.complete(*request),
+            Action::Cancel { request, attempt } => {
+                let sent = self.requests[request].attempts.len();
+                assert!(self.settings.cancel && (*attempt as usize) < sent);
+            }
+            Action::SetTimer { after, token } => self.timers.push((self.now + after, *token)),
+            Action::PollEndpoints => assert!(self.settings.poll_endpoints, "the list is pushed"),
+            Action::CloseIdleConnections(_) | Action::Log(_) => {}
+        }
+    }
+
+    fn check_send(&mut self, request: RequestId, upstream: UpstreamId, timeout: f64) {
+        let endpoint = &self.listed[&upstream];
+        let record = &self.requests[&request];
+        let class = &self.settings.classes[record.class];
+        self.check_endpoint(request, class, endpoint);
+        assert!(
+            !record.is_completed,
+            "{request:?} sent after its final response"
+        );
+        assert!(
+            self.now < record.deadline,
+            "{request:?} sent after its deadline"
+        );
+        assert!(
+            record.attempts.len() < self.settings.max_attempts as usize,
+            "{request:?}: too many attempts"
+        );
+        assert!(
+            !record.has_attempt_in_flight(),
+            "{request:?}: two attempts in flight"
+        );
+        if let Some(first_run) = self.first_that_may_have_run(record) {
+            self.check_retry(request, class, endpoint, first_run);
+        }
+        assert!(timeout >= 0.0, "{request:?} has a negative timeout");
+        let sent_at = self.now;
+        let record = self.requests.get_mut(&request).expect("a known request");
+        let times_out_at = if timeout > 0.0 {
+            record.deadline.min(sent_at + timeout)
+        } else {
+            record.deadline
+        };
+        record.attempts.push(AttemptRecord {
+            upstream,
+            sent_at,
+            times_out_at,
+            outcome: None,
+        });
+    }
+
+    fn check_endpoint(&self, request: RequestId, class: &Class, endpoint: &Endpoint) {
+        assert_eq!(
+            endpoint.availability,
+            Availability::Ready,
+            "{request:?} sent to {endpoint:?}"
+        );
+        assert!(
+            !self.suspended.contains(&endpoint.id),
+            "{request:?} sent to {endpoint:?}, which is suspended"
+        );
+        let zones = class.allowed_zones.as_ref();
+        assert!(
+            zones.is_none_or(|zones| zones.contains(&endpoint.zone)),
+            "{request:?} sent to the zone of {endpoint:?}"
+        );
+        let kinds = class.allowed_kinds.as_ref();
+        assert!(
+            kinds.is_none_or(|kinds| kinds.contains(&endpoint.kind)),
+            "{request:?} sent to the kind of {endpoint:?}"
+        );
+    }
+
+    fn check_retry(
+        &self,
+        request: RequestId,
+        class: &Class,
+        endpoint: &Endpoint,
+        first_run: &AttemptRecord,
+    ) {
+        match class.idempotency {
+            Idempotency::Idempotent => {}
+            Idempotency::NonIdempotent => panic!("{request:?} may run twice"),
+            Idempotency::IdempotencyKey { scope, window } => {
+                let first = &self.listed[&first_run.upstream];
+                assert!(
+                    self.now < first_run.sent_at + window,
+                    "{request:?} retried after the window"
+                );
+                assert!(match scope {
+                    DedupScope::All => true,
+                    DedupScope::Zone => first.zone == endpoint.zone,
+                    DedupScope::Group => first.group == endpoint.group,
+                });
+            }
+        }
+    }
+
+    fn check_rejection(&self, request: RequestId) {
+        let record = &self.requests[&request];
+        let is_safe_to_retry = match self.settings.classes[record.class].idempotency {
+            Idempotency::Idempotent
+            | Idempotency::IdempotencyKey {
+                scope: DedupScope::All,
+                ..
+            } => true,
+            _ => self.first_that_may_have_run(record).is_none(),
+        };
+        assert!(
+            is_safe_to_retry,
+            "{request:?} rejected although it may have run"
+        );
+    }
+
+    fn complete(&mut self, request: RequestId) {
+        let record = self.requests.get_mut(&request).expect("a known request");
+        assert!(!record.is_completed, "{request:?} has two final responses");
+        record.is_completed = true;
+    }
+
+    fn first_that_may_have_run<'a>(&self, record: &'a RequestRecord) -> Option<&'a AttemptRecord> {
+        record
+            .attempts
+            .iter()
+            .find(|attempt| !self.proves_never_ran(attempt.outcome))
+    }
+
+    fn proves_never_ran(&self, outcome: Option<AttemptOutcome>) -> bool {
+        match outcome {
+            Some(AttemptOutcome::Rejected) => !self.settings.rejects_after_start,
+            Some(AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent) => true,
+            _ => false,
+        }
+    }
+}
--- /dev/null
+++ b/balancer-core/tests/endpoint_choice.rs
@@ -0,0 +1,165 @@
+//! Which endpoints a replica uses: zones, the subset and the pick of one endpoint.
+mod common;
+
+use balancer_core::{Endpoint, EndpointEvent, Settings, UpstreamId};
+use common::{
+    endpoint, endpoints, settings_for_tenants, success_after, tenants, Response, SentSummary,
+    TestHarness,
+};
+use std::collections::BTreeMap;
+
+/// An endpoint of one of so many zones.
+fn endpoint_in_zone(id: u64, zones: u64) -> Endpoint {
+    Endpoint {
+        zone: (id % zones) as u16,
+        ..endpoint(id)
+    }
+}
+
+#[test]
+fn other_zones_are_used_only_if_the_own_zone_has_no_usable_endpoint() {
+    let settings = Settings {
+        cross_zone_price: 0.2,
+        ..settings_for_tenants(&[1.0])
+    };
+    let list = (1..=12).map(|id| endpoint_in_zone(id, 2)).collect();
+    let mut harness = TestHarness::new(settings, 4, list);
+    harness.run_traffic(10_000.0, 40.0, &[0], &success_after(50.0));
+    let sent = harness.sent_since(0.0);
+    assert!(
+        sent.by_upstream.keys().all(|id| id.0 % 2 == 0),
+        "crossings have a price: {:?}",
+        sent.by_upstream
+    );
+    let other_zone = (1..=12)
+        .filter(|id| id % 2 == 1)
+        .map(|id| endpoint_in_zone(id, 2))
+        .collect();
+    harness.update_endpoints(EndpointEvent::Snapshot(other_zone));
+    let from = harness.now;
+    harness.run_traffic(2000.0, 40.0, &[0], &success_after(50.0));
+    assert!(
+        harness.sent_since(from).requests > 60,
+        "the other zone serves if the own zone has no endpoint"
+    );
+}
+
+/// Guards against an overloaded zone next to idle ones, when clients move to one zone.
+#[test]
+fn requests_beyond_the_capacity_of_the_own_zone_go_to_other_zones() {
+    let settings = Settings {
+        cross_zone_price: 0.03,
+        balancers: 9,
+        tenants: tenants(&[1.0], 900.0),
+        ..settings_for_tenants(&[1.0])
+    };
+    let list = (1..=36).map(|id| endpoint_in_zone(id, 3)).collect();
+    let mut harness = TestHarness::new(settings, 4, list);
+    let in_own_zone = |sent: &SentSummary| sent.attempts_where(|id| id % 3 == 0);
+    // Less than an even part of the quotas, 100 per second.
+    harness.run_traffic(6000.0, 60.0, &[0], &success_after(120.0));
+    let sent = harness.sent_since(2000.0);
+    let own = in_own_zone(&sent);
+    let all = sent.attempts();
+    assert!(
+        own * 20 >= all * 19,
+        "crossings have a price: {own} of {all} in the own zone"
+    );
+    let from = harness.now;
+    harness.run_traffic(6000.0, 300.0, &[0], &success_after(120.0));
+    let sent = harness.sent_since(from + 4000.0);
+    let own = in_own_zone(&sent);
+    let all = sent.attempts();
+    assert!(
+        (160..=320).contains(&own),
+        "{own} in the own zone in 2 s, of {all}"
+    );
+    assert!(all > 540, "{all} of 600 sent");
+}
+
+/// Guards against slow endpoints that receive as much as fast ones from replicas with few requests in flight.
+#[test]
+fn of_two_equally_busy_endpoints_the_faster_one_is_picked() {
+    let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 6);
+    let is_slow = |id: u64| id.is_multiple_of(2);
+    let upstream = |id: UpstreamId| {
+        let duration = if is_slow(id.0) { 60.0 } else { 15.0 };
+        Some(Response::success(duration))
+    };
+    harness.run_traffic(20_000.0, 20.0, &[0], &upstream);
+    let sent = harness.sent_since(5000.0);
+    let requests = sent.requests;
+    let to_slow = sent.attempts_where(is_slow);
+    assert!(
+        to_slow * 3 < requests,
+        "{to_slow} of {requests} sent to the slow endpoints"
+    );
+    assert!(
+        to_slow > 0,
+        "learned latency fades, and slow endpoints are used again"
+    );
+}
+
+/// Guards against a comparison of zeros that always picks the same few endpoints.
+#[test]
+fn replica_with_little_traffic_uses_all_endpoints() {
+    let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 5);
+    harness.run_traffic(60_000.0, 1.0, &[0], &success_after(50.0));
+    let sent = harness.sent_since(0.0);
+    assert!(
+        sent.by_upstream.len() == 5 && sent.max_attempts() * 3 < sent.requests,
+        "{:?}",
+        sent.by_upstream
+    );
+}
+
+/// Each replica uses a stable subset that its traffic keeps connected; otherwise connections grow as replicas
+/// times endpoints.
+#[test]
+fn subset_follows_traffic_and_is_balanced_between_replicas() {
+    let mut replicas_by_upstream = BTreeMap::new();
+    for index in 0..20 {
+        let settings = Settings {
+            index,
+            balancers: 20,
+            ..settings_for_tenants(&[1.0])
+        };
+        let mut harness = TestHarness::new(settings, u64::from(index), endpoints(40));
+        harness.run_traffic(12_000.0, 8.0, &[0], &success_after(50.0));
+        let used = harness.sent_since(6000.0).by_upstream;
+        assert!(
+            (5..=14).contains(&used.len()),
+            "replica {index} used {} endpoints",
+            used.len()
+        );
+        for id in used.keys() {
+            *replicas_by_upstream.entry(*id).or_insert(0) += 1;
+        }
+    }
+    let used = replicas_by_upstream.len();
+    let most = replicas_by_upstream.values().max().copied().unwrap_or(0);
+    assert!(
+        used == 40 && most <= 7,
+        "{most} replicas on one endpoint, {used} used"
+    );
+}
+
+/// Guards against many replicas with little traffic that each keep connections to most endpoints, and exhaust
+/// the connection limits of the tier.
+#[test]
+fn replica_with_little_traffic_keeps_few_connections_from_the_start() {
+    let settings = Settings {
+        balancers: 20,
+        idle_close: 30_000.0,
+        ..settings_for_tenants(&[1.0])
+    };
+    let mut harness = TestHarness::with_endpoints(settings, 100);
+    harness.run_traffic(20_000.0, 3.0, &[0], &success_after(200.0));
+    let sent = harness.sent_since(0.0);
+    let used = sent.by_upstream.len();
+    assert!(
+        sent.requests > 40 && used <= 10,
+        "{} requests used {used} endpoints",
+        sent.requests
+    );
+}
--- /dev/null
+++ b/balancer-core/tests/retries.rs
@@ -0,0 +1,242 @@
+//! When and where requests are retried, and when they end.
+mod common;
+
+use balancer_core::{
+    Action, AttemptOutcome, Class, DedupScope, Endpoint, Idempotency, Settings, UpstreamId,
+};
+use common::{
+    class, endpoint, endpoints, outcome_after, settings_for_tenants, settings_with_late_value,
+    settings_without_tenants, Response, TestHarness,
+};
+
+fn idempotency_key(scope: DedupScope) -> Idempotency {
+    Idempotency::IdempotencyKey {
+        scope,
+        window: 700.0,
+    }
+}
+
+fn endpoint_of_group(id: u64, group: u16) -> Endpoint {
+    Endpoint {
+        group,
+        ..endpoint(id)
+    }
+}
+
+fn is_sent(actions: &[Action]) -> bool {
+    matches!(actions, [Action::Send { .. }])
+}
+
+fn is_failed(actions: &[Action]) -> bool {
+    matches!(actions, [Action::Fail { .. }])
+}
+
+fn is_rejected(actions: &[Action]) -> bool {
+    matches!(actions, [Action::Reject { .. }])
+}
+
+/// Guards against attempts that use capacity in every tier above, though their response has no value.
+#[test]
+fn request_ends_at_its_objective_if_late_responses_have_no_value() {
+    for (late_weight, ends_at) in [(0.0, 500.0), (0.4, 2000.0)] {
+        let class = Class {
+            late_weight,
+            ..class(Idempotency::NonIdempotent)
+        };
+        let settings = Settings {
+            classes: vec![class],
+            ..Settings::default()
+        };
+        let mut harness = TestHarness::with_endpoints(settings, 1);
+        harness.send_request(1, 0, 0);
+        harness.advance(ends_at - 100.0);
+        assert!(
+            !harness.request(1).is_completed,
+            "still in flight 100 ms before {ends_at}"
+        );
+        harness.advance(100.0);
+        assert!(harness.request(1).is_completed, "ended by {ends_at}");
+    }
+}
+
+/// Guards against a timeout at the deadline, which leaves no time for a retry.
+#[test]
+fn lost_request_is_retried_in_time() {
+    let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 6);
+    let upstream = |id| (id != UpstreamId(2)).then_some(Response::success(40.0));
+    harness.run_traffic(20_000.0, 30.0, &[0], &upstream);
+    // A timeout at the end of the objective, after 490 ms, would be too late.
+    let is_retried_in_time = harness
+        .requests
+        .values()
+        .filter(|record| record.attempts.len() > 1)
+        .any(|record| record.attempts[1].sent_at - record.attempts[0].sent_at < 450.0);
+    assert!(is_retried_in_time, "lost requests are retried in time");
+}
+
+/// Guards against a subset without other endpoints that know the idempotency key.
+#[test]
+fn keyed_retry_finds_another_endpoint_of_its_group() {
+    let key = Idempotency::IdempotencyKey {
+        scope: DedupScope::Group,
+        window: 5000.0,
+    };
+    let settings = Settings {
+        balancers: 10,
+        index: 3,
+        ..settings_with_late_value(key)
+    };
+    let list = (1..=60)
+        .map(|id| endpoint_of_group(id, (id % 10) as u16))
+        .collect();
+    let mut harness = TestHarness::new(settings, 4, list);
+    let mut retried_elsewhere = 0;
+    for id in 0..40 {
+        harness.send_request(id, 0, 0);
+        let outcome = if id % 2 == 0 {
+            AttemptOutcome::Reset
+        } else {
+            AttemptOutcome::Success
+        };
+        harness.end_attempt(id, 0, outcome);
+        if let [first, retry] = &harness.request(id).attempts[..] {
+            retried_elsewhere += u32::from(first.upstream != retry.upstream);
+            harness.end_attempt(id, 1, AttemptOutcome::Success);
+        }
+        harness.advance(500.0);
+    }
+    assert!(
+        retried_elsewhere >= 17,
+        "{retried_elsewhere} of 20 retries found another endpoint of their group"
+    );
+}
+
+#[test]
+fn retries_stay_within_their_budget() {
+    let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 8);
+    let failing = outcome_after(AttemptOutcome::Error, 5.0);
+    harness.run_traffic(20_000.0, 40.0, &[0], &failing);
+    let sent = harness.sent_since(0.0);
+    let requests = sent.requests;
+    let attempts = sent.attempts();
+    // A fifth of all requests, including rejected ones, and the ten available at the start.
+    assert!(
+        attempts <= requests + 800 / 5 + 10,
+        "{attempts} attempts for {requests} requests"
+    );
+    assert!(attempts > requests, "some are retried");
+}
+
+#[test]
+fn non_idempotent_request_is_retried_only_if_it_never_ran() {
+    let settings = settings_without_tenants(Idempotency::NonIdempotent);
+    let mut harness = TestHarness::new(settings, 1, endpoints(4));
+    harness.send_request(1, 0, 0);
+    assert!(
+        is_sent(&harness.end_attempt(1, 0, AttemptOutcome::Rejected)),
+        "it never ran"
+    );
+    assert!(is_sent(&harness.end_attempt(
+        1,
+        1,
+        AttemptOutcome::Rejected
+    )));
+    assert!(
+        is_rejected(&harness.end_attempt(1, 2, AttemptOutcome::Rejected)),
+        "no attempts are left"
+    );
+    harness.send_request(2, 0, 0);
+    assert!(
+        is_failed(&harness.end_attempt(2, 0, AttemptOutcome::Reset)),
+        "it may have run"
+    );
+}
+
+#[test]
+fn rejection_proves_nothing_if_upstreams_reject_after_start() {
+    let settings = Settings {
+        rejects_after_start: true,
+        ..settings_without_tenants(Idempotency::NonIdempotent)
+    };
+    let mut harness = TestHarness::new(settings, 1, endpoints(4));
+    harness.send_request(1, 0, 0);
+    assert!(
+        is_failed(&harness.end_attempt(1, 0, AttemptOutcome::Rejected)),
+        "it may have run"
+    );
+    harness.send_request(2, 0, 0);
+    assert!(
+        is_sent(&harness.end_attempt(2, 0, AttemptOutcome::ConnectFailed)),
+        "it never ran"
+    );
+
+    let settings = Settings {
+        rejects_after_start: true,
+        ..settings_without_tenants(idempotency_key(DedupScope::Group))
+    };
+    let list = (1..=8)
+        .map(|id| endpoint_of_group(id, (id % 2) as u16))
+        .collect();
+    let mut harness = TestHarness::new(settings, 1, list);
+    for id in 0..40 {
+        harness.send_request(id, 0, 0);
+        harness.advance(50.0);
+        // The harness checks the group and the window against the rejected attempt.
+        harness.end_attempt(id, 0, AttemptOutcome::Rejected);
+        if harness.request(id).attempts.len() == 2 {
+            harness.end_attempt(id, 1, AttemptOutcome::Success);
+        }
+    }
+}
+
+/// Guards against retries that wait for a connection and arrive when upstreams no longer discard them.
+#[test]
+fn keyed_request_is_not_retried_if_connecting_could_outlast_its_window() {
+    for (elapsed, is_retried) in [(550.0, true), (620.0, false)] {
+        let settings = Settings {
+            connect_timeout: 100.0,
+            ..settings_without_tenants(idempotency_key(DedupScope::All))
+        };
+        let mut harness = TestHarness::new(settings, 1, endpoints(4));
+        harness.send_request(1, 0, 0);
+        harness.advance(elapsed);
+        let actions = harness.end_attempt(1, 0, AttemptOutcome::Reset);
+        let sent = actions
+            .iter()
+            .any(|action| matches!(action, Action::Send { .. }));
+        assert_eq!(sent, is_retried, "{elapsed} ms after the first attempt");
+    }
+}
+
+#[test]
+fn keyed_request_is_retried_only_within_its_group_and_window() {
+    let settings = settings_without_tenants(idempotency_key(DedupScope::Group));
+    let same_group = (1..=4).map(|id| endpoint_of_group(id, 4)).collect();
+    let mut harness = TestHarness::new(settings.clone(), 1, same_group);
+    harness.send_request(1, 0, 0);
+    harness.advance(600.0);
+    assert!(
+        is_sent(&harness.end_attempt(1, 0, AttemptOutcome::Error)),
+        "upstreams remember the key"
+    );
+    harness.send_request(2, 0, 0);
+    harness.advance(701.0);
+    assert!(
+        is_failed(&harness.end_attempt(2, 0, AttemptOutcome::Error)),
+        "upstreams have forgotten the key"
+    );
+    let groups_of_one = (1..=4).map(|id| endpoint_of_group(id, id as u16)).collect();
+    let mut harness = TestHarness::new(settings, 1, groups_of_one);
+    harness.send_request(1, 0, 0);
+    let actions = harness.end_attempt(1, 0, AttemptOutcome::Error);
+    let first = harness.request(1).attempts[0].upstream;
+    let is_allowed = |action: &Action| match action {
+        Action::Fail { .. } => true,
+        Action::Send { upstream, .. } => *upstream == first,
+        _ => false,
+    };
+    assert!(
+        actions.iter().all(is_allowed),
+        "no other upstream has the key: {actions:?}"
+    );
+}
