--- a/balancer/src/control/startup.rs
+++ b/balancer/src/control/startup.rs
@@ -1,6 +1,6 @@
 //! The control part of a balancer: the decision module in its driver, and the discovery client that feeds it. The
 //! program and the hollow balancers start it alike.
-use crate::control::clock::{from_millis, Clock};
+use crate::control::clock::Clock;
 use crate::control::driver::{DriverHandle, DriverOptions};
 use crate::control::invariants::Guard;
 use crate::discovery::client::{Discovery, ACKNOWLEDGE_INTERVAL};
@@ -72,8 +72,8 @@
             balancer: Balancer::new(settings, seed, clock.now()).map_err(|e| e.to_string())?,
             clock,
             dispatch,
-            drain_grace: from_millis(deployment.drain_grace),
-            max_open: usize::try_from(deployment.max_open).unwrap_or(usize::MAX),
+            drain_grace: deployment.drain_grace,
+            max_open: usize::try_from(deployment.max_requests_in_flight).unwrap_or(usize::MAX),
             idempotency_by_class,
             rejects_after_start,
             guard,
--- a/balancer/src/discovery/client.rs
+++ b/balancer/src/discovery/client.rs
@@ -2,7 +2,6 @@
 //!
 //! When to ask is the decision module's choice ([`balancer_core::Action::PollEndpoints`]), which the consumer of the updates passes
 //! on; a watch that stands is kept up here.
-use crate::control::clock::from_millis;
 use crate::discovery::endpoints::{EndpointConsumer, EndpointUpdate, TopologyNames};
 use crate::net::socket_io::Socket;
 use crate::telemetry::log::Log;
@@ -196,7 +195,7 @@
         let pushed = !deployment.policy.poll_endpoints;
         // What the agent gets while a watch is broken counts as acknowledged all the same: the next call has to bring
         // it well within the time in which sends to a draining upstream must end.
-        let drain_grace = from_millis(deployment.drain_grace);
+        let drain_grace = deployment.drain_grace;
         let addr = *addresses.borrow();
         Discovery {
             addr,
--- a/balancer/src/process/config.rs
+++ b/balancer/src/process/config.rs
@@ -60,7 +60,7 @@
             }
         })?;
         json.end().map_err(|e| e.to_string())?;
-        let deployment = balancer_settings::deployment(file.settings.get().as_bytes())
+        let deployment = balancer_settings::parse_deployment(file.settings.get().as_bytes())
             .map_err(|e| format!("settings: {e}"))?;
         if let Some(i) = deployment.classes.iter().position(String::is_empty) {
             return Err(format!("settings.classes[{i}].name: missing"));
--- a/balancer/src/process/config/tests.rs
+++ b/balancer/src/process/config/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use std::time::Duration;
 
 const GOOD: &str = r#"{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9",
     "seed":"8c1f30d27a5be964","limits":{"sockets":1024},
@@ -13,8 +14,8 @@
 fn a_whole_configuration_is_read() {
     let c = Config::parse(GOOD.as_bytes()).unwrap();
     assert_eq!(
-        (c.seed, c.sockets, c.deployment.dial_timeout),
-        (0x8c1f_30d2_7a5b_e964, 1024, 250.0)
+        (c.seed, c.sockets, c.deployment.connect_timeout),
+        (0x8c1f_30d2_7a5b_e964, 1024, Duration::from_millis(250))
     );
     let list: Vec<_> = c
         .known
--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -166,7 +166,7 @@
     guard: &Guard,
 ) -> Transport {
     let connector = Connector::new(
-        from_millis(deployment.dial_timeout),
+        deployment.connect_timeout,
         from_millis(deployment.policy.idle_close.min(LONGEST_SETTING)),
         budget.clone(),
         metrics.attempts(),
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -43,7 +43,7 @@
             }
             Record::Configure { seed, setup } => {
                 let id = instance()?;
-                let settings = balancer_settings::parse(&batch.tail[setup.clone()])
+                let settings = balancer_settings::parse_settings(&batch.tail[setup.clone()])
                     .map_err(|e| format!("settings of instance {id}: {e}"))?;
                 let balancer = Balancer::new(settings, *seed, now).map_err(|e| e.to_string())?;
                 self.balancers.insert(id, balancer);
