--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,110 +1,52 @@
-//! Hosts balancer_core balancers on the simulator's wire: frames in on standard input, replies out.
+//! Hosts balancer-core instances on the simulator's wire: batches of events on standard input, replies on standard
+//! output.
+mod host;
 mod wire;
 
-use balancer_core::{Action, Balancer, Event};
-use std::collections::BTreeMap;
+use host::{BatchError, Host};
 use std::io::{self, Write};
 use std::process::ExitCode;
-use wire::{Batch, Record, Reply, Table};
+use thiserror::Error;
+use wire::WireError;
 
-#[derive(Default)]
-struct Host {
-    balancers: BTreeMap<u16, Balancer>,
-    tables: BTreeMap<u32, Table>,
-    actions: Vec<Action>,
-    reply: Reply,
-    /// The instance that the reply's records belong to so far.
-    answering: Option<u16>,
+/// Why the adapter ended before its input.
+#[derive(Debug, Error)]
+enum AdapterError {
+    /// A frame cannot be read.
+    #[error(transparent)]
+    Wire(#[from] WireError),
+    /// A record cannot be handled.
+    #[error("frame {frame}, {source}")]
+    Batch { frame: u64, source: BatchError },
+    /// Standard output failed.
+    #[error("writing the reply: {0}")]
+    Write(#[source] io::Error),
 }
 
-impl Host {
-    fn batch(&mut self, batch: &Batch) -> Result<Vec<u8>, String> {
-        let mut target = None;
-        self.answering = None;
-        for (i, record) in batch.records.iter().enumerate() {
-            self.record(batch, record, &mut target)
-                .map_err(|e| format!("record {i}: {e}"))?;
-        }
-        Ok(self.reply.finish(batch.number))
-    }
-
-    fn record(
-        &mut self,
-        batch: &Batch,
-        record: &Record,
-        target: &mut Option<u16>,
-    ) -> Result<(), String> {
-        let now = batch.now;
-        let instance = || target.ok_or("no instance was named before this record".to_string());
-        match record {
-            Record::Target(id) => *target = Some(*id),
-            Record::Table { number, members } => {
-                self.tables.insert(*number, members.clone());
-            }
-            Record::Configure { seed, setup } => {
-                let id = instance()?;
-                let settings = balancer_settings::parse_settings(&batch.tail[setup.clone()])
-                    .map_err(|e| format!("settings of instance {id}: {e}"))?;
-                let balancer = Balancer::new(settings, *seed, now).map_err(|e| e.to_string())?;
-                self.balancers.insert(id, balancer);
-            }
-            Record::Destroy => {
-                self.balancers.remove(&instance()?);
-            }
-            Record::Sync { kind, table } => {
-                let news = wire::membership(*kind, self.tables.get(table))
-                    .map_err(|e| format!("table {table}: {e}"))?;
-                self.event(instance()?, now, Event::Endpoints(news));
-            }
-            Record::Event(event) => self.event(instance()?, now, event.clone()),
-            Record::Skip => {}
-        }
-        Ok(())
-    }
-
-    fn event(&mut self, id: u16, now: f64, event: Event) {
-        let Some(balancer) = self.balancers.get_mut(&id) else {
-            return;
-        };
-        balancer.handle(now, event, &mut self.actions);
-        if self.actions.is_empty() {
-            return;
-        }
-        if self.answering != Some(id) {
-            self.reply.at(id);
-            self.answering = Some(id);
-        }
-        for action in self.actions.drain(..) {
-            self.reply.action(&action);
+fn main() -> ExitCode {
+    match run() {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("simulator-adapter: {error}");
+            ExitCode::FAILURE
         }
     }
 }
 
-fn run() -> Result<(), String> {
-    let (mut input, mut output) = (io::stdin().lock(), io::stdout().lock());
+/// Answers batches until standard input ends.
+fn run() -> Result<(), AdapterError> {
+    let mut input = io::stdin().lock();
+    let mut output = io::stdout().lock();
     let mut host = Host::default();
-    for number in 0.. {
-        let Some(frame) = wire::read_frame(&mut input, number).map_err(|e| e.to_string())? else {
-            break;
-        };
-        let batch = wire::decode(&frame, number).map_err(|e| e.to_string())?;
+    let mut frame = 0;
+    while let Some(bytes) = wire::read_frame(&mut input, frame)? {
+        let batch = wire::decode(&bytes, frame)?;
         let reply = host
-            .batch(&batch)
-            .map_err(|e| format!("frame {number}, {e}"))?;
-        output
-            .write_all(&reply)
-            .and_then(|()| output.flush())
-            .map_err(|e| format!("writing the reply: {e}"))?;
+            .handle_batch(batch)
+            .map_err(|source| AdapterError::Batch { frame, source })?;
+        output.write_all(&reply).map_err(AdapterError::Write)?;
+        output.flush().map_err(AdapterError::Write)?;
+        frame += 1;
     }
     Ok(())
 }
-
-fn main() -> ExitCode {
-    match run() {
-        Ok(()) => ExitCode::SUCCESS,
-        Err(message) => {
-            eprintln!("simulator-adapter: {message}");
-            ExitCode::FAILURE
-        }
-    }
-}
--- a/simulator-adapter/tests/bad_input.rs
+++ b/simulator-adapter/tests/bad_input.rs
@@ -1,22 +1,28 @@
-//! The binary on bad input: a plain message on standard error, a non-zero exit, nothing further on output.
+//! The program on bad input: one message on standard error, a non-zero exit status, no further reply.
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-fn run(input: &[u8]) -> (bool, Vec<u8>, String) {
+struct ProgramOutput {
+    succeeded: bool,
+    standard_output: Vec<u8>,
+    standard_error: String,
+}
+
+fn run(input: &[u8]) -> ProgramOutput {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the binary starts");
-    // It may stop reading early: a broken pipe is its right.
+    // The program may end before it has read everything; a broken pipe is fine then.
     let _ = child.stdin.take().expect("a pipe").write_all(input);
-    let out = child.wait_with_output().expect("it ends");
-    (
-        out.status.success(),
-        out.stdout,
-        String::from_utf8_lossy(&out.stderr).into_owned(),
-    )
+    let output = child.wait_with_output().expect("it ends");
+    ProgramOutput {
+        succeeded: output.status.success(),
+        standard_output: output.stdout,
+        standard_error: String::from_utf8_lossy(&output.stderr).into_owned(),
+    }
 }
 
 fn frame(records: &[&[u8]], tail: &[u8]) -> Vec<u8> {
@@ -36,76 +42,71 @@
 }
 
 #[test]
-fn an_empty_batch_is_answered_and_the_end_of_input_is_a_clean_exit() {
-    let (ok, out, err) = run(&frame(&[], &[]));
-    assert!(ok && err.is_empty(), "{err}");
-    assert_eq!(out, [0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0, 7]);
+fn answers_empty_batch_and_exits_cleanly_at_end_of_input() {
+    let output = run(&frame(&[], &[]));
+    assert!(
+        output.succeeded && output.standard_error.is_empty(),
+        "{}",
+        output.standard_error
+    );
+    assert_eq!(
+        output.standard_output,
+        [0, 0, 0, 12, 0, 0, 0, 0, 0, 0, 0, 7]
+    );
 }
 
-#[test]
-fn what_is_wrong_is_named_and_nothing_further_is_written() {
-    let good = frame(&[], &[]);
-    let target: &[u8] = &[10, 0, 3];
-    let configure: Vec<u8> = [&[4u8][..], &[0; 8], &[0, 0, 0, 0, 0, 0, 0, 2]].concat();
-    let nan = [&[5u8][..], &[0; 17], &f64::NAN.to_be_bytes()].concat();
-    let cases: [(Vec<u8>, &str); 10] = [
-        ([&good[..], &good[..9]].concat(), "frame 1: input ended"),
-        (
-            [&good[..], &[0xff; 8]].concat(),
-            "frame 1: header: stated size",
-        ),
-        (
-            [&good[..], &frame(&[&[99]], &[])].concat(),
-            "record 0: unknown event code 99",
-        ),
-        (
-            [&good[..], &frame(&[&[9]], &[])].concat(),
-            "no instance was named",
-        ),
+/// A frame that selects an instance and has one more record.
+fn frame_for_instance(record: &[u8], tail: &[u8]) -> Vec<u8> {
+    let select_instance: &[u8] = &[10, 0, 3];
+    frame(&[select_instance, record], tail)
+}
+
+/// Invalid input and the text that the message contains.
+fn invalid_inputs() -> [(Vec<u8>, &'static str); 10] {
+    let start_instance: Vec<u8> = [&[4u8][..], &[0; 8], &[0, 0, 0, 0, 0, 0, 0, 2]].concat();
+    let nan_deadline = [&[5u8][..], &[0; 17], &f64::NAN.to_be_bytes()].concat();
+    let table_of_two: &[u8] = &[6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2];
+    let table_of_one: &[u8] = &[6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1];
+    [
+        (frame(&[], &[])[..9].to_vec(), "frame 1: input ended"),
+        (vec![0xff; 8], "frame 1: header: stated size"),
+        (frame(&[&[99]], &[]), "record 0: unknown event code 99"),
+        (frame(&[&[9]], &[]), "no instance was named"),
         (
-            [&good[..], &frame(&[target, &[2, 3]], &[])].concat(),
+            frame_for_instance(&[2, 3], &[]),
             "table 0: points at a table",
         ),
         (
-            [&good[..], &frame(&[target, &configure], b"{}")].concat(),
+            frame_for_instance(&start_instance, b"{}"),
             "settings of instance 3: missing field",
         ),
         (
-            [&good[..], &frame(&[target, &configure], b"{x")].concat(),
+            frame_for_instance(&start_instance, b"{x"),
             "settings of instance 3",
         ),
         (
-            [&good[..], &frame(&[target, &nan], &[])].concat(),
+            frame_for_instance(&nan_deadline, &[]),
             "frame 1, record 1: deadline reads NaN",
         ),
-        (
-            [
-                &good[..],
-                &frame(&[&[6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 2]], &[0; 47]),
-            ]
-            .concat(),
-            "outside the tail",
-        ),
-        (
-            [
-                &good[..],
-                &frame(&[&[6, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 0, 1]], &[9; 24]),
-            ]
-            .concat(),
-            "availability 9",
-        ),
-    ];
-    for (input, message) in cases {
-        let (ok, out, err) = run(&input);
+        (frame(&[table_of_two], &[0; 47]), "outside the tail"),
+        (frame(&[table_of_one], &[9; 24]), "availability 9"),
+    ]
+}
+
+#[test]
+fn names_the_fault_and_writes_no_further_reply() {
+    for (invalid_input, message) in invalid_inputs() {
+        let output = run(&[frame(&[], &[]), invalid_input].concat());
+        let error = output.standard_error;
         assert!(
-            !ok && err.contains(message),
-            "wanted {message:?}, got {err:?}"
+            !output.succeeded && error.contains(message),
+            "wanted {message:?}, got {error:?}"
         );
-        assert!(!err.contains("panicked"), "{err}");
+        assert!(!error.contains("panicked"), "{error}");
         assert_eq!(
-            out.len(),
+            output.standard_output.len(),
             12,
-            "only the good frame before it is answered ({message})"
+            "only the valid frame before it is answered ({message})"
         );
     }
 }
