--- /dev/null
+++ b/fault-injection/src/calls/reads.rs
@@ -0,0 +1,84 @@
+//! Reads from sockets and files.
+use crate::control::{should_inject, Fault};
+use crate::descriptors::{is_connected_here, is_file, is_socket};
+use crate::errno::{fail, fail_with_one_of};
+use libc::{c_int, c_void, iovec, size_t, ssize_t};
+
+/// The result of a read from a socket that fails, if it is to fail.
+fn injected_failure(fd: c_int) -> Option<ssize_t> {
+    if should_inject(Fault::InterruptedRead) {
+        return Some(fail(libc::EINTR));
+    }
+    // Only connections to upstreams break: a client whose connection breaks could not see its response, while the
+    // retry after a broken upstream connection can be checked from outside.
+    if is_connected_here(fd) && should_inject(Fault::BrokenRead) {
+        return Some(fail_with_one_of(&[libc::ETIMEDOUT, libc::EHOSTUNREACH]));
+    }
+    None
+}
+
+/// `recv(2)`.
+///
+/// # Safety
+/// The contract of the C library's function.
+#[no_mangle]
+pub unsafe extern "C" fn recv(
+    fd: c_int,
+    buffer: *mut c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
+    let is_peek = flags & libc::MSG_PEEK != 0;
+    if is_peek && should_inject(Fault::InterruptedRead) {
+        return fail(libc::EINTR);
+    }
+    if !is_peek {
+        if let Some(failure) = injected_failure(fd) {
+            return failure;
+        }
+    }
+    let is_short = !is_peek && should_inject(Fault::ShortRead);
+    let length = if is_short { length.min(1) } else { length };
+    let no_address = std::ptr::null_mut::<c_void>();
+    let no_length = std::ptr::null_mut::<c_void>();
+    // SAFETY: the caller guarantees the contract of `recv`, and the length has not grown.
+    unsafe {
+        libc::syscall(
+            libc::SYS_recvfrom,
+            fd,
+            buffer,
+            length,
+            flags,
+            no_address,
+            no_length,
+        ) as ssize_t
+    }
+}
+
+/// `read(2)`.
+///
+/// # Safety
+/// The contract of the C library's function.
+#[no_mangle]
+pub unsafe extern "C" fn read(fd: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
+    if should_inject(Fault::DiskRead) && is_file(fd) {
+        return fail(libc::EIO);
+    }
+    let is_short = should_inject(Fault::ShortRead) && is_socket(fd);
+    let length = if is_short { length.min(1) } else { length };
+    // SAFETY: the caller guarantees the contract of `read`, and the length has not grown.
+    unsafe { libc::syscall(libc::SYS_read, fd, buffer, length) as ssize_t }
+}
+
+/// `readv(2)`.
+///
+/// # Safety
+/// The contract of the C library's function.
+#[no_mangle]
+pub unsafe extern "C" fn readv(fd: c_int, vectors: *const iovec, count: c_int) -> ssize_t {
+    if should_inject(Fault::InterruptedRead) && is_socket(fd) {
+        return fail(libc::EINTR);
+    }
+    // SAFETY: the caller guarantees the contract of `readv`; the arguments are unchanged.
+    unsafe { libc::syscall(libc::SYS_readv, fd, vectors, count) as ssize_t }
+}
--- /dev/null
+++ b/fault-injection/src/calls/writes.rs
@@ -0,0 +1,79 @@
+//! Writes to sockets and files.
+use crate::control::{should_inject, Fault};
+use crate::descriptors::{is_file, is_socket};
+use crate::errno::{fail, fail_with_one_of};
+use libc::{c_int, c_void, iovec, size_t, ssize_t};
+
+/// `send(2)`.
+///
+/// # Safety
+/// The contract of the C library's function.
+#[no_mangle]
+pub unsafe extern "C" fn send(
+    fd: c_int,
+    buffer: *const c_void,
+    length: size_t,
+    flags: c_int,
+) -> ssize_t {
+    if should_inject(Fault::InterruptedWrite) {
+        return fail(libc::EINTR);
+    }
+    let is_short = should_inject(Fault::ShortWrite);
+    let length = if is_short { length.min(1) } else { length };
+    let no_address = std::ptr::null::<c_void>();
+    let address_length = 0;
+    // SAFETY: the caller guarantees the contract of `send`, and the length has not grown.
+    unsafe {
+        libc::syscall(
+            libc::SYS_sendto,
+            fd,
+            buffer,
+            length,
+            flags,
+            no_address,
+            address_length,
+        ) as ssize_t
+    }
+}
+
+/// `write(2)`.
+///
+/// # Safety
+/// The contract of the C library's function.
+#[no_mangle]
+pub unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
+    if should_inject(Fault::DiskWrite) && is_file(fd) {
+        // A failed write may have written a part.
+        // SAFETY: the caller guarantees the contract of `write`, and the length has not grown.
+        unsafe { libc::syscall(libc::SYS_write, fd, buffer, length / 2) };
+        return fail_with_one_of(&[libc::ENOSPC, libc::EIO]);
+    }
+    let is_short = should_inject(Fault::ShortWrite) && is_socket(fd);
+    let length = if is_short { length.min(1) } else { length };
+    // SAFETY: the caller guarantees the contract of `write`, and the length has not grown.
+    unsafe { libc::syscall(libc::SYS_write, fd, buffer, length) as ssize_t }
+}
+
+/// `writev(2)`.
+///
+/// # Safety
+/// The contract of the C library's function.
+#[no_mangle]
+pub unsafe extern "C" fn writev(fd: c_int, vectors: *const iovec, count: c_int) -> ssize_t {
+    if should_inject(Fault::InterruptedWrite) && is_socket(fd) {
+        return fail(libc::EINTR);
+    }
+    if should_inject(Fault::ShortWrite) && is_socket(fd) {
+        // SAFETY: the caller guarantees that `vectors` points to `count` valid vectors.
+        let buffers = unsafe { std::slice::from_raw_parts(vectors, count.max(0) as usize) };
+        if let Some(first) = buffers.iter().find(|buffer| buffer.iov_len > 0) {
+            let length: size_t = 1;
+            // SAFETY: the caller guarantees that the buffer is valid for its length, which is at least one.
+            return unsafe {
+                libc::syscall(libc::SYS_write, fd, first.iov_base, length) as ssize_t
+            };
+        }
+    }
+    // SAFETY: the caller guarantees the contract of `writev`; the arguments are unchanged.
+    unsafe { libc::syscall(libc::SYS_writev, fd, vectors, count) as ssize_t }
+}
--- a/fault-injection/src/control.rs
+++ b/fault-injection/src/control.rs
@@ -1,137 +1,165 @@
-//! The control file: how likely each fault is, changed by the test while the process runs.
+//! The control file: the probability of each fault. A test changes it while the process runs.
 //!
-//! The file holds one little-endian 64-bit word for each [`Fault`], in their order. The library maps it into the process;
-//! whoever steers the test writes the words.
+//! The file holds one little-endian 64-bit word for each [`Fault`], in their order. The library maps it into the
+//! process; the test writes the words.
+use std::ffi::CStr;
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
 
-/// The environment variable that names the control file. Without it no call fails.
-pub const CONTROL_FILE: &str = "FAULT_CONTROL";
-/// The environment variable with the seed of the random choices.
-pub const SEED: &str = "FAULT_SEED";
-/// Probabilities are stated in parts of this.
+/// Name of the environment variable with the path of the control file. Without it no call fails.
+pub const CONTROL_FILE: &str = text_of(CONTROL_FILE_VARIABLE);
+/// Name of the environment variable with the seed of the random choices.
+pub const SEED: &str = text_of(SEED_VARIABLE);
+/// The word for a probability of one.
 pub const CERTAIN: u64 = 1_000_000;
 /// Size of the control file.
-pub const FILE_BYTES: usize = Fault::COUNT * 8;
+pub const FILE_BYTES: usize = Fault::COUNT * WORD_BYTES;
 
-/// What may fail. All but [`Fault::ClockOffset`] are probabilities in millionths.
+const WORD_BYTES: usize = 8;
+const CONTROL_FILE_VARIABLE: &CStr = c"FAULT_CONTROL";
+const SEED_VARIABLE: &CStr = c"FAULT_SEED";
+/// The golden ratio in 64 bits: spreads small seeds over all states of the generator.
+const SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
+/// Multiplier of the generator xorshift64*.
+const OUTPUT_FACTOR: u64 = 0x2545_f491_4f6c_dd1d;
+
+const fn text_of(name: &'static CStr) -> &'static str {
+    match name.to_str() {
+        Ok(text) => text,
+        Err(_) => panic!("the names of the variables are ASCII"),
+    }
+}
+
+/// The faults that can be injected. All words but that of [`Fault::ClockOffset`] are probabilities in millionths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Fault {
-    /// A read from a socket returns one byte though there are more.
+    /// A read from a socket returns at most one byte.
     ShortRead,
-    /// A read from a socket returns EINTR.
+    /// A read from a socket fails with EINTR.
     InterruptedRead,
-    /// A write to a socket takes one byte only.
+    /// A write to a socket accepts one byte only.
     ShortWrite,
-    /// A write to a socket returns EINTR.
+    /// A write to a socket fails with EINTR.
     InterruptedWrite,
-    /// A read from a connection that the process opened itself fails: ETIMEDOUT or EHOSTUNREACH.
+    /// A read from a connection that the process opened itself fails with ETIMEDOUT or EHOSTUNREACH.
     BrokenRead,
-    /// `accept` fails for a moment.
+    /// `accept` fails with a transient error.
     Accept,
-    /// `connect` fails for a moment.
+    /// `connect` fails with a transient error.
     Connect,
-    /// `socket` fails for a moment.
+    /// `socket` fails with a transient error.
     Socket,
-    /// A wait returns EINTR.
+    /// A wait fails with EINTR.
     InterruptedWait,
-    /// Files cannot be created, written, renamed or synced: ENOSPC or EIO.
+    /// Creating, writing, renaming or syncing a file fails with ENOSPC or EIO.
     DiskWrite,
-    /// Files cannot be read: EIO.
+    /// Reading a file fails with EIO.
     DiskRead,
-    /// Milliseconds, with sign, that the wall clock is off.
+    /// Offset of the wall clock in milliseconds, a signed number.
     ClockOffset,
 }
 
 impl Fault {
-    /// How many there are.
+    /// Number of faults.
     pub const COUNT: usize = 12;
 
-    /// Where its word is in the control file, in bytes.
+    /// Position of the fault's word in the control file, in bytes.
     pub fn offset(self) -> u64 {
-        self as u64 * 8
+        (self as usize * WORD_BYTES) as u64
     }
 }
 
+/// The mapped control file; null without one.
 static WORDS: AtomicPtr<AtomicU64> = AtomicPtr::new(std::ptr::null_mut());
-static RANDOM: AtomicU64 = AtomicU64::new(0x9e37_79b9_7f4a_7c15);
+/// State of the random generator; never zero.
+static RANDOM_STATE: AtomicU64 = AtomicU64::new(SEED_FACTOR);
 
-/// Maps the control file; called once, as the library is loaded.
-pub(crate) fn map() {
-    let Some(path) = environment(c"FAULT_CONTROL") else {
+/// Reads the seed and maps the control file. Called once, when the library is loaded.
+pub(crate) fn map_control_file() {
+    let Some(path) = environment_variable(CONTROL_FILE_VARIABLE) else {
         return;
     };
-    if let Some(seed) =
-        environment(c"FAULT_SEED").and_then(|seed| seed.to_str().ok()?.parse::<u64>().ok())
-    {
-        RANDOM.store(
-            seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1,
-            Ordering::Relaxed,
-        );
+    let seed = environment_variable(SEED_VARIABLE)
+        .and_then(|seed| seed.to_str().ok())
+        .and_then(|seed| seed.parse::<u64>().ok());
+    if let Some(seed) = seed {
+        RANDOM_STATE.store(seed.wrapping_mul(SEED_FACTOR) | 1, Ordering::Relaxed);
     }
-    // SAFETY: plain system calls with a valid path; the mapping is never taken away again.
-    unsafe {
-        let file = libc::syscall(
-            libc::SYS_openat,
-            libc::AT_FDCWD,
-            path.as_ptr(),
-            libc::O_RDONLY,
-            0,
-        );
-        if file < 0 {
-            return;
-        }
-        let (read, shared) = (libc::PROT_READ, libc::MAP_SHARED);
-        let words = libc::mmap(
-            std::ptr::null_mut(),
+    if let Some(words) = map_words(path) {
+        WORDS.store(words, Ordering::Release);
+    }
+}
+
+/// Maps the file at this path. It stays mapped until the process ends.
+fn map_words(path: &CStr) -> Option<*mut AtomicU64> {
+    let flags = libc::O_RDONLY;
+    let mode = 0;
+    // SAFETY: the path is a valid string that ends with a zero byte.
+    let file =
+        unsafe { libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), flags, mode) };
+    if file < 0 {
+        return None;
+    }
+    let address = std::ptr::null_mut();
+    let offset = 0;
+    // SAFETY: the kernel chooses the address, so that the mapping overlaps no other memory.
+    let words = unsafe {
+        libc::mmap(
+            address,
             FILE_BYTES,
-            read,
-            shared,
+            libc::PROT_READ,
+            libc::MAP_SHARED,
             file as i32,
-            0,
-        );
-        libc::syscall(libc::SYS_close, file);
-        if words != libc::MAP_FAILED {
-            WORDS.store(words.cast(), Ordering::Release);
-        }
-    }
+            offset,
+        )
+    };
+    // SAFETY: the descriptor was opened above and has no other user. The mapping does not need it.
+    unsafe { libc::syscall(libc::SYS_close, file) };
+    (words != libc::MAP_FAILED).then(|| words.cast())
 }
 
-fn environment(name: &'static std::ffi::CStr) -> Option<&'static std::ffi::CStr> {
-    // SAFETY: at load time no other thread changes the environment; the value stays where it is.
-    unsafe {
-        let value = libc::getenv(name.as_ptr());
-        (!value.is_null()).then(|| std::ffi::CStr::from_ptr(value))
+fn environment_variable(name: &'static CStr) -> Option<&'static CStr> {
+    // SAFETY: the name is a valid string. No other thread changes the environment while libraries are loaded.
+    let value = unsafe { libc::getenv(name.as_ptr()) };
+    if value.is_null() {
+        return None;
     }
+    // SAFETY: the value is a valid string that stays in place: the program has not started to change its environment.
+    Some(unsafe { CStr::from_ptr(value) })
 }
 
-fn word(fault: Fault) -> u64 {
+/// The fault's word in the control file; zero without a control file.
+fn read_word(fault: Fault) -> u64 {
     let words = WORDS.load(Ordering::Acquire);
     if words.is_null() {
         return 0;
     }
-    // SAFETY: the mapping holds a word for each fault and is never taken away.
-    unsafe { (*words.add(fault as usize)).load(Ordering::Relaxed) }
+    // SAFETY: the mapping holds a word for each fault and is never removed.
+    let word = unsafe { &*words.add(fault as usize) };
+    word.load(Ordering::Relaxed)
 }
 
-/// A random number (xorshift64*).
+/// A random number from the generator xorshift64*.
 pub(crate) fn random() -> u64 {
-    let step = |x: u64| {
-        let x = x ^ (x >> 12);
-        let x = x ^ (x << 25);
-        x ^ (x >> 27)
-    };
-    let before = RANDOM.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |x| Some(step(x)));
-    step(before.unwrap_or(1)).wrapping_mul(0x2545_f491_4f6c_dd1d)
+    let previous = RANDOM_STATE.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |state| {
+        Some(next_random_state(state))
+    });
+    next_random_state(previous.unwrap_or(1)).wrapping_mul(OUTPUT_FACTOR)
+}
+
+fn next_random_state(state: u64) -> u64 {
+    let state = state ^ (state >> 12);
+    let state = state ^ (state << 25);
+    state ^ (state >> 27)
 }
 
-/// Whether a fault strikes this call.
-pub(crate) fn strikes(fault: Fault) -> bool {
-    let likely = word(fault);
-    likely > 0 && (random() >> 16) % CERTAIN < likely
+/// Whether to inject a fault into the present call. Draws a random number only for a fault that is possible.
+pub(crate) fn should_inject(fault: Fault) -> bool {
+    let probability = read_word(fault);
+    probability > 0 && (random() >> 16) % CERTAIN < probability
 }
 
-/// How far the wall clock is off, in milliseconds.
+/// Offset of the wall clock, in milliseconds.
 pub(crate) fn clock_offset_ms() -> i64 {
-    word(Fault::ClockOffset) as i64
+    read_word(Fault::ClockOffset) as i64
 }
--- /dev/null
+++ b/fault-injection/src/descriptors.rs
@@ -0,0 +1,54 @@
+//! What a descriptor refers to, and which connections this process opened.
+use libc::{c_int, mode_t};
+use std::sync::atomic::{AtomicU64, Ordering};
+
+pub(crate) fn is_file(fd: c_int) -> bool {
+    fd > libc::STDERR_FILENO && has_file_type(fd, libc::S_IFREG)
+}
+
+pub(crate) fn is_socket(fd: c_int) -> bool {
+    has_file_type(fd, libc::S_IFSOCK)
+}
+
+/// Whether a descriptor has this type, one of `S_IFMT`.
+fn has_file_type(fd: c_int, file_type: mode_t) -> bool {
+    // SAFETY: all fields of `stat` are numbers, for which zero is valid.
+    let mut stat: libc::stat = unsafe { std::mem::zeroed() };
+    // SAFETY: the pointer is valid for the call, which writes at most one `stat`.
+    let result = unsafe { libc::syscall(libc::SYS_fstat, fd, &mut stat) };
+    result == 0 && stat.st_mode & libc::S_IFMT == file_type
+}
+
+/// Descriptors from this one on are not tracked and count as accepted.
+const TRACKED_DESCRIPTORS: usize = 1024;
+const BITS_PER_WORD: usize = 64;
+
+/// One bit for each descriptor: whether this process opened its connection.
+static CONNECTED_HERE: [AtomicU64; TRACKED_DESCRIPTORS / BITS_PER_WORD] =
+    [const { AtomicU64::new(0) }; TRACKED_DESCRIPTORS / BITS_PER_WORD];
+
+/// Records that this process opened the connection of a descriptor.
+pub(crate) fn record_connected(fd: c_int) {
+    if let Some((word, bit)) = tracking_bit(fd) {
+        word.fetch_or(bit, Ordering::Relaxed);
+    }
+}
+
+/// Records that this process accepted the connection of a descriptor.
+pub(crate) fn record_accepted(fd: c_int) {
+    if let Some((word, bit)) = tracking_bit(fd) {
+        word.fetch_and(!bit, Ordering::Relaxed);
+    }
+}
+
+/// Whether this process opened the connection of a descriptor.
+pub(crate) fn is_connected_here(fd: c_int) -> bool {
+    tracking_bit(fd).is_some_and(|(word, bit)| word.load(Ordering::Relaxed) & bit != 0)
+}
+
+/// The word and the bit of a descriptor; none if it is not tracked.
+fn tracking_bit(fd: c_int) -> Option<(&'static AtomicU64, u64)> {
+    let position = usize::try_from(fd).ok()?;
+    let word = CONNECTED_HERE.get(position / BITS_PER_WORD)?;
+    Some((word, 1 << (position % BITS_PER_WORD)))
+}
--- /dev/null
+++ b/fault-injection/src/errno.rs
@@ -0,0 +1,17 @@
+//! Failing a call with an error number.
+use crate::control::random;
+use libc::c_int;
+
+/// Sets `errno` and returns -1 as the call's result.
+pub(crate) fn fail<T: From<i8>>(error: c_int) -> T {
+    // SAFETY: `__errno_location` returns a valid pointer to a variable of this thread.
+    unsafe { *libc::__errno_location() = error };
+    T::from(-1)
+}
+
+/// Sets `errno` to a random one of these errors and returns -1 as the call's result.
+pub(crate) fn fail_with_one_of<T: From<i8>>(errors: &[c_int]) -> T {
+    // The lower bits of the generator are not used.
+    let choice = (random() >> 16) as usize % errors.len();
+    fail(errors[choice])
+}
