--- a/scale/src/balancer.rs
+++ b/scale/src/balancer.rs
@@ -1,10 +1,10 @@
 //! Real balancers: processes of the deployed program, started as the deployment file says.
 pub mod configuration;
 
-use crate::client::Pool;
+use crate::client::ConnectionPool;
 use crate::error::ScaleError;
-use crate::experiment::read_toml;
 use crate::process::ChildProcess;
+use crate::toml_file::read_toml;
 use configuration::Configuration;
 use hyper::StatusCode;
 use serde::Deserialize;
@@ -16,13 +16,13 @@
 use std::time::{Duration, Instant};
 
 /// The platform's deployment file, below the root.
-const DEPLOYMENT: &str = "deploy/balancer.toml";
-/// A balancer has this long to become ready.
-const READY_WITHIN: Duration = Duration::from_secs(20);
-const READY_PAUSE: Duration = Duration::from_millis(20);
-/// Balancers listen on this address, where connections that go out take no port.
-const LISTEN: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
-const READY: &str = "/-/ready";
+const DEPLOYMENT_FILE: &str = "deploy/balancer.toml";
+/// Time allowed for a balancer to become ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(20);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const READY_PATH: &str = "/-/ready";
+/// Balancers listen on this address. Outgoing connections use another one and so take none of its ports.
+const LISTEN_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 
 /// How the platform builds and starts the program.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
 impl Deployment {
     /// Reads the deployment file below `root` and makes sure that its program has been built.
     pub fn read(root: &Path) -> Result<Deployment, ScaleError> {
-        let file: DeploymentFile = read_toml(&root.join(DEPLOYMENT))?;
+        let file: DeploymentFile = read_toml(&root.join(DEPLOYMENT_FILE))?;
         let command = file.run.strip_prefix("exec ").unwrap_or(&file.run);
         let program = root.join(command.split_whitespace().next().unwrap_or_default());
         if !program.is_file() {
@@ -56,20 +56,20 @@
     }
 }
 
-/// A directory for the files of a run; removed when dropped.
+/// A directory for the files of a run. It is removed when dropped.
 pub struct Workspace {
     path: PathBuf,
 }
 
 impl Workspace {
-    /// An empty directory of this process's own.
+    /// Creates the directory of this process.
     pub fn create() -> io::Result<Workspace> {
         let path = std::env::temp_dir().join(format!("scale-{}", std::process::id()));
         fs::create_dir_all(&path)?;
         Ok(Workspace { path })
     }
 
-    /// Writes a configuration into a directory of its balancer's own.
+    /// Writes a configuration into the directory of its balancer.
     pub fn configuration_file(
         &self,
         configuration: &Configuration,
@@ -77,33 +77,33 @@
     ) -> Result<PathBuf, ScaleError> {
         let directory = self.path.join(&configuration.name);
         let file = directory.join("config.json");
-        let written = fs::create_dir_all(&directory)
-            .and_then(|()| fs::write(&file, configuration.to_json(listen)));
-        written.map_err(|source| ScaleError::Unwritable {
+        let unwritable = |source| ScaleError::Unwritable {
             path: file.clone(),
             source,
-        })?;
+        };
+        fs::create_dir_all(&directory).map_err(unwritable)?;
+        fs::write(&file, configuration.to_json(listen)).map_err(unwritable)?;
         Ok(file)
     }
 }
 
 impl Drop for Workspace {
     fn drop(&mut self) {
-        // What is left over is only a few files in the system's temporary directory.
+        // On failure only a few files remain in the system's temporary directory.
         let _ = fs::remove_dir_all(&self.path);
     }
 }
 
-/// A running balancer; killed when dropped.
+/// A running balancer. It is killed when dropped.
 pub struct BalancerProcess {
     /// The process.
     pub process: ChildProcess,
-    /// Where it serves callers.
+    /// Where it serves clients.
     pub address: SocketAddr,
 }
 
 impl BalancerProcess {
-    /// Starts a balancer; [`BalancerProcess::ready`] tells when it serves.
+    /// Starts a balancer. [`BalancerProcess::wait_until_ready`] returns when it serves.
     pub fn start(
         deployment: &Deployment,
         workspace: &Workspace,
@@ -126,21 +126,23 @@
     }
 
     /// Waits until the balancer serves.
-    pub async fn ready(&mut self) -> Result<(), ScaleError> {
-        let pool = Pool::new(self.address, 0);
-        let started = Instant::now();
-        while !matches!(pool.status(READY).await, Ok(StatusCode::OK)) {
+    pub async fn wait_until_ready(&mut self) -> Result<(), ScaleError> {
+        let pool = ConnectionPool::new(self.address, 0);
+        let started_at = Instant::now();
+        while !matches!(pool.status(READY_PATH).await, Ok(StatusCode::OK)) {
             self.process.ensure_running()?;
-            if started.elapsed() > READY_WITHIN {
-                let (name, seconds) = (self.process.name().to_string(), READY_WITHIN.as_secs());
-                return Err(ScaleError::NotReady { name, seconds });
+            if started_at.elapsed() > READY_TIMEOUT {
+                return Err(ScaleError::NotReady {
+                    name: self.process.name().to_string(),
+                    seconds: READY_TIMEOUT.as_secs(),
+                });
             }
-            tokio::time::sleep(READY_PAUSE).await;
+            tokio::time::sleep(READY_POLL_INTERVAL).await;
         }
         Ok(())
     }
 }
 
 fn free_address() -> io::Result<SocketAddr> {
-    TcpListener::bind((LISTEN, 0))?.local_addr()
+    TcpListener::bind((LISTEN_ADDRESS, 0))?.local_addr()
 }
--- a/scale/src/balancer/configuration.rs
+++ b/scale/src/balancer/configuration.rs
@@ -1,18 +1,26 @@
-//! What a balancer is told at its start, in the deployment's JSON form.
+//! The configuration file of a balancer. Its keys are those of the deployment.
 use crate::client::{CallKind, TENANT};
-use crate::experiment::Membership;
+use crate::experiment::DiscoveryMode;
 use serde::Serialize;
 use std::net::SocketAddr;
 
 /// Limits of the platform on scored days.
 const MEMORY_MB: u32 = 192;
 const SOCKETS: u32 = 1024;
-/// Answers after this earn nothing in full.
+const CORES: f64 = 1.0;
+/// A later response earns only a fraction of its value.
 const OBJECTIVE_MS: u32 = 1000;
+const LATE_WEIGHT: f64 = 0.5;
 const IDLE_CLOSE_MS: u32 = 60_000;
-/// The names that all stand-ins use.
+const MAX_RETRY_AFTER_MS: u32 = 2000;
+const DRAIN_GRACE_MS: u32 = 1000;
+const SLOW_START_INITIAL_FRACTION: f64 = 0.3;
+const SLOW_START_DURATION_MS: u32 = 9000;
+const SLOW_START_OVERLOAD_FACTOR: u32 = 4;
+const SLOW_START_OVERLOAD_WINDOW_MS: u32 = 1000;
+/// The zone of all stand-ins.
 pub const ZONE: &str = "a";
-/// The machine kind that all stand-ins use.
+/// The machine kind of all stand-ins.
 pub const MACHINE_KIND: &str = "m";
 
 /// What differs between balancers.
@@ -20,24 +28,24 @@
 pub struct Configuration {
     /// Its name, unique in a run.
     pub name: String,
-    /// Where its discovery is.
+    /// The address of its discovery.
     pub discovery: SocketAddr,
-    /// Feeds its random choices.
+    /// Seed of its random choices.
     pub seed: u64,
     /// The tier it sends into, counted from 0.
     pub tier: u32,
-    /// Balancers of the same tier.
+    /// Number of balancers of the same tier.
     pub balancers: u32,
-    /// Its number among them.
+    /// Its index among them.
     pub index: u32,
     /// Calls a second of the tenant over all balancers of the tier.
     pub quota_per_second: f64,
-    /// Most attempts for one call.
-    pub attempts_cap: u32,
-    /// The longest that a caller waits.
+    /// Maximum number of attempts for one call.
+    pub max_attempts: u32,
+    /// How long a client waits.
     pub deadline_ms: u32,
-    /// How it learns of endpoints.
-    pub membership: Membership,
+    /// How it receives the endpoint list.
+    pub discovery_mode: DiscoveryMode,
 }
 
 #[derive(Serialize)]
@@ -61,9 +69,12 @@
 struct Settings {
     balancers: u32,
     index: u32,
-    stage: u32,
-    membership_mode: Membership,
-    dcs: [&'static str; 1],
+    #[serde(rename = "stage")]
+    tier: u32,
+    #[serde(rename = "membership_mode")]
+    discovery_mode: DiscoveryMode,
+    #[serde(rename = "dcs")]
+    zones: [&'static str; 1],
     kinds: [&'static str; 1],
     classes: [Class; 2],
     tenants: [Tenant; 1],
@@ -74,39 +85,60 @@
 #[derive(Serialize)]
 struct Class {
     name: &'static str,
-    objective: u32,
-    deadline: u32,
-    effect: &'static str,
-    late_worth: f64,
+    #[serde(rename = "objective")]
+    objective_ms: u32,
+    #[serde(rename = "deadline")]
+    deadline_ms: u32,
+    #[serde(rename = "effect")]
+    idempotency: Idempotency,
+    #[serde(rename = "late_worth")]
+    late_weight: f64,
+}
+
+#[derive(Serialize)]
+enum Idempotency {
+    #[serde(rename = "free")]
+    Idempotent,
+    #[serde(rename = "single_shot")]
+    NonIdempotent,
 }
 
 #[derive(Serialize)]
 struct Tenant {
     name: &'static str,
-    share: f64,
+    #[serde(rename = "share")]
+    weight: f64,
     quota_per_s: f64,
 }
 
 #[derive(Serialize)]
 struct Permissions {
-    attempts_cap: u32,
+    #[serde(rename = "attempts_cap")]
+    max_attempts: u32,
     cancel: bool,
     retry_after: bool,
-    max_retry_after: u32,
-    idle_close: u32,
+    #[serde(rename = "max_retry_after")]
+    max_retry_after_ms: u32,
+    #[serde(rename = "idle_close")]
+    idle_close_ms: u32,
 }
 
 #[derive(Serialize)]
 struct Invariants {
-    cold_from: f64,
-    ramp_time: u32,
-    tip_multiple: u32,
-    fall: u32,
-    drain_grace: u32,
+    #[serde(rename = "cold_from")]
+    slow_start_initial_fraction: f64,
+    #[serde(rename = "ramp_time")]
+    slow_start_duration_ms: u32,
+    #[serde(rename = "tip_multiple")]
+    slow_start_overload_factor: u32,
+    #[serde(rename = "fall")]
+    slow_start_overload_window_ms: u32,
+    #[serde(rename = "drain_grace")]
+    drain_grace_ms: u32,
 }
 
 impl Configuration {
-    /// The configuration file of a balancer that listens at this address.
+    /// The configuration file of a balancer that listens on this address.
     pub fn to_json(&self, listen: SocketAddr) -> Vec<u8> {
         let file = File {
             name: &self.name,
@@ -114,13 +146,13 @@
             discovery: self.discovery,
             seed: format!("{:016x}", self.seed),
             limits: Limits {
-                cores: 1.0,
+                cores: CORES,
                 memory_mb: MEMORY_MB,
                 sockets: SOCKETS,
             },
             settings: self.settings(),
         };
-        // Strings, numbers and structs of these always have a form in JSON.
+        // Strings, numbers and structs of these always serialize.
         serde_json::to_vec(&file).unwrap_or_default()
     }
 
@@ -128,44 +160,43 @@
         Settings {
             balancers: self.balancers,
             index: self.index,
-            stage: self.tier,
-            membership_mode: self.membership,
-            dcs: [ZONE],
+            tier: self.tier,
+            discovery_mode: self.discovery_mode,
+            zones: [ZONE],
             kinds: [MACHINE_KIND],
             classes: [
-                self.class(CallKind::Read, "free"),
-                self.class(CallKind::Order, "single_shot"),
+                self.class(CallKind::Read, Idempotency::Idempotent),
+                self.class(CallKind::Order, Idempotency::NonIdempotent),
             ],
             tenants: [Tenant {
                 name: TENANT,
-                share: 1.0,
+                weight: 1.0,
                 quota_per_s: self.quota_per_second,
             }],
             permissions: Permissions {
-                attempts_cap: self.attempts_cap,
+                max_attempts: self.max_attempts,
                 cancel: true,
                 retry_after: true,
-                max_retry_after: 2000,
-                idle_close: IDLE_CLOSE_MS,
+                max_retry_after_ms: MAX_RETRY_AFTER_MS,
+                idle_close_ms: IDLE_CLOSE_MS,
             },
             invariants: Invariants {
-                cold_from: 0.3,
-                ramp_time: 9000,
-                tip_multiple: 4,
-                fall: 1000,
-                drain_grace: 1000,
+                slow_start_initial_fraction: SLOW_START_INITIAL_FRACTION,
+                slow_start_duration_ms: SLOW_START_DURATION_MS,
+                slow_start_overload_factor: SLOW_START_OVERLOAD_FACTOR,
+                slow_start_overload_window_ms: SLOW_START_OVERLOAD_WINDOW_MS,
+                drain_grace_ms: DRAIN_GRACE_MS,
             },
         }
     }
 
-    fn class(&self, kind: CallKind, effect: &'static str) -> Class {
-        let objective = OBJECTIVE_MS.min(self.deadline_ms);
+    fn class(&self, kind: CallKind, idempotency: Idempotency) -> Class {
         Class {
             name: kind.class(),
-            objective,
-            deadline: self.deadline_ms,
-            effect,
-            late_worth: 0.5,
+            objective_ms: OBJECTIVE_MS.min(self.deadline_ms),
+            deadline_ms: self.deadline_ms,
+            idempotency,
+            late_weight: LATE_WEIGHT,
         }
     }
 }
--- a/scale/src/cli.rs
+++ b/scale/src/cli.rs
@@ -9,7 +9,7 @@
 use std::fs;
 use std::path::{Path, PathBuf};
 
-/// Threads for the stand-ins; the balancers have processes of their own.
+/// Threads for the stand-ins. The balancers run in other processes.
 const STAND_IN_THREADS: usize = 4;
 
 /// Measures how a balancer's costs grow with size, on loopback.
@@ -45,7 +45,7 @@
     },
 }
 
-/// Carries out what the command line asks for.
+/// Executes the command.
 pub fn execute(arguments: Arguments) -> Result<(), ScaleError> {
     match arguments.command {
         Command::Run {
@@ -76,10 +76,10 @@
         .enable_all()
         .build()?;
     let report = runtime.block_on(run::run(experiment, deployment))?;
-    publish(&report, out)
+    write_report(&report, out)
 }
 
-fn publish(report: &Report, out: Option<&Path>) -> Result<(), ScaleError> {
+fn write_report(report: &Report, out: Option<&Path>) -> Result<(), ScaleError> {
     let json = serde_json::to_string(report)?;
     match out {
         None => println!("{json}"),
@@ -102,6 +102,6 @@
         .json()
         .with_writer(std::io::stderr)
         .finish();
-    // Only a second logger in the same process is refused, and then the first one goes on.
+    // This fails only if the process already has a logger, which then stays in use.
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
--- a/scale/src/client.rs
+++ b/scale/src/client.rs
@@ -1,12 +1,13 @@
-//! Calls in the form of the protocol, over connections that are kept for the next call.
+//! Calls in the form of the protocol, over connections that are reused for later calls.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
+use hyper::body::Incoming;
 use hyper::client::conn::http1::{self, SendRequest};
-use hyper::{header, Method, Request, StatusCode};
+use hyper::{header, Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::{Mutex, PoisonError};
+use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 use tokio::net::TcpStream;
 
@@ -16,11 +17,13 @@
 const PATH: &str = "/api";
 /// Spreads consecutive numbers over all request ids (the golden ratio in 64 bits).
 const ID_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
+/// The seed of a pool stands in the bits of its request numbers from here on.
+const SEED_SHIFT: u32 = 40;
 
-/// Whether a call may be repeated; decides its class and its method.
+/// Whether a call is idempotent; decides its class and its method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallKind {
-    /// GET: may be repeated.
+    /// GET: idempotent.
     Read,
     /// POST: must not run twice.
     Order,
@@ -50,12 +53,12 @@
     }
 }
 
-/// What a call goes out on.
+/// The connection that carries a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// A connection made for it, closed after it.
+    /// A new connection that is closed after the call.
     New,
-    /// One that stood idle, if there is one.
+    /// An idle connection, if there is one.
     Idle,
 }
 
@@ -64,153 +67,144 @@
 pub struct Call {
     /// Its class.
     pub kind: CallKind,
-    /// The connection that it wants.
+    /// The connection that it asks for.
     pub connection: ConnectionUse,
-    /// How long the caller waits.
-    pub deadline: Duration,
-    /// The body; empty for a call that may be repeated.
+    /// How long the client waits.
+    pub timeout: Duration,
+    /// The body; empty for an idempotent call.
     pub body: Bytes,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Clone, Debug)]
-pub struct CallAnswer {
+pub struct CallResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its body.
     pub body: Bytes,
-    /// What the call went out on in the end.
+    /// The connection that carried the call in the end.
     pub connection: ConnectionUse,
 }
 
-/// Why no whole answer came.
+/// Why a call got no complete response.
 #[derive(Debug, thiserror::Error)]
 pub enum CallError {
-    /// The connection did not come up.
+    /// The connection was not established.
     #[error("not connected: {0}")]
     Connect(#[from] std::io::Error),
     /// The connection broke.
-    #[error("broken off: {0}")]
+    #[error("connection broken: {0}")]
     Http(#[from] hyper::Error),
     /// The request has no valid form.
-    #[error("not a request: {0}")]
+    #[error("invalid request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The caller has waited for its deadline.
-    #[error("no answer within the deadline")]
-    Deadline,
+    /// The client's timeout has passed.
+    #[error("no response within the timeout")]
+    Timeout,
 }
 
 type Connection = SendRequest<Full<Bytes>>;
 
 /// Connections to one address.
-pub struct Pool {
+pub struct ConnectionPool {
     address: SocketAddr,
     idle: Mutex<Vec<Connection>>,
-    /// Numbers the requests; begins at a number of its own so that ids of several pools differ.
-    next_id: AtomicU64,
+    /// Numbers the requests. Starts at a number that depends on the seed, so that ids of different pools differ.
+    next_number: AtomicU64,
 }
 
-impl Pool {
-    /// No connections yet; `seed` sets this pool's request ids apart from those of others.
-    pub fn new(address: SocketAddr, seed: u64) -> Pool {
-        Pool {
+impl ConnectionPool {
+    /// A pool without connections. `seed` makes its request ids differ from those of other pools.
+    pub fn new(address: SocketAddr, seed: u64) -> ConnectionPool {
+        ConnectionPool {
             address,
             idle: Mutex::default(),
-            next_id: AtomicU64::new(seed << 40),
+            next_number: AtomicU64::new(seed << SEED_SHIFT),
         }
     }
 
-    /// Sends a call and waits for its whole answer, for its deadline at most.
-    pub async fn call(&self, call: &Call) -> Result<CallAnswer, CallError> {
-        let answered = tokio::time::timeout(call.deadline, self.exchange(call));
-        answered.await.map_err(|_| CallError::Deadline)?
+    /// Sends a call and waits for its complete response, at most for its timeout.
+    pub async fn call(&self, call: &Call) -> Result<CallResponse, CallError> {
+        tokio::time::timeout(call.timeout, self.exchange(call))
+            .await
+            .map_err(|_| CallError::Timeout)?
     }
 
-    /// The status of a request that is no call.
+    /// The status of the response to a plain GET request.
     pub async fn status(&self, path: &str) -> Result<StatusCode, CallError> {
         let request = Request::get(path).header(header::HOST, self.address.to_string());
         let mut connection = self.connect().await?;
-        let answer = connection
+        let response = connection
             .send_request(request.body(Full::default())?)
             .await?;
-        Ok(answer.status())
+        Ok(response.status())
     }
 
-    async fn exchange(&self, call: &Call) -> Result<CallAnswer, CallError> {
-        let mut request = self.request(call)?;
-        if call.connection == ConnectionUse::Idle {
-            while let Some(mut connection) = self.take_idle() {
-                if connection.ready().await.is_err() {
-                    continue;
-                }
-                match connection.try_send_request(request).await {
-                    Ok(answer) => {
-                        return self
-                            .finish(connection, answer, ConnectionUse::Idle, true)
-                            .await
-                    }
-                    Err(mut error) => match error.take_message() {
-                        // The other side closed the connection before it read anything of the request.
-                        Some(unsent) => request = unsent,
-                        None => return Err(error.into_error().into()),
-                    },
-                }
+    async fn exchange(&self, call: &Call) -> Result<CallResponse, CallError> {
+        let request = self.build_request(call)?;
+        match call.connection {
+            ConnectionUse::Idle => self.exchange_on_idle(request).await,
+            ConnectionUse::New => {
+                let mut connection = self.connect().await?;
+                let response = connection.send_request(request).await?;
+                read_response(response, ConnectionUse::New).await
             }
         }
-        let mut connection = self.connect().await?;
-        let answer = connection.send_request(request).await?;
-        self.finish(
-            connection,
-            answer,
-            ConnectionUse::New,
-            call.connection == ConnectionUse::Idle,
-        )
-        .await
     }
 
-    async fn finish(
+    /// Uses an idle connection, or a new one where there is none; it is idle again afterwards.
+    async fn exchange_on_idle(
         &self,
-        connection: Connection,
-        answer: hyper::Response<hyper::body::Incoming>,
-        used: ConnectionUse,
-        keep: bool,
-    ) -> Result<CallAnswer, CallError> {
-        let status = answer.status();
-        let body = answer.into_body().collect().await?.to_bytes();
-        if keep {
-            self.idle
-                .lock()
-                .unwrap_or_else(PoisonError::into_inner)
-                .push(connection);
+        mut request: Request<Full<Bytes>>,
+    ) -> Result<CallResponse, CallError> {
+        while let Some(mut connection) = self.pop_idle() {
+            if connection.ready().await.is_err() {
+                continue;
+            }
+            match connection.try_send_request(request).await {
+                Ok(response) => {
+                    let received = read_response(response, ConnectionUse::Idle).await?;
+                    self.push_idle(connection);
+                    return Ok(received);
+                }
+                Err(mut error) => match error.take_message() {
+                    // The other side closed the connection before it read anything of the request.
+                    Some(unsent) => request = unsent,
+                    None => return Err(error.into_error().into()),
+                },
+            }
         }
-        Ok(CallAnswer {
-            status,
-            body,
-            connection: used,
-        })
+        let mut connection = self.connect().await?;
+        let response = connection.send_request(request).await?;
+        let received = read_response(response, ConnectionUse::New).await?;
+        self.push_idle(connection);
+        Ok(received)
     }
 
-    fn take_idle(&self) -> Option<Connection> {
-        self.idle
-            .lock()
-            .unwrap_or_else(PoisonError::into_inner)
-            .pop()
+    fn pop_idle(&self) -> Option<Connection> {
+        self.lock_idle().pop()
+    }
+
+    fn push_idle(&self, connection: Connection) {
+        self.lock_idle().push(connection);
+    }
+
+    fn lock_idle(&self) -> MutexGuard<'_, Vec<Connection>> {
+        self.idle.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     async fn connect(&self) -> Result<Connection, CallError> {
         let stream = TcpStream::connect(self.address).await?;
         stream.set_nodelay(true)?;
         let (connection, driver) = http1::handshake(TokioIo::new(stream)).await?;
-        // Ends with the connection's sender.
+        // The driver ends when the connection's sender is dropped.
         tokio::spawn(driver);
         Ok(connection)
     }
 
-    fn request(&self, call: &Call) -> Result<Request<Full<Bytes>>, CallError> {
-        let id = self
-            .next_id
-            .fetch_add(1, Ordering::Relaxed)
-            .wrapping_mul(ID_STEP);
+    fn build_request(&self, call: &Call) -> Result<Request<Full<Bytes>>, CallError> {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let id = number.wrapping_mul(ID_STEP);
         let mut request = Request::builder()
             .method(call.kind.method())
             .uri(PATH)
@@ -218,10 +212,23 @@
             .header("req-id", format!("{id:016x}"))
             .header("req-kind", call.kind.class())
             .header("req-owner", TENANT)
-            .header("req-deadline", format!("{}u", call.deadline.as_micros()));
+            .header("req-deadline", format!("{}u", call.timeout.as_micros()));
         if call.connection == ConnectionUse::New {
             request = request.header(header::CONNECTION, "close");
         }
         Ok(request.body(Full::new(call.body.clone()))?)
     }
 }
+
+async fn read_response(
+    response: Response<Incoming>,
+    connection: ConnectionUse,
+) -> Result<CallResponse, CallError> {
+    let status = response.status();
+    let body = response.into_body().collect().await?.to_bytes();
+    Ok(CallResponse {
+        status,
+        body,
+        connection,
+    })
+}
--- a/scale/src/discovery.rs
+++ b/scale/src/discovery.rs
@@ -1,9 +1,9 @@
-//! A stand-in for discovery: whole lists, watches and deltas as the protocol describes them.
-pub mod churn;
+//! A stand-in for discovery: snapshots, watches and deltas as the protocol describes them.
+pub mod endpoint_changes;
 pub mod registry;
 
-use crate::counted::Traffic;
-use crate::server::{answer, Answer, Server};
+use crate::server::{response, Server, StandInResponse};
+use crate::traffic::Traffic;
 use hyper::body::Incoming;
 use hyper::service::service_fn;
 use hyper::{Request, StatusCode};
@@ -16,101 +16,126 @@
 use std::time::Duration;
 
 const PATH: &str = "/api/targets";
-/// A watch waits this long at most, whatever it asks for.
-const MAX_WAIT: Duration = Duration::from_secs(60);
-/// No version: what a connection has acknowledged before its first watch.
-const NONE: u64 = u64::MAX;
+/// A watch waits at most this long, whatever timeout it asks for.
+const MAX_WATCH_TIMEOUT: Duration = Duration::from_secs(60);
+/// Stands for the version that a connection has acknowledged before its first watch.
+const NO_VERSION: u64 = u64::MAX;
 
-/// A running discovery; it ends when dropped.
+/// A running discovery. It ends when dropped.
 pub struct Discovery {
     server: Server,
-    /// What it lists.
-    pub registry: Arc<Registry>,
+    traffic: Arc<Traffic>,
+    registry: Arc<Registry>,
 }
 
 impl Discovery {
-    /// Lists these endpoints; a watch from before the last `history` changes is answered with the whole list.
+    /// Lists these endpoints. A watch from before the last `history` changes is answered with a snapshot.
     pub fn start(endpoints: Vec<Endpoint>, history: usize) -> io::Result<Discovery> {
         let registry = Arc::new(Registry::new(endpoints, history));
-        let shared = registry.clone();
-        // The server is made before its traffic can be handed to its sessions, which count messages.
-        let messages = Arc::new(std::sync::OnceLock::<Arc<Traffic>>::new());
-        let traffic = messages.clone();
-        let server = Server::start(move || {
-            let (registry, traffic) = (shared.clone(), traffic.clone());
-            let acknowledged = Arc::new(AtomicU64::new(NONE));
+        let traffic = Arc::new(Traffic::default());
+        let session_registry = registry.clone();
+        let session_traffic = traffic.clone();
+        let server = Server::start_counting(traffic.clone(), move || {
+            let session = Arc::new(Session {
+                registry: session_registry.clone(),
+                traffic: session_traffic.clone(),
+                acknowledged_version: AtomicU64::new(NO_VERSION),
+            });
             service_fn(move |request| {
-                let (registry, traffic) = (registry.clone(), traffic.clone());
-                let acknowledged = acknowledged.clone();
-                async move {
-                    let answer = respond(&registry, &acknowledged, request).await;
-                    if let Some(traffic) = traffic.get() {
-                        traffic.record_message();
-                    }
-                    Ok::<_, Infallible>(answer)
-                }
+                let session = session.clone();
+                async move { Ok::<_, Infallible>(session.serve(request).await) }
             })
         })?;
-        // Nothing else sets it.
-        let _ = messages.set(server.traffic.clone());
-        Ok(Discovery { server, registry })
+        Ok(Discovery {
+            server,
+            traffic,
+            registry,
+        })
     }
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.server.address
+        self.server.address()
     }
 
-    /// What it has exchanged with its clients.
+    /// The bytes and messages exchanged with its clients.
     pub fn traffic(&self) -> &Traffic {
-        &self.server.traffic
+        &self.traffic
+    }
+
+    /// The endpoint list.
+    pub fn registry(&self) -> &Registry {
+        &self.registry
     }
 }
 
-/// What a request asks for.
-struct Watch {
-    since: Option<u64>,
-    wait: Duration,
+/// One connection of a balancer.
+struct Session {
+    registry: Arc<Registry>,
+    traffic: Arc<Traffic>,
+    /// The version that the balancer had in force at its latest watch.
+    acknowledged_version: AtomicU64,
 }
 
-impl Watch {
-    fn read(query: &str) -> Option<Watch> {
-        let mut watch = Watch {
-            since: None,
-            wait: Duration::ZERO,
+impl Session {
+    async fn serve(&self, request: Request<Incoming>) -> StandInResponse {
+        let response = self.respond(request).await;
+        self.traffic.record_message();
+        response
+    }
+
+    async fn respond(&self, request: Request<Incoming>) -> StandInResponse {
+        if request.uri().path() != PATH {
+            return response(StatusCode::NOT_FOUND, "");
+        }
+        let Some(query) = ListQuery::parse(request.uri().query().unwrap_or_default()) else {
+            return response(StatusCode::BAD_REQUEST, "");
+        };
+        let Some(since) = query.since else {
+            return response(StatusCode::OK, self.registry.snapshot());
         };
+        self.acknowledge(since);
+        self.registry
+            .wait_for_change(since, query.watch_timeout)
+            .await;
+        response(StatusCode::OK, self.registry.changes_since(since))
+    }
+
+    /// A balancer that asks for the changes since a version has that version in force.
+    fn acknowledge(&self, version: u64) {
+        let previous = self.acknowledged_version.swap(version, Ordering::Relaxed);
+        if previous == NO_VERSION {
+            self.registry.record_watcher();
+        } else {
+            self.registry.acknowledge(previous, version);
+        }
+    }
+}
+
+/// The query of a request for the endpoint list.
+struct ListQuery {
+    /// Asks for the changes since this version; none: for a snapshot.
+    since: Option<u64>,
+    /// How long to wait for a change.
+    watch_timeout: Duration,
+}
+
+impl ListQuery {
+    fn parse(query: &str) -> Option<ListQuery> {
+        let mut since = None;
+        let mut watch_timeout = Duration::ZERO;
         for pair in query.split('&').filter(|pair| !pair.is_empty()) {
             match pair.split_once('=')? {
-                ("since", version) => watch.since = Some(version.parse().ok()?),
-                ("timeout_ms", wait) => watch.wait = Duration::from_millis(wait.parse().ok()?),
+                ("since", version) => since = Some(version.parse().ok()?),
+                ("timeout_ms", millis) => {
+                    watch_timeout = Duration::from_millis(millis.parse().ok()?);
+                }
                 _ => {}
             }
         }
-        watch.wait = watch.wait.min(MAX_WAIT);
-        Some(watch)
-    }
-}
-
-async fn respond(
-    registry: &Registry,
-    acknowledged: &AtomicU64,
-    request: Request<Incoming>,
-) -> Answer {
-    if request.uri().path() != PATH {
-        return answer(StatusCode::NOT_FOUND, "");
-    }
-    let Some(watch) = Watch::read(request.uri().query().unwrap_or_default()) else {
-        return answer(StatusCode::BAD_REQUEST, "");
-    };
-    let Some(since) = watch.since else {
-        return answer(StatusCode::OK, registry.whole());
-    };
-    // A balancer that asks for what follows a version has that version in force.
-    let before = acknowledged.swap(since, Ordering::Relaxed);
-    match before {
-        NONE => registry.record_watcher(),
-        before => registry.acknowledge(before, since),
+        Some(ListQuery {
+            since,
+            watch_timeout: watch_timeout.min(MAX_WATCH_TIMEOUT),
+        })
     }
-    registry.changed(since, watch.wait).await;
-    answer(StatusCode::OK, registry.changes(since))
 }
--- a/scale/src/discovery/registry.rs
+++ b/scale/src/discovery/registry.rs
@@ -1,4 +1,4 @@
-//! The list of endpoints, its versions, and who has acknowledged them when.
+//! The endpoint list, its versions, and when balancers acknowledged them.
 use crate::balancer::configuration::{MACHINE_KIND, ZONE};
 use bytes::Bytes;
 use serde::Serialize;
@@ -9,95 +9,123 @@
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 use tokio::sync::watch;
 
-/// The version of the list as a run begins.
+/// The version of the list at the start of a run.
 const FIRST_VERSION: u64 = 1;
 
-/// Whether an endpoint takes work.
+/// Whether an endpoint accepts work. The names on the wire are those of the protocol.
 #[derive(Clone, Copy, Debug, Serialize, PartialEq, Eq)]
-#[serde(rename_all = "snake_case")]
 pub enum EndpointState {
-    /// Takes new work.
+    /// Accepts new work.
+    #[serde(rename = "active")]
     Active,
-    /// Finishes what it has.
-    Leaving,
-    /// Is gone; told among changes only.
-    Left,
+    /// Finishes the work in flight.
+    #[serde(rename = "leaving")]
+    Draining,
+    /// Is gone; appears in deltas only.
+    #[serde(rename = "left")]
+    Removed,
 }
 
-/// One line of the list.
+/// An entry of the list, in the form of the protocol.
 #[derive(Clone, Debug, Serialize)]
 pub struct Endpoint {
     id: String,
-    addr: SocketAddr,
+    #[serde(rename = "addr")]
+    address: SocketAddr,
     zone: &'static str,
     kind: &'static str,
-    cell: u16,
+    #[serde(rename = "cell")]
+    group: u16,
     state: EndpointState,
     weight: f64,
-    started_ms: u64,
+    /// Milliseconds since the epoch; zero: long ago.
+    #[serde(rename = "started_ms")]
+    started_at_ms: u64,
 }
 
 impl Endpoint {
     /// An active endpoint that started long ago.
-    pub fn new(number: usize, addr: SocketAddr) -> Endpoint {
+    pub fn new(number: usize, address: SocketAddr) -> Endpoint {
         Endpoint {
             id: format!("s-{number:08x}"),
-            addr,
+            address,
             zone: ZONE,
             kind: MACHINE_KIND,
-            cell: 0,
+            group: 0,
             state: EndpointState::Active,
             weight: 1.0,
-            started_ms: 0,
+            started_at_ms: 0,
         }
     }
+
+    /// Moves on to the next state: active, draining, removed, and active again as just started.
+    fn advance(&mut self) {
+        self.state = match self.state {
+            EndpointState::Active => EndpointState::Draining,
+            EndpointState::Draining => EndpointState::Removed,
+            EndpointState::Removed => {
+                self.started_at_ms = unix_time_ms();
+                EndpointState::Active
+            }
+        };
+    }
 }
 
+/// A response with the endpoint list, in the form of the protocol.
 #[derive(Serialize)]
-struct Listing<'a> {
+struct EndpointList<'a> {
     version: u64,
-    full: bool,
-    servers: Vec<&'a Endpoint>,
+    #[serde(rename = "full")]
+    is_snapshot: bool,
+    #[serde(rename = "servers")]
+    endpoints: Vec<&'a Endpoint>,
 }
 
 /// A change, and how long after it each balancer had it in force.
 #[derive(Clone, Debug)]
 pub struct PublishedChange {
-    /// When discovery had it.
-    pub published: Instant,
-    /// One time for each balancer that has acknowledged it.
-    pub acknowledged: Vec<Duration>,
+    /// When the change was published.
+    pub published_at: Instant,
+    /// One time for each balancer that has acknowledged the change.
+    pub acknowledged_after: Vec<Duration>,
 }
 
-/// The list and all that is known about its versions.
+/// The endpoint list with its latest changes.
 pub struct Registry {
     state: Mutex<State>,
+    /// Sends the present version to waiting watches.
     version: watch::Sender<u64>,
-    /// Connections that have begun to watch.
+    /// Connections that have started to watch.
     watchers: AtomicUsize,
 }
 
+/// A change that a delta can still be made of.
+struct RecentChange {
+    version: u64,
+    position: usize,
+}
+
 struct State {
     endpoints: Vec<Endpoint>,
-    /// The latest changes: the version that each made and the endpoint's position.
-    history: VecDeque<(u64, usize)>,
-    history_most: usize,
+    /// The latest changes, the oldest first.
+    history: VecDeque<RecentChange>,
+    max_history: usize,
     version: u64,
     changes: Vec<PublishedChange>,
-    /// Answers for the present version, by what they follow.
-    answers: HashMap<Option<u64>, Bytes>,
+    /// Responses for the present version, by the version that they start from; none: snapshots.
+    responses: HashMap<Option<u64>, Bytes>,
 }
 
 impl Registry {
-    /// Lists these endpoints and remembers so many changes.
-    pub fn new(endpoints: Vec<Endpoint>, history_most: usize) -> Registry {
+    /// Lists these endpoints and remembers at most `max_history` changes.
+    pub fn new(endpoints: Vec<Endpoint>, max_history: usize) -> Registry {
         let state = State {
             endpoints,
             history: VecDeque::new(),
-            history_most,
+            max_history,
             version: FIRST_VERSION,
             changes: Vec::new(),
-            answers: HashMap::new(),
+            responses: HashMap::new(),
         };
         Registry {
             state: Mutex::new(state),
@@ -106,130 +134,135 @@
         }
     }
 
-    /// How many endpoints there are, those that left too.
-    pub fn endpoints(&self) -> usize {
-        self.state().endpoints.len()
+    /// How many endpoints there are, including removed ones.
+    pub fn endpoint_count(&self) -> usize {
+        self.lock_state().endpoints.len()
     }
 
-    /// Moves an endpoint on: from active to leaving, to left, and back as just started.
-    pub fn change(&self, position: usize) {
-        let mut state = self.state();
-        let endpoint = &mut state.endpoints[position];
-        endpoint.state = match endpoint.state {
-            EndpointState::Active => EndpointState::Leaving,
-            EndpointState::Leaving => EndpointState::Left,
-            EndpointState::Left => {
-                endpoint.started_ms = unix_ms();
-                EndpointState::Active
-            }
-        };
-        state.version += 1;
-        let version = state.version;
-        state.history.push_back((version, position));
-        if state.history.len() > state.history_most {
-            state.history.pop_front();
-        }
-        state.answers.clear();
-        state.changes.push(PublishedChange {
-            published: Instant::now(),
-            acknowledged: Vec::new(),
-        });
-        self.version.send_replace(version);
+    /// Moves an endpoint on: from active to draining, to removed, and back to active as just started.
+    pub fn advance_endpoint(&self, position: usize) {
+        let mut state = self.lock_state();
+        state.endpoints[position].advance();
+        state.publish_change(position);
+        self.version.send_replace(state.version);
     }
 
-    /// Waits until there is something newer than `since`, for so long at most.
-    pub async fn changed(&self, since: u64, wait: Duration) {
+    /// Waits until the version differs from `since`, at most for `timeout`.
+    pub async fn wait_for_change(&self, since: u64, timeout: Duration) {
         let mut versions = self.version.subscribe();
-        // Both a change and the end of the wait are answered.
-        let _ = tokio::time::timeout(wait, versions.wait_for(|&version| version != since)).await;
+        // A change and the timeout are answered alike.
+        let _ = tokio::time::timeout(timeout, versions.wait_for(|&version| version != since)).await;
     }
 
-    /// The whole list.
-    pub fn whole(&self) -> Bytes {
-        self.state().answer(None)
+    /// A response with the complete list.
+    pub fn snapshot(&self) -> Bytes {
+        self.lock_state().response(None)
     }
 
-    /// What follows this version; the whole list where that is not known any more.
-    pub fn changes(&self, since: u64) -> Bytes {
-        let mut state = self.state();
-        let known = state.knows(since);
-        state.answer(known.then_some(since))
+    /// A response with the changes since this version, or with the complete list if they are no longer remembered.
+    pub fn changes_since(&self, since: u64) -> Bytes {
+        let mut state = self.lock_state();
+        let remembered = state.remembers(since);
+        state.response(remembered.then_some(since))
     }
 
-    /// Counts a connection that has begun to watch.
+    /// Counts a connection that has started to watch.
     pub fn record_watcher(&self) {
         self.watchers.fetch_add(1, Ordering::Relaxed);
     }
 
-    /// How many connections have begun to watch, those that are gone too.
+    /// How many connections have started to watch, including closed ones.
     pub fn watchers(&self) -> usize {
         self.watchers.load(Ordering::Relaxed)
     }
 
-    /// A balancer that had version `before` in force now has `since`.
-    pub fn acknowledge(&self, before: u64, since: u64) {
-        if before >= since {
+    /// Records that a balancer that had version `previous` in force now has version `current`.
+    pub fn acknowledge(&self, previous: u64, current: u64) {
+        if previous >= current {
             return;
         }
-        let mut state = self.state();
+        let mut state = self.lock_state();
         let position = |version: u64| version.saturating_sub(FIRST_VERSION) as usize;
-        let last = position(since).min(state.changes.len());
-        let first = position(before).min(last);
-        for change in &mut state.changes[first..last] {
-            change.acknowledged.push(change.published.elapsed());
+        let end = position(current).min(state.changes.len());
+        let start = position(previous).min(end);
+        for change in &mut state.changes[start..end] {
+            change
+                .acknowledged_after
+                .push(change.published_at.elapsed());
         }
     }
 
     /// All changes so far, the oldest first.
-    pub fn published(&self) -> Vec<PublishedChange> {
-        self.state().changes.clone()
+    pub fn published_changes(&self) -> Vec<PublishedChange> {
+        self.lock_state().changes.clone()
     }
 
-    fn state(&self) -> MutexGuard<'_, State> {
+    fn lock_state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
 impl State {
-    fn knows(&self, since: u64) -> bool {
+    /// Starts a new version with the changed endpoint at this position.
+    fn publish_change(&mut self, position: usize) {
+        self.version += 1;
+        self.history.push_back(RecentChange {
+            version: self.version,
+            position,
+        });
+        if self.history.len() > self.max_history {
+            self.history.pop_front();
+        }
+        self.responses.clear();
+        self.changes.push(PublishedChange {
+            published_at: Instant::now(),
+            acknowledged_after: Vec::new(),
+        });
+    }
+
+    /// Whether all changes since this version are in the history.
+    fn remembers(&self, since: u64) -> bool {
         let oldest = self
             .history
             .front()
-            .map_or(self.version, |(version, _)| version - 1);
+            .map_or(self.version, |change| change.version - 1);
         (oldest..=self.version).contains(&since)
     }
 
-    fn answer(&mut self, since: Option<u64>) -> Bytes {
-        if let Some(answer) = self.answers.get(&since) {
-            return answer.clone();
+    fn response(&mut self, since: Option<u64>) -> Bytes {
+        if let Some(response) = self.responses.get(&since) {
+            return response.clone();
         }
-        let answer = self.listing(since);
-        self.answers.insert(since, answer.clone());
-        answer
-    }
-
-    fn listing(&self, since: Option<u64>) -> Bytes {
-        let servers = match since {
-            None => self
-                .endpoints
-                .iter()
-                .filter(|e| e.state != EndpointState::Left)
-                .collect(),
-            Some(since) => self.changed_since(since),
+        let response = self.serialize_list(since);
+        self.responses.insert(since, response.clone());
+        response
+    }
+
+    fn serialize_list(&self, since: Option<u64>) -> Bytes {
+        let endpoints = match since {
+            None => self.listed_endpoints(),
+            Some(since) => self.changed_endpoints(since),
         };
-        let listing = Listing {
+        let list = EndpointList {
             version: self.version,
-            full: since.is_none(),
-            servers,
+            is_snapshot: since.is_none(),
+            endpoints,
         };
-        // Strings and numbers always have a form in JSON.
-        Bytes::from(serde_json::to_vec(&listing).unwrap_or_default())
+        // Strings and numbers always serialize.
+        Bytes::from(serde_json::to_vec(&list).unwrap_or_default())
+    }
+
+    fn listed_endpoints(&self) -> Vec<&Endpoint> {
+        self.endpoints
+            .iter()
+            .filter(|endpoint| endpoint.state != EndpointState::Removed)
+            .collect()
     }
 
-    /// Each endpoint that has changed, once, as it is now.
-    fn changed_since(&self, since: u64) -> Vec<&Endpoint> {
-        let newer = self.history.iter().filter(|(version, _)| *version > since);
-        let mut positions: Vec<usize> = newer.map(|(_, position)| *position).collect();
+    /// Each endpoint that has changed since this version, once, in its present state.
+    fn changed_endpoints(&self, since: u64) -> Vec<&Endpoint> {
+        let newer = self.history.iter().filter(|change| change.version > since);
+        let mut positions: Vec<usize> = newer.map(|change| change.position).collect();
         positions.sort_unstable();
         positions.dedup();
         positions
@@ -239,8 +272,8 @@
     }
 }
 
-fn unix_ms() -> u64 {
+fn unix_time_ms() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
-        .map_or(0, |since| since.as_millis() as u64)
+        .map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
--- a/scale/src/error.rs
+++ b/scale/src/error.rs
@@ -1,17 +1,17 @@
-//! Everything that can end a run before its time. Each message fits on one line.
+//! Why a run fails. Each message fits on one line.
+use std::error::Error;
 use std::io;
 use std::path::PathBuf;
-use thiserror::Error;
 
 /// Why a run did not start or did not finish.
-#[derive(Debug, Error)]
+#[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
-    /// A file that is needed cannot be read.
+    /// A required file cannot be read.
     #[error("{}: {source}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The cause.
         source: io::Error,
     },
     /// A file is not TOML, or holds an unknown key or a value of the wrong type.
@@ -19,52 +19,52 @@
     Malformed {
         /// The file.
         path: PathBuf,
-        /// Where in it.
+        /// The line, counted from one.
         line: usize,
-        /// What is wrong there.
+        /// The parser's message.
         message: String,
     },
-    /// A value of the experiment cannot be run.
-    #[error("{key}: {must}")]
-    Impossible {
+    /// A value of the experiment is invalid.
+    #[error("{key}: {requirement}")]
+    InvalidValue {
         /// The key at fault.
         key: &'static str,
-        /// What it must be.
-        must: String,
+        /// What the value must be.
+        requirement: String,
     },
     /// The balancer that the deployment file names has not been built.
     #[error("{} is missing: build it with `{build}`", program.display())]
     MissingBuild {
-        /// The program that is not there.
+        /// The program that is missing.
         program: PathBuf,
         /// The command that builds it.
         build: String,
     },
-    /// The report cannot be written.
+    /// A file cannot be written.
     #[error("{}: {source}", path.display())]
     Unwritable {
-        /// Where it should go.
+        /// The file.
         path: PathBuf,
-        /// What the system says.
+        /// The cause.
         source: io::Error,
     },
     /// The configuration of hollow balancers is not valid.
     #[error("configuration: {0}")]
-    Configuration(String),
+    Configuration(#[source] Box<dyn Error + Send + Sync>),
     /// A process could not be started.
     #[error("{name} did not start: {source}")]
     NotStarted {
         /// Its name.
         name: String,
-        /// What the system says.
+        /// The cause.
         source: io::Error,
     },
-    /// A process ended while it was needed.
+    /// A process exited during the run.
     #[error("{name} ended by itself ({status}): {log}")]
-    Ended {
+    ProcessExited {
         /// Its name.
         name: String,
-        /// How it ended.
+        /// Its exit status.
         status: String,
         /// The last line of its log.
         log: String,
@@ -74,7 +74,7 @@
     NotReady {
         /// Its name.
         name: String,
-        /// How long it was given.
+        /// The time allowed.
         seconds: u64,
     },
     /// The process table could not be read.
@@ -82,33 +82,33 @@
     Process {
         /// The process.
         pid: u32,
-        /// What the system says.
+        /// The cause.
         source: procfs::ProcError,
     },
-    /// The machine's figures could not be read.
+    /// The size of the machine's memory could not be read.
     #[error("the machine's memory: {0}")]
-    Machine(procfs::ProcError),
-    /// All processes together use more memory than a run may.
+    Machine(#[source] procfs::ProcError),
+    /// All processes together use more memory than a run may use.
     #[error("{used_mb:.0} MB are in use and {allowed_mb:.0} MB, half of the machine's memory, are allowed")]
     TooMuchMemory {
-        /// In use.
+        /// Memory in use.
         used_mb: f64,
-        /// Allowed.
+        /// Memory allowed.
         allowed_mb: f64,
     },
-    /// The run took far longer than its experiment says.
+    /// The run exceeded its time limit, in seconds.
     #[error("not finished after {0} s")]
-    TooLong(u64),
-    /// SIGINT or SIGTERM came.
+    TimeLimit(u64),
+    /// The process received SIGINT or SIGTERM.
     #[error("interrupted")]
     Interrupted,
     /// A socket of the stand-ins failed.
     #[error("sockets: {0}")]
     Socket(#[from] io::Error),
-    /// A part of the run ended by a panic.
+    /// A task panicked.
     #[error("a task failed: {0}")]
     Task(#[from] tokio::task::JoinError),
-    /// The report could not be put into words.
+    /// The report could not be serialized.
     #[error("report: {0}")]
     Report(#[from] serde_json::Error),
 }
--- a/scale/src/experiment.rs
+++ b/scale/src/experiment.rs
@@ -1,10 +1,11 @@
-//! The format of experiment files. Every unknown key is an error.
+//! The format of experiment files. Unknown keys are errors.
 //!
 //! An experiment measures calls, control, or both. Where a key takes a list, each combination of the listed values is a
 //! point, and each point is measured `repeats` times.
 mod validation;
 
 use crate::error::ScaleError;
+use crate::toml_file::read_toml;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
@@ -16,67 +17,72 @@
     pub name: String,
     /// What the experiment is to show.
     pub purpose: String,
-    /// How often each point is measured.
+    /// Number of measurements of each point.
     pub repeats: u32,
-    /// How long each measurement runs before figures count.
+    /// Time at the start of each measurement that is not evaluated.
     pub warmup_seconds: f64,
-    /// How long figures count.
+    /// Time of each measurement that is evaluated.
     pub measure_seconds: f64,
-    /// Feeds all random choices.
+    /// Seed of all random choices.
     #[serde(default = "default_seed")]
     pub seed: u64,
     /// Calls through real balancers.
     pub calls: Option<Calls>,
-    /// Discovery's side: balancers that carry no calls.
+    /// Balancers that follow discovery and carry no calls.
     pub control: Option<Control>,
-    /// Disturbances. The format has room for them; running them is not implemented and a non-empty list is refused.
+    /// Faults to inject. Not implemented: a non-empty list is rejected.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub faults: Vec<Fault>,
 }
 
-/// Services that call each other, each through a balancer of its own, and clients that call the first one.
+/// A chain of services that call each other, each through its own balancer, and clients that call the first one.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Calls {
-    /// How many services stand one behind the other. A list.
+    /// Length of the chain of services. A list.
     pub depth: Vec<u32>,
     /// Calls from the clients. A list.
     pub calls_per_second: Vec<f64>,
-    /// Share of calls that the last service fails. A list.
+    /// Percentage of calls that the last service fails. A list.
     pub leaf_failing_percent: Vec<f64>,
     /// Instances of each service.
     pub instances: u32,
-    /// Calls that an instance works on at once.
+    /// Calls that run at an instance at once.
     pub cores: u32,
-    /// Calls that wait at an instance; one more is declined.
+    /// Calls that wait at an instance; one more is rejected.
     pub queue: u32,
-    /// Time a core is busy with a call, the mean of an exponential distribution.
-    pub answer_ms: f64,
-    /// Share of calls that may be repeated (GET); the others must not (POST).
+    /// Mean time that a core is busy with a call; the distribution is exponential.
+    #[serde(rename = "answer_ms")]
+    pub mean_service_time_ms: f64,
+    /// Percentage of idempotent calls (GET); the others must not run twice (POST).
     pub get_percent: f64,
-    /// Share of the clients' calls on a new connection; the others reuse an idle one.
+    /// Percentage of the clients' calls on a new connection; the others reuse an idle one.
     pub new_connection_percent: f64,
     /// Size of the bodies of POST calls.
     pub body_bytes: u32,
-    /// Size of answers.
-    pub answer_bytes: u32,
-    /// Most attempts that a balancer makes for one call.
-    pub attempts_cap: u32,
-    /// How long a client waits for its answer.
+    /// Size of responses.
+    #[serde(rename = "answer_bytes")]
+    pub response_bytes: u32,
+    /// Maximum number of attempts that a balancer makes for one call.
+    #[serde(rename = "attempts_cap")]
+    pub max_attempts: u32,
+    /// How long a client waits for its response.
     pub deadline_ms: u32,
-    /// Whether the same load is also sent straight to the first service, to tell the balancer's time from the rest.
-    pub straight: bool,
-    /// How balancers learn of endpoints.
-    pub membership: Membership,
+    /// Whether the same load is also sent directly to the first service, to separate the time that balancers add.
+    #[serde(rename = "straight")]
+    pub direct: bool,
+    /// How balancers receive the endpoint list.
+    #[serde(rename = "membership")]
+    pub discovery_mode: DiscoveryMode,
 }
 
-/// Balancers that carry no calls and follow discovery.
+/// Balancers that follow discovery and carry no calls.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Control {
-    /// Endpoints that discovery lists. A list.
+    /// Number of endpoints in discovery's list. A list.
     pub endpoints: Vec<u32>,
-    /// Changes of an endpoint's state, evenly spread in time. A list.
+    /// Changes of an endpoint's state, at a constant rate. A list.
     pub changes_per_minute: Vec<f64>,
     /// Balancers that are processes of the deployed program.
     #[serde(default)]
@@ -84,30 +90,31 @@
     /// Balancers without sockets to clients and upstreams.
     #[serde(default)]
     pub hollow_balancers: u32,
-    /// Processes that the hollow balancers are spread over.
+    /// Processes that run the hollow balancers.
     #[serde(default)]
     pub hollow_processes: u32,
-    /// Changes that discovery remembers; a watch from before them is answered with the whole list.
+    /// Changes that discovery remembers; a watch from before them is answered with a snapshot.
     pub history: u32,
-    /// How balancers learn of endpoints.
-    pub membership: Membership,
+    /// How balancers receive the endpoint list.
+    #[serde(rename = "membership")]
+    pub discovery_mode: DiscoveryMode,
 }
 
-/// How balancers learn of endpoints.
+/// How balancers receive the endpoint list.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Membership {
-    /// An agent on the balancer's machine has what discovery sent.
+pub enum DiscoveryMode {
+    /// Discovery pushes the list to an agent on the balancer's machine.
     Pushed,
-    /// The balancer asks discovery itself.
+    /// The balancer polls discovery itself.
     OnRequest,
 }
 
-/// A disturbance during a measurement. Not implemented yet.
+/// A fault to inject during a measurement. Not implemented.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields, rename_all = "snake_case", tag = "kind")]
 pub enum Fault {
-    /// All of a zone stops answering.
+    /// All of a zone stops responding.
     ZoneLost {
         /// The zone.
         zone: u32,
@@ -116,7 +123,7 @@
         /// For how long.
         for_seconds: f64,
     },
-    /// A region reaches no other one.
+    /// A region is cut off from all others.
     RegionCutOff {
         /// The region.
         region: u32,
@@ -127,7 +134,7 @@
     },
     /// Many balancers are restarted at once.
     MassRestart {
-        /// Share of all balancers.
+        /// Percentage of all balancers.
         percent: f64,
         /// When, counted from the start of the measurement.
         at_seconds: f64,
@@ -137,18 +144,18 @@
 /// The sizes of one measurement of calls.
 #[derive(Clone, Copy, Debug, Serialize, PartialEq)]
 pub struct CallsSize {
-    /// Services one behind the other.
+    /// Length of the chain of services.
     pub depth: u32,
     /// Calls from the clients.
     pub calls_per_second: f64,
-    /// Share of calls that the last service fails.
+    /// Percentage of calls that the last service fails.
     pub leaf_failing_percent: f64,
 }
 
 /// The sizes of one measurement of control.
 #[derive(Clone, Copy, Debug, Serialize, PartialEq)]
 pub struct ControlSize {
-    /// Endpoints listed.
+    /// Number of endpoints.
     pub endpoints: u32,
     /// Changes of an endpoint's state.
     pub changes_per_minute: f64,
@@ -159,23 +166,21 @@
 }
 
 impl Experiment {
-    /// Reads and checks an experiment.
+    /// Reads and validates an experiment file.
     pub fn read(path: &Path) -> Result<Experiment, ScaleError> {
         let experiment: Experiment = read_toml(path)?;
         experiment.validate()?;
         Ok(experiment)
     }
 
-    /// The longest that measuring may take by the file, without starts and stops.
+    /// Time of all measurements together, without starts and stops.
     pub fn planned_seconds(&self) -> f64 {
-        let calls = self.calls.as_ref().map_or(0, |calls| {
-            calls.sizes().count() * if calls.straight { 2 } else { 1 }
-        });
-        let control = self
+        let loads = self.calls.as_ref().map_or(0, Calls::loads);
+        let control_points = self
             .control
             .as_ref()
             .map_or(0, |control| control.sizes().count());
-        let measurements = (calls + control) as f64 * f64::from(self.repeats);
+        let measurements = (loads + control_points) as f64 * f64::from(self.repeats);
         measurements * (self.warmup_seconds + self.measure_seconds)
     }
 }
@@ -198,14 +203,21 @@
         })
     }
 
-    /// Balancer processes for a chain of this depth: one before the first service, one beside each instance that calls on.
+    /// Loads in one repeat of all points: one through the balancers for each point, and a direct one if there is one.
+    fn loads(&self) -> usize {
+        let loads_per_point = if self.direct { 2 } else { 1 };
+        self.sizes().count() * loads_per_point
+    }
+
+    /// Balancer processes for a chain of this depth: one before the first service, and one beside each instance that
+    /// calls the next service.
     pub fn balancers(&self, depth: u32) -> u32 {
         1 + depth.saturating_sub(1) * self.instances
     }
 }
 
 impl Control {
-    /// Balancers of both sorts.
+    /// Real and hollow balancers together.
     pub fn balancers(&self) -> u32 {
         self.real_balancers + self.hollow_balancers
     }
@@ -222,25 +234,3 @@
         })
     }
 }
-
-/// Reads a TOML file; an error names the line.
-pub fn read_toml<T: serde::de::DeserializeOwned>(path: &Path) -> Result<T, ScaleError> {
-    let unreadable = |source| ScaleError::Unreadable {
-        path: path.to_path_buf(),
-        source,
-    };
-    let text = std::fs::read_to_string(path).map_err(unreadable)?;
-    toml::from_str(&text).map_err(|error| ScaleError::Malformed {
-        path: path.to_path_buf(),
-        line: line_of(&text, error.span().map_or(0, |span| span.start)),
-        message: error.message().replace('\n', " "),
-    })
-}
-
-fn line_of(text: &str, offset: usize) -> usize {
-    text.bytes()
-        .take(offset)
-        .filter(|&byte| byte == b'\n')
-        .count()
-        + 1
-}
--- a/scale/src/experiment/validation.rs
+++ b/scale/src/experiment/validation.rs
@@ -1,17 +1,18 @@
-//! Checks that an experiment can be run at all: nothing is started for one that cannot.
+//! Validation of experiments. Nothing is started for an invalid one.
 use super::{Calls, Control, Experiment};
 use crate::error::ScaleError;
 use crate::machine;
 
-/// Longest run, by the times that the file states.
+/// Longest run, by the times in the file.
 const MAX_RUN_SECONDS: f64 = 1200.0;
 const MAX_REPEATS: u32 = 100;
-/// Most processes of balancers at a time.
+/// Maximum number of balancer processes at a time.
 const MAX_PROCESSES: u32 = 200;
-/// Memory that a balancer's process is reckoned with, and further for each endpoint it knows.
+/// Estimated memory of a balancer process, without its endpoints.
 const PROCESS_MB: f64 = 16.0;
+/// Estimated memory of a balancer for each endpoint in its list.
 const ENDPOINT_MB: f64 = 0.001;
-/// And a balancer that shares its process with others.
+/// Estimated memory of a hollow balancer, without its endpoints.
 const HOLLOW_MB: f64 = 0.2;
 const MAX_HOLLOW: u32 = 10_000;
 const MAX_DEPTH: u32 = 25;
@@ -19,38 +20,31 @@
 const MAX_ENDPOINTS: u32 = 10_000;
 const MAX_CALLS_PER_SECOND: f64 = 20_000.0;
 const MAX_CHANGES_PER_MINUTE: f64 = 60_000.0;
-/// Bodies are small enough for every balancer to hold them whole.
+/// Every balancer can buffer bodies of this size completely.
 const MAX_BODY_BYTES: u32 = 64 << 10;
 const MAX_DEADLINE_MS: u32 = 60_000;
 const MAX_ATTEMPTS: u32 = 100;
 const MAX_SERVICE_SIZE: u32 = 10_000;
+const MAX_MEAN_SERVICE_TIME_MS: f64 = 10_000.0;
+const MAX_HISTORY: f64 = 1e6;
+const MIN_MEASURE_SECONDS: f64 = 0.5;
 
 impl Experiment {
     pub(super) fn validate(&self) -> Result<(), ScaleError> {
-        let plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-        let named = !self.name.is_empty() && self.name.chars().all(plain);
-        require(named, "name", "must be letters, digits, - and _")?;
-        within(
-            "repeats",
-            f64::from(self.repeats),
-            1.0,
-            f64::from(MAX_REPEATS),
-        )?;
-        within("warmup_seconds", self.warmup_seconds, 0.0, MAX_RUN_SECONDS)?;
-        within(
-            "measure_seconds",
-            self.measure_seconds,
-            0.5,
-            MAX_RUN_SECONDS,
-        )?;
+        let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+        let has_plain_name = !self.name.is_empty() && self.name.chars().all(is_plain);
+        require(has_plain_name, "name", "must be letters, digits, - and _")?;
+        AllowedRange::new(1, MAX_REPEATS).check("repeats", self.repeats)?;
+        AllowedRange::new(0.0, MAX_RUN_SECONDS).check("warmup_seconds", self.warmup_seconds)?;
+        AllowedRange::new(MIN_MEASURE_SECONDS, MAX_RUN_SECONDS)
+            .check("measure_seconds", self.measure_seconds)?;
         require(
             self.faults.is_empty(),
             "faults",
             "zones lost, cuts and mass restarts are not implemented yet",
         )?;
-        let measured = self.calls.is_some() || self.control.is_some();
         require(
-            measured,
+            self.calls.is_some() || self.control.is_some(),
             "calls",
             "an experiment needs a section [calls] or [control]",
         )?;
@@ -60,199 +54,155 @@
         if let Some(control) = &self.control {
             control.validate()?;
         }
-        within(
-            "measure_seconds",
-            self.planned_seconds(),
-            0.0,
-            MAX_RUN_SECONDS,
-        )
-        .map_err(|_| {
-            impossible(
-                "measure_seconds",
-                format!("all points together may take {MAX_RUN_SECONDS} s at most"),
-            )
-        })
+        self.validate_duration()
+    }
+
+    fn validate_duration(&self) -> Result<(), ScaleError> {
+        if (0.0..=MAX_RUN_SECONDS).contains(&self.planned_seconds()) {
+            return Ok(());
+        }
+        let requirement = format!("all points together may take {MAX_RUN_SECONDS} s at most");
+        Err(invalid("measure_seconds", requirement))
     }
 }
 
 impl Calls {
     fn validate(&self) -> Result<(), ScaleError> {
-        all_within(
-            "calls.depth",
-            self.depth.iter().copied().map(f64::from),
-            1.0,
-            f64::from(MAX_DEPTH),
-        )?;
-        let rates = self.calls_per_second.iter().copied();
-        all_within("calls.calls_per_second", rates, 1.0, MAX_CALLS_PER_SECOND)?;
-        all_within(
-            "calls.leaf_failing_percent",
-            self.leaf_failing_percent.iter().copied(),
-            0.0,
-            100.0,
-        )?;
-        within(
-            "calls.instances",
-            f64::from(self.instances),
-            1.0,
-            f64::from(MAX_INSTANCES),
-        )?;
-        within(
-            "calls.cores",
-            f64::from(self.cores),
-            1.0,
-            f64::from(MAX_SERVICE_SIZE),
-        )?;
-        within(
-            "calls.queue",
-            f64::from(self.queue),
-            0.0,
-            f64::from(MAX_SERVICE_SIZE),
-        )?;
-        within("calls.answer_ms", self.answer_ms, 0.0, 10_000.0)?;
-        within("calls.get_percent", self.get_percent, 0.0, 100.0)?;
-        within(
-            "calls.new_connection_percent",
-            self.new_connection_percent,
-            0.0,
-            100.0,
-        )?;
-        within(
-            "calls.body_bytes",
-            f64::from(self.body_bytes),
-            0.0,
-            f64::from(MAX_BODY_BYTES),
-        )?;
-        within(
-            "calls.answer_bytes",
-            f64::from(self.answer_bytes),
-            0.0,
-            f64::from(MAX_BODY_BYTES),
-        )?;
-        within(
-            "calls.attempts_cap",
-            f64::from(self.attempts_cap),
-            1.0,
-            f64::from(MAX_ATTEMPTS),
-        )?;
-        within(
-            "calls.deadline_ms",
-            f64::from(self.deadline_ms),
-            1.0,
-            f64::from(MAX_DEADLINE_MS),
-        )?;
-        let depth = self.depth.iter().copied().max().unwrap_or(1);
-        processes_fit("calls.instances", self.balancers(depth), self.instances)
+        AllowedRange::new(1, MAX_DEPTH).check_all("calls.depth", &self.depth)?;
+        AllowedRange::new(1.0, MAX_CALLS_PER_SECOND)
+            .check_all("calls.calls_per_second", &self.calls_per_second)?;
+        PERCENT.check_all("calls.leaf_failing_percent", &self.leaf_failing_percent)?;
+        self.validate_instances()?;
+        PERCENT.check("calls.get_percent", self.get_percent)?;
+        PERCENT.check("calls.new_connection_percent", self.new_connection_percent)?;
+        let body = AllowedRange::new(0, MAX_BODY_BYTES);
+        body.check("calls.body_bytes", self.body_bytes)?;
+        body.check("calls.answer_bytes", self.response_bytes)?;
+        AllowedRange::new(1, MAX_ATTEMPTS).check("calls.attempts_cap", self.max_attempts)?;
+        AllowedRange::new(1, MAX_DEADLINE_MS).check("calls.deadline_ms", self.deadline_ms)?;
+        let max_depth = self.depth.iter().copied().max().unwrap_or(1);
+        require_processes_fit("calls.instances", self.balancers(max_depth), self.instances)
+    }
+
+    fn validate_instances(&self) -> Result<(), ScaleError> {
+        AllowedRange::new(1, MAX_INSTANCES).check("calls.instances", self.instances)?;
+        AllowedRange::new(1, MAX_SERVICE_SIZE).check("calls.cores", self.cores)?;
+        AllowedRange::new(0, MAX_SERVICE_SIZE).check("calls.queue", self.queue)?;
+        AllowedRange::new(0.0, MAX_MEAN_SERVICE_TIME_MS)
+            .check("calls.answer_ms", self.mean_service_time_ms)
     }
 }
 
 impl Control {
     fn validate(&self) -> Result<(), ScaleError> {
-        let endpoints = self.endpoints.iter().copied().map(f64::from);
-        all_within(
-            "control.endpoints",
-            endpoints,
-            1.0,
-            f64::from(MAX_ENDPOINTS),
-        )?;
-        let rates = self.changes_per_minute.iter().copied();
-        all_within(
-            "control.changes_per_minute",
-            rates,
-            0.0,
-            MAX_CHANGES_PER_MINUTE,
-        )?;
-        within("control.history", f64::from(self.history), 1.0, 1e6)?;
-        within(
-            "control.real_balancers",
-            f64::from(self.real_balancers),
-            0.0,
-            f64::from(MAX_PROCESSES),
-        )?;
-        within(
-            "control.hollow_balancers",
-            f64::from(self.hollow_balancers),
-            0.0,
-            f64::from(MAX_HOLLOW),
-        )?;
+        AllowedRange::new(1, MAX_ENDPOINTS).check_all("control.endpoints", &self.endpoints)?;
+        AllowedRange::new(0.0, MAX_CHANGES_PER_MINUTE)
+            .check_all("control.changes_per_minute", &self.changes_per_minute)?;
+        AllowedRange::new(1.0, MAX_HISTORY).check("control.history", self.history)?;
+        self.validate_balancers()?;
+        self.validate_memory()
+    }
+
+    fn validate_balancers(&self) -> Result<(), ScaleError> {
+        AllowedRange::new(0, MAX_PROCESSES).check("control.real_balancers", self.real_balancers)?;
+        AllowedRange::new(0, MAX_HOLLOW)
+            .check("control.hollow_balancers", self.hollow_balancers)?;
         require(
             self.balancers() > 0,
             "control.real_balancers",
             "at least one balancer is needed",
         )?;
-        let processes = f64::from(self.hollow_processes);
-        let least = if self.hollow_balancers > 0 { 1.0 } else { 0.0 };
-        within(
-            "control.hollow_processes",
-            processes,
-            least,
-            f64::from(self.hollow_balancers),
-        )?;
+        let min_processes = u32::from(self.hollow_balancers > 0);
+        AllowedRange::new(min_processes, self.hollow_balancers)
+            .check("control.hollow_processes", self.hollow_processes)
+    }
+
+    fn validate_memory(&self) -> Result<(), ScaleError> {
         let endpoints = self.endpoints.iter().copied().max().unwrap_or(0);
-        processes_fit(
+        require_processes_fit(
             "control.real_balancers",
             self.real_balancers + self.hollow_processes,
             endpoints,
         )?;
-        let needed_mb =
-            f64::from(self.hollow_balancers) * (HOLLOW_MB + ENDPOINT_MB * f64::from(endpoints));
-        memory_fits("control.hollow_balancers", needed_mb)
+        let hollow_mb = HOLLOW_MB + ENDPOINT_MB * f64::from(endpoints);
+        let needed_mb = f64::from(self.hollow_balancers) * hollow_mb;
+        require_memory_fits("control.hollow_balancers", needed_mb)
     }
 }
 
-/// Whether so many processes that know so many endpoints each stay within a run's limits.
-fn processes_fit(key: &'static str, processes: u32, endpoints: u32) -> Result<(), ScaleError> {
-    let must = || format!("needs {processes} processes and {MAX_PROCESSES} may run");
-    if processes > MAX_PROCESSES {
-        return Err(impossible(key, must()));
-    }
-    memory_fits(
-        key,
-        f64::from(processes) * (PROCESS_MB + ENDPOINT_MB * f64::from(endpoints)),
-    )
+/// The values that a key may have, with both ends.
+struct AllowedRange {
+    min: f64,
+    max: f64,
 }
 
-fn memory_fits(key: &'static str, needed_mb: f64) -> Result<(), ScaleError> {
-    let allowed_mb = machine::allowed_memory_mb()?;
-    if needed_mb > allowed_mb {
-        let must = format!(
-            "needs {needed_mb:.0} MB and {allowed_mb:.0} MB, half of the memory, may be used"
-        );
-        return Err(impossible(key, must));
+const PERCENT: AllowedRange = AllowedRange {
+    min: 0.0,
+    max: 100.0,
+};
+
+impl AllowedRange {
+    fn new(min: impl Into<f64>, max: impl Into<f64>) -> AllowedRange {
+        AllowedRange {
+            min: min.into(),
+            max: max.into(),
+        }
+    }
+
+    fn check(&self, key: &'static str, value: impl Into<f64>) -> Result<(), ScaleError> {
+        let value = value.into();
+        if (self.min..=self.max).contains(&value) {
+            return Ok(());
+        }
+        let requirement = format!("is {value} and must be from {} to {}", self.min, self.max);
+        Err(invalid(key, requirement))
+    }
+
+    /// Checks each value of a list that must not be empty.
+    fn check_all<T: Copy + Into<f64>>(
+        &self,
+        key: &'static str,
+        values: &[T],
+    ) -> Result<(), ScaleError> {
+        require(!values.is_empty(), key, "must list at least one value")?;
+        for &value in values {
+            self.check(key, value)?;
+        }
+        Ok(())
     }
-    Ok(())
 }
 
-fn all_within(
+/// Checks that so many processes with so many endpoints each stay within a run's limits.
+fn require_processes_fit(
     key: &'static str,
-    values: impl ExactSizeIterator<Item = f64>,
-    least: f64,
-    most: f64,
+    processes: u32,
+    endpoints: u32,
 ) -> Result<(), ScaleError> {
-    require(values.len() > 0, key, "must list at least one value")?;
-    for value in values {
-        within(key, value, least, most)?;
+    if processes > MAX_PROCESSES {
+        let requirement = format!("needs {processes} processes and {MAX_PROCESSES} may run");
+        return Err(invalid(key, requirement));
     }
-    Ok(())
+    let process_mb = PROCESS_MB + ENDPOINT_MB * f64::from(endpoints);
+    require_memory_fits(key, f64::from(processes) * process_mb)
 }
 
-fn within(key: &'static str, value: f64, least: f64, most: f64) -> Result<(), ScaleError> {
-    if (least..=most).contains(&value) {
+fn require_memory_fits(key: &'static str, needed_mb: f64) -> Result<(), ScaleError> {
+    let allowed_mb = machine::allowed_memory_mb()?;
+    if needed_mb <= allowed_mb {
         return Ok(());
     }
-    Err(impossible(
-        key,
-        format!("is {value} and must be from {least} to {most}"),
-    ))
+    let requirement =
+        format!("needs {needed_mb:.0} MB and {allowed_mb:.0} MB, half of the memory, may be used");
+    Err(invalid(key, requirement))
 }
 
-fn require(holds: bool, key: &'static str, must: &str) -> Result<(), ScaleError> {
+fn require(holds: bool, key: &'static str, requirement: &str) -> Result<(), ScaleError> {
     if holds {
         return Ok(());
     }
-    Err(impossible(key, must.to_string()))
+    Err(invalid(key, requirement.to_string()))
 }
 
-fn impossible(key: &'static str, must: String) -> ScaleError {
-    ScaleError::Impossible { key, must }
+fn invalid(key: &'static str, requirement: String) -> ScaleError {
+    ScaleError::InvalidValue { key, requirement }
 }
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -12,10 +12,11 @@
 use std::process::Command;
 use tokio::task::LocalSet;
 
-/// Hollow balancers listen nowhere; their configuration has this address.
-const NOWHERE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+/// A placeholder in the configuration: hollow balancers do not listen.
+const UNUSED_LISTEN_ADDRESS: SocketAddr =
+    SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
-/// A running process of hollow balancers; killed when dropped.
+/// A running process of hollow balancers. It is killed when dropped.
 pub struct HollowProcess {
     /// The process.
     pub process: ChildProcess,
@@ -24,13 +25,14 @@
 }
 
 impl HollowProcess {
-    /// Starts so many balancers with this configuration, and seeds that count up from its own.
+    /// Starts this number of balancers. Each has the configuration with a seed of its own, counted up from the
+    /// configuration's seed.
     pub fn start(
         workspace: &Workspace,
         configuration: &Configuration,
         balancers: u32,
     ) -> Result<HollowProcess, ScaleError> {
-        let file = workspace.configuration_file(configuration, NOWHERE)?;
+        let file = workspace.configuration_file(configuration, UNUSED_LISTEN_ADDRESS)?;
         let mut command = Command::new(std::env::current_exe()?);
         command.arg("hollow").arg(file).arg(balancers.to_string());
         let process = ChildProcess::start(&configuration.name, &mut command)?;
@@ -38,27 +40,26 @@
     }
 }
 
-/// Runs hollow balancers in this process until it is ended from outside.
+/// Runs hollow balancers in this process until it is killed.
 pub fn serve(configuration: &Path, balancers: u32) -> Result<(), ScaleError> {
     let unreadable = |source| ScaleError::Unreadable {
         path: configuration.to_path_buf(),
         source,
     };
     let json = fs::read(configuration).map_err(unreadable)?;
-    let config = Config::parse(&json).map_err(ScaleError::Configuration)?;
+    let config = Config::parse(&json).map_err(|error| ScaleError::Configuration(error.into()))?;
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
     LocalSet::new().block_on(&runtime, async {
-        let running = (0..balancers)
+        let _running = (0..balancers)
             .map(|number| start(&config, number))
-            .collect::<Result<Vec<_>, _>>();
-        let _running = running.map_err(ScaleError::Configuration)?;
+            .collect::<Result<Vec<_>, _>>()?;
         std::future::pending().await
     })
 }
 
-fn start(config: &Config, number: u32) -> Result<HollowBalancer, String> {
+fn start(config: &Config, number: u32) -> Result<HollowBalancer, ScaleError> {
     let options = HollowOptions {
         deployment: &config.deployment,
         discovery: config.discovery,
@@ -66,6 +67,6 @@
         seed: config.seed.wrapping_add(u64::from(number)),
         log: Log::Discard,
     };
-    // Discovery's stand-in sees when an update is in force: the balancer then watches for what follows it.
-    HollowBalancer::start(options, |_| {})
+    // The stand-in of discovery learns from the next watch that an update is in force.
+    HollowBalancer::start(options, |_| {}).map_err(|error| ScaleError::Configuration(error.into()))
 }
--- a/scale/src/machine.rs
+++ b/scale/src/machine.rs
@@ -1,19 +1,19 @@
-//! What processes use, and what of the machine a run may use.
+//! Resource usage of processes, and the resources of the machine.
 use crate::error::ScaleError;
 use procfs::process::Process;
 use procfs::{Current, Meminfo};
 use serde::Serialize;
 use std::time::Duration;
 
-const MB: f64 = 1024.0 * 1024.0;
-const KB: f64 = 1024.0;
-/// Share of the machine's memory that a run may use.
-const MEMORY_SHARE: f64 = 0.5;
+const BYTES_PER_MB: f64 = 1024.0 * 1024.0;
+const KB_PER_MB: f64 = 1024.0;
+/// Fraction of the machine's memory that a run may use.
+const MEMORY_FRACTION: f64 = 0.5;
 
-/// The machine that a run was made on.
+/// The machine of a run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Machine {
-    /// Processors.
+    /// Number of processors.
     pub processors: usize,
     /// Memory.
     pub memory_mb: f64,
@@ -33,9 +33,9 @@
 /// What one process has used since its start.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Usage {
-    /// Time on a processor, over all threads.
+    /// Processor time of all threads.
     pub processor: Duration,
-    /// Memory resident now.
+    /// Resident memory now.
     pub resident_mb: f64,
 }
 
@@ -46,7 +46,7 @@
         let process = Process::new(pid as i32).map_err(failed)?;
         let mut processor = Duration::ZERO;
         for task in process.tasks().map_err(failed)? {
-            // A thread that has just ended is left out.
+            // A thread that has just ended is skipped.
             if let Ok(schedule) = task.and_then(|task| task.schedstat()) {
                 processor += Duration::from_nanos(schedule.sum_exec_runtime);
             }
@@ -54,17 +54,17 @@
         let resident_kb = process.status().map_err(failed)?.vmrss.unwrap_or(0);
         Ok(Usage {
             processor,
-            resident_mb: resident_kb as f64 / KB,
+            resident_mb: resident_kb as f64 / KB_PER_MB,
         })
     }
 }
 
 /// Memory that all processes of a run together may use.
 pub fn allowed_memory_mb() -> Result<f64, ScaleError> {
-    Ok(total_memory_mb()? * MEMORY_SHARE)
+    Ok(total_memory_mb()? * MEMORY_FRACTION)
 }
 
 fn total_memory_mb() -> Result<f64, ScaleError> {
     let meminfo = Meminfo::current().map_err(ScaleError::Machine)?;
-    Ok(meminfo.mem_total as f64 / MB)
+    Ok(meminfo.mem_total as f64 / BYTES_PER_MB)
 }
--- a/scale/src/main.rs
+++ b/scale/src/main.rs
@@ -1,4 +1,4 @@
-//! `scale`: runs an experiment file and reports what it measured. See the README.
+//! `scale`: runs the measurements of an experiment file and reports the results. See the README.
 use clap::Parser;
 use scale::cli::Arguments;
 use std::process::ExitCode;
--- a/scale/src/process.rs
+++ b/scale/src/process.rs
@@ -1,12 +1,12 @@
-//! Processes that a run starts; each ends with the value that stands for it.
+//! Processes that a run starts. Each is killed when its value is dropped.
 use crate::error::ScaleError;
 use crate::machine::Usage;
 use std::io::{BufRead, BufReader};
 use std::process::{Child, Command, Stdio};
-use std::sync::{Arc, Mutex, PoisonError};
+use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::thread;
 
-/// A running process; killed when dropped.
+/// A running process. It is killed when dropped.
 pub struct ChildProcess {
     name: String,
     child: Child,
@@ -15,14 +15,14 @@
 
 impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // Both fail only for a process that has ended already.
+        // Both fail only for a process that has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 }
 
 impl ChildProcess {
-    /// Starts a command; its log is read and its last line kept.
+    /// Starts a command and reads its log, of which it keeps the last line.
     pub fn start(name: &str, command: &mut Command) -> Result<ChildProcess, ScaleError> {
         let not_started = |source| ScaleError::NotStarted {
             name: name.to_string(),
@@ -51,35 +51,38 @@
     pub fn ensure_running(&mut self) -> Result<(), ScaleError> {
         match self.child.try_wait()? {
             None => Ok(()),
-            Some(status) => Err(ScaleError::Ended {
+            Some(status) => Err(ScaleError::ProcessExited {
                 name: self.name.clone(),
                 status: status.to_string(),
-                log: self
-                    .last_log_line
-                    .lock()
-                    .unwrap_or_else(PoisonError::into_inner)
-                    .clone(),
+                log: lock(&self.last_log_line).clone(),
             }),
         }
     }
 
-    /// What it has used since its start.
+    /// Its resource usage since its start.
     pub fn usage(&self) -> Result<Usage, ScaleError> {
         Usage::of(self.child.id())
     }
 }
 
-/// Reads a process's log until its end, so that it never waits for a reader; the last line is kept.
+/// Reads a process's log until its end, so that the process never blocks on a full pipe. The returned value holds the
+/// last line.
 fn follow_log(name: &str, child: &mut Child) -> Arc<Mutex<String>> {
-    let last = Arc::new(Mutex::new(String::new()));
-    if let Some(log) = child.stderr.take() {
-        let (name, last) = (name.to_string(), last.clone());
-        thread::spawn(move || {
-            for line in BufReader::new(log).lines().map_while(Result::ok) {
-                tracing::debug!(process = name, line, "log");
-                *last.lock().unwrap_or_else(PoisonError::into_inner) = line;
-            }
-        });
-    }
-    last
+    let last_line = Arc::new(Mutex::new(String::new()));
+    let Some(log) = child.stderr.take() else {
+        return last_line;
+    };
+    let name = name.to_string();
+    let shared_last_line = last_line.clone();
+    thread::spawn(move || {
+        for line in BufReader::new(log).lines().map_while(Result::ok) {
+            tracing::debug!(process = name, line, "log");
+            *lock(&shared_last_line) = line;
+        }
+    });
+    last_line
+}
+
+fn lock(line: &Mutex<String>) -> MutexGuard<'_, String> {
+    line.lock().unwrap_or_else(PoisonError::into_inner)
 }
--- a/scale/src/report/growth/tests.rs
+++ b/scale/src/report/growth/tests.rs
@@ -1,24 +1,24 @@
 use super::*;
 
-fn on_line(start: f64, per_hop: f64, hops: &[f64]) -> Vec<Sample> {
+fn on_line(intercept: f64, per_hop: f64, hops: &[f64]) -> Vec<Sample> {
     hops.iter()
         .map(|&hops| Sample {
             hops,
-            log_attempts: (start * per_hop.powf(hops)).ln(),
+            log_attempts: (intercept * per_hop.powf(hops)).ln(),
         })
         .collect()
 }
 
 #[test]
-fn an_exact_law_is_found() {
+fn fits_samples_on_a_line_exactly() {
     let line = Line::fit(&on_line(1.1, 1.2, &[0.0, 1.0, 3.0, 7.0])).expect("a line");
-    assert!((line.start.exp() - 1.1).abs() < 1e-9);
+    assert!((line.intercept.exp() - 1.1).abs() < 1e-9);
     assert!((line.slope.exp() - 1.2).abs() < 1e-9);
     assert!(line.slope_error < 1e-9);
 }
 
 #[test]
-fn scatter_widens_the_interval() {
+fn scattered_samples_give_slope_error() {
     let mut samples = on_line(1.0, 1.2, &[0.0, 0.0, 1.0, 1.0, 2.0, 2.0]);
     for (number, sample) in samples.iter_mut().enumerate() {
         sample.log_attempts += if number % 2 == 0 { 0.1 } else { -0.1 };
@@ -26,13 +26,13 @@
     let line = Line::fit(&samples).expect("a line");
     assert!(
         (line.slope.exp() - 1.2).abs() < 1e-9,
-        "it evens out at each depth"
+        "errors cancel out at each depth"
     );
-    // Variance 6 * 0.1^2 / 4 over a spread of the hops of 4.
+    // Variance 6 * 0.1^2 / 4 over a variation of the hops of 4.
     assert!((line.slope_error - (0.015_f64 / 4.0).sqrt()).abs() < 1e-9);
 }
 
 #[test]
-fn one_depth_has_no_slope() {
+fn fits_no_line_to_a_single_depth() {
     assert!(Line::fit(&on_line(1.0, 1.2, &[1.0, 1.0, 1.0])).is_none());
 }
--- a/scale/src/report/table.rs
+++ b/scale/src/report/table.rs
@@ -1,36 +1,34 @@
-//! The table at the end of a run: a line for each figure of each point.
-use super::{Growth, Report, Spread};
+//! The table at the end of a run: a line for each metric of each point.
+use super::growth::Growth;
+use super::measurement::{CallsMeasurement, ControlMeasurement};
+use super::point::Point;
 use crate::experiment::{CallsSize, ControlSize};
+use crate::statistics::Spread;
 
-const HEADINGS: [&str; 5] = ["point", "figure", "least", "median", "most"];
+const COLUMNS: usize = 5;
+const HEADINGS: [&str; COLUMNS] = ["point", "figure", "least", "median", "most"];
 
-type Row = [String; 5];
+type Row = [String; COLUMNS];
 
-impl Report {
-    /// All points with the spread of their figures.
-    pub fn table(&self) -> String {
-        let mut rows: Vec<Row> = vec![HEADINGS.map(String::from)];
-        for point in &self.calls {
-            rows.extend(
-                point
-                    .spread
-                    .iter()
-                    .map(|spread| row(calls_label(&point.size), spread)),
-            );
-        }
-        for growth in &self.growth {
-            rows.extend(growth_rows(growth));
-        }
-        for point in &self.control {
-            rows.extend(
-                point
-                    .spread
-                    .iter()
-                    .map(|spread| row(control_label(&point.size), spread)),
-            );
-        }
-        aligned(&rows)
+/// All points with the spread of their metrics.
+pub(super) fn render(
+    calls: &[Point<CallsSize, CallsMeasurement>],
+    growth: &[Growth],
+    control: &[Point<ControlSize, ControlMeasurement>],
+) -> String {
+    let mut rows: Vec<Row> = vec![HEADINGS.map(String::from)];
+    for point in calls {
+        let label = calls_label(&point.size);
+        rows.extend(point.spread.iter().map(|spread| row(&label, spread)));
     }
+    for growth in growth {
+        rows.extend(growth_rows(growth));
+    }
+    for point in control {
+        let label = control_label(&point.size);
+        rows.extend(point.spread.iter().map(|spread| row(&label, spread)));
+    }
+    aligned(&rows)
 }
 
 fn calls_label(size: &CallsSize) -> String {
@@ -40,51 +38,43 @@
     )
 }
 
-/// The fitted law, with the ends of its 95% interval in place of a spread over repeats.
+fn control_label(size: &ControlSize) -> String {
+    format!(
+        "{} endpoints, {} changes/min",
+        size.endpoints, size.changes_per_minute
+    )
+}
+
+/// The fitted growth, with the ends of its 95% interval in place of a spread over repeats.
 fn growth_rows(growth: &Growth) -> [Row; 2] {
     let label = format!(
         "{} calls/s, {}% failing",
         growth.calls_per_second, growth.leaf_failing_percent
     );
-    let row = |name: &'static str, [least, most]: [f64; 2], median| {
-        row(
-            label.clone(),
-            &Spread {
-                name,
-                least,
-                median,
-                most,
-            },
-        )
+    let [factor_min, factor_max] = growth.per_hop_95;
+    let factor = Spread {
+        name: "attempts_factor_per_hop_95",
+        min: factor_min,
+        median: growth.per_hop,
+        max: factor_max,
     };
-    [
-        row(
-            "attempts_factor_per_hop_95",
-            growth.per_hop_95,
-            growth.per_hop,
-        ),
-        row(
-            "attempts_at_depth_25_95",
-            growth.at_depth_25_95,
-            growth.at_depth_25,
-        ),
-    ]
-}
-
-fn control_label(size: &ControlSize) -> String {
-    format!(
-        "{} endpoints, {} changes/min",
-        size.endpoints, size.changes_per_minute
-    )
+    let [extrapolated_min, extrapolated_max] = growth.at_depth_25_95;
+    let extrapolated = Spread {
+        name: "attempts_at_depth_25_95",
+        min: extrapolated_min,
+        median: growth.at_depth_25,
+        max: extrapolated_max,
+    };
+    [row(&label, &factor), row(&label, &extrapolated)]
 }
 
-fn row(label: String, spread: &Spread) -> Row {
+fn row(label: &str, spread: &Spread) -> Row {
     [
-        label,
+        label.to_string(),
         spread.name.to_string(),
-        number(spread.least),
+        number(spread.min),
         number(spread.median),
-        number(spread.most),
+        number(spread.max),
     ]
 }
 
@@ -92,10 +82,10 @@
     format!("{value:.3}")
 }
 
-/// Text to the left, numbers to the right.
+/// Lines with text on the left and numbers on the right.
 fn aligned(rows: &[Row]) -> String {
     let width = |column: usize| rows.iter().map(|row| row[column].len()).max().unwrap_or(0);
-    let widths = [width(0), width(1), width(2), width(3), width(4)];
+    let widths: [usize; COLUMNS] = std::array::from_fn(width);
     let line = |row: &Row| {
         format!(
             "{:<w0$}  {:<w1$}  {:>w2$}  {:>w3$}  {:>w4$}",
--- a/scale/src/server.rs
+++ b/scale/src/server.rs
@@ -1,5 +1,5 @@
-//! The HTTP side that all stand-ins share: accepts on loopback and answers until it is dropped.
-use crate::counted::{Counted, Traffic};
+//! The HTTP server of all stand-ins: it accepts connections on loopback until it is dropped.
+use crate::traffic::{CountingStream, Traffic};
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -14,18 +14,15 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::task::{AbortHandle, JoinSet};
 
-/// Connections that may wait to be accepted: thousands of balancers may come at once.
+/// Connections that may wait to be accepted: thousands of balancers may connect at once.
 const BACKLOG: u32 = 4096;
 
-/// An answer of a stand-in.
-pub type Answer = Response<Full<Bytes>>;
+/// A response of a stand-in.
+pub type StandInResponse = Response<Full<Bytes>>;
 
 /// A running server. Dropping it closes its listener and all of its connections.
 pub struct Server {
-    /// Where it listens.
-    pub address: SocketAddr,
-    /// What it has exchanged with its clients.
-    pub traffic: Arc<Traffic>,
+    address: SocketAddr,
     task: AbortHandle,
 }
 
@@ -36,31 +33,48 @@
 }
 
 impl Server {
-    /// Listens on a free loopback port; `session` makes the service for each new connection.
-    pub fn start<M, S>(session: M) -> io::Result<Server>
+    /// Listens on a free loopback port. `new_session` makes the service of each new connection.
+    pub fn start<M, S>(new_session: M) -> io::Result<Server>
+    where
+        M: Fn() -> S + Send + 'static,
+        S: Service<Request<Incoming>, Response = StandInResponse, Error = Infallible>
+            + Send
+            + 'static,
+        S::Future: Send,
+    {
+        Server::start_counting(Arc::default(), new_session)
+    }
+
+    /// Like [`Server::start`], and counts the bytes of all connections in `traffic`.
+    pub fn start_counting<M, S>(traffic: Arc<Traffic>, new_session: M) -> io::Result<Server>
     where
         M: Fn() -> S + Send + 'static,
-        S: Service<Request<Incoming>, Response = Answer, Error = Infallible> + Send + 'static,
+        S: Service<Request<Incoming>, Response = StandInResponse, Error = Infallible>
+            + Send
+            + 'static,
         S::Future: Send,
     {
         let socket = TcpSocket::new_v4()?;
         socket.bind((Ipv4Addr::LOCALHOST, 0).into())?;
         let listener = socket.listen(BACKLOG)?;
         let address = listener.local_addr()?;
-        let traffic = Arc::new(Traffic::default());
-        let task = tokio::spawn(accept(listener, traffic.clone(), session));
+        let task = tokio::spawn(accept_connections(listener, traffic, new_session));
         Ok(Server {
             address,
-            traffic,
             task: task.abort_handle(),
         })
     }
+
+    /// Where it listens.
+    pub fn address(&self) -> SocketAddr {
+        self.address
+    }
 }
 
-async fn accept<M, S>(listener: TcpListener, traffic: Arc<Traffic>, session: M)
+async fn accept_connections<M, S>(listener: TcpListener, traffic: Arc<Traffic>, new_session: M)
 where
     M: Fn() -> S,
-    S: Service<Request<Incoming>, Response = Answer, Error = Infallible> + Send + 'static,
+    S: Service<Request<Incoming>, Response = StandInResponse, Error = Infallible> + Send + 'static,
     S::Future: Send,
 {
     let mut connections = JoinSet::new();
@@ -68,21 +82,22 @@
         let Ok((stream, _)) = listener.accept().await else {
             continue;
         };
-        // Without this a small answer waits for the other side's acknowledgement.
+        // Without this a small response waits for the other side's acknowledgement.
         let _ = stream.set_nodelay(true);
-        let stream = Counted::new(stream, traffic.clone());
-        let connection = http1::Builder::new().serve_connection(TokioIo::new(stream), session());
+        let stream = CountingStream::new(stream, traffic.clone());
+        let connection =
+            http1::Builder::new().serve_connection(TokioIo::new(stream), new_session());
         connections.spawn(async move {
-            // How a connection ended shows at the other side.
+            // The other side sees how the connection ended.
             let _ = connection.await;
         });
         while connections.try_join_next().is_some() {}
     }
 }
 
-/// An answer with this status and body.
-pub fn answer(status: StatusCode, body: impl Into<Bytes>) -> Answer {
-    let mut answer = Response::new(Full::new(body.into()));
-    *answer.status_mut() = status;
-    answer
+/// A response with this status and body.
+pub fn response(status: StatusCode, body: impl Into<Bytes>) -> StandInResponse {
+    let mut response = Response::new(Full::new(body.into()));
+    *response.status_mut() = status;
+    response
 }
--- a/scale/src/service.rs
+++ b/scale/src/service.rs
@@ -1,7 +1,8 @@
-//! A stand-in for one instance of a service: cores, a queue, an answer time, and calls to the next service.
-use crate::client::{Call, CallKind, ConnectionUse, Pool};
-use crate::server::{answer, Answer, Server};
-use crate::stamp::{Clock, Stamp};
+//! A stand-in for one instance of a service: cores, a queue, a service time, and calls to the next service.
+use crate::client::{Call, CallKind, ConnectionPool, ConnectionUse};
+use crate::server::{response, Server, StandInResponse};
+use crate::timing::{RunClock, ServiceTimes};
+use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
@@ -21,36 +22,46 @@
 const REQUEST_ID: &str = "req-id";
 const REQUEST_KIND: &str = "req-kind";
 const REQUEST_DEADLINE: &str = "req-deadline";
-/// Marks a call that has surely not run.
+/// Marks a rejection: the call has not run.
 const DECLINED: &str = "srv-declined";
+const MICROS_PER_MILLI: f64 = 1000.0;
+const MICROS_PER_SECOND: f64 = 1e6;
 
-/// What an instance is like.
+/// The size and behavior of an instance.
 #[derive(Clone)]
 pub struct ServiceSettings {
-    /// Calls worked on at once.
+    /// Calls that run at once.
     pub cores: usize,
-    /// Calls that wait; one more is declined.
+    /// Calls that wait for a core; one more is rejected.
     pub queue: usize,
-    /// Mean time that a core is busy with a call.
-    pub answer_time: Duration,
-    /// Share of calls that it fails by itself, from 0 to 1.
-    pub failing: f64,
-    /// Size of answers.
-    pub answer_bytes: usize,
-    /// The balancer through which it calls the next service, if there is one.
-    pub next: Option<Arc<Pool>>,
+    /// Mean time that a core is busy with a call; the distribution is exponential.
+    pub mean_service_time: Duration,
+    /// Fraction of calls that the instance fails by itself, from 0 to 1.
+    pub failure_fraction: f64,
+    /// Size of responses.
+    pub response_bytes: usize,
+    /// The balancer through which the instance calls the next service, if there is one.
+    pub next: Option<Arc<ConnectionPool>>,
 }
 
-/// What has happened at the instances of one service.
+/// Counters over all instances of one service.
 #[derive(Debug, Default)]
 pub struct ServiceCounters {
-    /// Calls whose last byte has come.
-    pub attempts: AtomicU64,
-    /// Calls declined because the queue was full.
-    pub declined: AtomicU64,
+    attempts: AtomicU64,
 }
 
-/// A running instance; it ends when dropped.
+impl ServiceCounters {
+    /// Calls that arrived completely.
+    pub fn attempts(&self) -> u64 {
+        self.attempts.load(Ordering::Relaxed)
+    }
+
+    fn record_attempt(&self) {
+        self.attempts.fetch_add(1, Ordering::Relaxed);
+    }
+}
+
+/// A running instance. It ends when dropped.
 pub struct ServiceInstance {
     server: Server,
 }
@@ -60,18 +71,16 @@
     pub fn start(
         settings: ServiceSettings,
         counters: Arc<ServiceCounters>,
-        clock: Clock,
+        clock: RunClock,
         seed: u64,
     ) -> io::Result<ServiceInstance> {
-        let cores = Semaphore::new(settings.cores);
-        let random = Mutex::new(StdRng::seed_from_u64(seed));
         let state = Arc::new(State {
+            cores: Semaphore::new(settings.cores),
             settings,
             counters,
             clock,
-            cores,
-            open: AtomicUsize::new(0),
-            random,
+            accepted: AtomicUsize::new(0),
+            random: Mutex::new(StdRng::seed_from_u64(seed)),
         });
         let server = Server::start(move || {
             let state = state.clone();
@@ -85,137 +94,150 @@
 
     /// Where it listens.
     pub fn address(&self) -> SocketAddr {
-        self.server.address
+        self.server.address()
     }
 }
 
 struct State {
     settings: ServiceSettings,
     counters: Arc<ServiceCounters>,
-    clock: Clock,
+    clock: RunClock,
     cores: Semaphore,
     /// Calls that hold a core or wait for one.
-    open: AtomicUsize,
+    accepted: AtomicUsize,
     random: Mutex<StdRng>,
 }
 
-/// A place among the calls that hold a core or wait for one; free again when dropped.
-struct Place<'a> {
-    open: &'a AtomicUsize,
+/// Counts one call that holds a core or waits for one, until it is dropped.
+struct AcceptedCall<'a> {
+    accepted: &'a AtomicUsize,
 }
 
-impl Drop for Place<'_> {
+impl Drop for AcceptedCall<'_> {
     fn drop(&mut self) {
-        self.open.fetch_sub(1, Ordering::Relaxed);
+        self.accepted.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
-/// What the head of a call tells.
+/// The headers of a call.
 struct CallHead {
     kind: CallKind,
-    deadline: Duration,
+    /// Time that the client still waits.
+    timeout: Duration,
 }
 
 impl CallHead {
-    fn read(headers: &HeaderMap) -> Option<CallHead> {
+    fn parse(headers: &HeaderMap) -> Option<CallHead> {
         let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
-        let deadline = text(REQUEST_DEADLINE)?;
-        let micros = match deadline.strip_suffix('u') {
-            Some(micros) => micros.parse::<f64>().ok()?,
-            None => deadline.strip_suffix('m')?.parse::<f64>().ok()? * 1000.0,
-        };
-        let deadline = Duration::try_from_secs_f64(micros / 1e6).ok()?;
-        // Balancers may leave the class out, and then the call counts as one that must not run twice.
+        let timeout = parse_timeout(text(REQUEST_DEADLINE)?)?;
+        // Balancers may omit the class; the call then counts as one that must not run twice.
         let kind = text(REQUEST_KIND)
             .and_then(CallKind::of_class)
             .unwrap_or(CallKind::Order);
-        Some(CallHead { kind, deadline })
+        Some(CallHead { kind, timeout })
     }
 }
 
+/// A number with the suffix `u` (microseconds) or `m` (milliseconds).
+fn parse_timeout(text: &str) -> Option<Duration> {
+    let micros = match text.strip_suffix('u') {
+        Some(micros) => micros.parse::<f64>().ok()?,
+        None => text.strip_suffix('m')?.parse::<f64>().ok()? * MICROS_PER_MILLI,
+    };
+    Duration::try_from_secs_f64(micros / MICROS_PER_SECOND).ok()
+}
+
+/// The random part of a call.
+struct CallFate {
+    busy: Duration,
+    fails: bool,
+}
+
 impl State {
-    async fn respond(&self, request: Request<Incoming>) -> Answer {
+    async fn respond(&self, request: Request<Incoming>) -> StandInResponse {
         if !request.headers().contains_key(REQUEST_ID) {
-            return answer(StatusCode::NOT_FOUND, "");
+            return response(StatusCode::NOT_FOUND, "");
         }
-        let Some(head) = CallHead::read(request.headers()) else {
-            return answer(StatusCode::BAD_REQUEST, "");
+        let Some(head) = CallHead::parse(request.headers()) else {
+            return response(StatusCode::BAD_REQUEST, "");
         };
         let Ok(body) = request.into_body().collect().await else {
-            return answer(StatusCode::BAD_REQUEST, "");
+            return response(StatusCode::BAD_REQUEST, "");
         };
-        let received = self.clock.now();
-        self.counters.attempts.fetch_add(1, Ordering::Relaxed);
-        let Some(place) = self.enter() else {
-            return self.decline();
+        let received_at = self.clock.now();
+        self.counters.record_attempt();
+        let Some(accepted) = self.try_accept() else {
+            return rejection();
         };
         if !self.work().await {
-            return answer(StatusCode::INTERNAL_SERVER_ERROR, "");
+            return response(StatusCode::INTERNAL_SERVER_ERROR, "");
         }
-        drop(place);
-        let left = head.deadline.saturating_sub(self.clock.now() - received);
-        let call = Call {
-            kind: head.kind,
-            connection: ConnectionUse::Idle,
-            deadline: left,
-            body: body.to_bytes(),
-        };
-        if !self.next_succeeds(&call).await {
-            return answer(StatusCode::INTERNAL_SERVER_ERROR, "");
+        drop(accepted);
+        if !self.call_next(&head, body.to_bytes(), received_at).await {
+            return response(StatusCode::INTERNAL_SERVER_ERROR, "");
         }
-        let stamp = Stamp {
-            received,
-            answered: self.clock.now(),
+        let times = ServiceTimes {
+            received_at,
+            responded_at: self.clock.now(),
         };
-        answer(StatusCode::OK, stamp.body(self.settings.answer_bytes))
-    }
-
-    fn enter(&self) -> Option<Place<'_>> {
-        let place = Place { open: &self.open };
-        let open = self.open.fetch_add(1, Ordering::Relaxed);
-        (open < self.settings.cores + self.settings.queue).then_some(place)
+        response(StatusCode::OK, times.to_body(self.settings.response_bytes))
     }
 
-    fn decline(&self) -> Answer {
-        self.counters.declined.fetch_add(1, Ordering::Relaxed);
-        let mut declined = answer(StatusCode::SERVICE_UNAVAILABLE, "");
-        declined
-            .headers_mut()
-            .insert(DECLINED, HeaderValue::from_static("1"));
-        declined
+    /// Counts a call as accepted, unless all cores are busy and the queue is full.
+    fn try_accept(&self) -> Option<AcceptedCall<'_>> {
+        let call = AcceptedCall {
+            accepted: &self.accepted,
+        };
+        let before = self.accepted.fetch_add(1, Ordering::Relaxed);
+        (before < self.settings.cores + self.settings.queue).then_some(call)
     }
 
-    /// Keeps a core busy for the answer time; whether the call goes well.
+    /// Keeps a core busy for the service time. Returns whether the call succeeds.
     async fn work(&self) -> bool {
-        let (busy, failed) = self.draw();
-        // Never closed while the instance runs.
+        let fate = self.draw_fate();
+        // The semaphore is never closed, so acquiring cannot fail.
         let _core = self.cores.acquire().await;
-        if !busy.is_zero() {
-            tokio::time::sleep(busy).await;
+        if !fate.busy.is_zero() {
+            tokio::time::sleep(fate.busy).await;
         }
-        !failed
+        !fate.fails
     }
 
-    fn draw(&self) -> (Duration, bool) {
+    fn draw_fate(&self) -> CallFate {
         let mut random = self.random.lock().unwrap_or_else(PoisonError::into_inner);
-        let failed = random.random_bool(self.settings.failing);
-        let mean = self.settings.answer_time.as_secs_f64();
-        let busy = match Exp::new(1.0 / mean) {
-            Ok(distribution) if mean > 0.0 => {
+        let fails = random.random_bool(self.settings.failure_fraction);
+        let mean_seconds = self.settings.mean_service_time.as_secs_f64();
+        let busy = match Exp::new(1.0 / mean_seconds) {
+            Ok(distribution) if mean_seconds > 0.0 => {
                 Duration::from_secs_f64(distribution.sample(&mut *random))
             }
             _ => Duration::ZERO,
         };
-        (busy, failed)
+        CallFate { busy, fails }
     }
 
-    async fn next_succeeds(&self, call: &Call) -> bool {
-        match &self.settings.next {
-            None => true,
-            Some(next) => next
-                .call(call)
-                .await
-                .is_ok_and(|answer| answer.status == StatusCode::OK),
-        }
+    /// Passes a call on to the next service, if there is one. Returns whether it succeeds.
+    async fn call_next(&self, head: &CallHead, body: Bytes, received_at: Duration) -> bool {
+        let Some(next) = &self.settings.next else {
+            return true;
+        };
+        let elapsed = self.clock.now() - received_at;
+        let call = Call {
+            kind: head.kind,
+            connection: ConnectionUse::Idle,
+            timeout: head.timeout.saturating_sub(elapsed),
+            body,
+        };
+        next.call(&call)
+            .await
+            .is_ok_and(|response| response.status == StatusCode::OK)
     }
 }
+
+fn rejection() -> StandInResponse {
+    let mut rejection = response(StatusCode::SERVICE_UNAVAILABLE, "");
+    rejection
+        .headers_mut()
+        .insert(DECLINED, HeaderValue::from_static("1"));
+    rejection
+}
--- a/scale/src/counted.rs
+++ b/scale/src/traffic.rs
@@ -1,4 +1,4 @@
-//! A connection that counts the bytes on it.
+//! Counts the bytes and messages that a stand-in exchanges with its clients.
 use std::io;
 use std::pin::Pin;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -17,7 +17,7 @@
 }
 
 impl Traffic {
-    /// Bytes so far, both ways.
+    /// Bytes so far, in both directions.
     pub fn bytes(&self) -> u64 {
         self.bytes.load(Ordering::Relaxed)
     }
@@ -37,33 +37,34 @@
     }
 }
 
-/// A connection whose bytes are counted.
-pub struct Counted {
+/// A connection that adds its bytes to a [`Traffic`].
+pub struct CountingStream {
     stream: TcpStream,
     traffic: Arc<Traffic>,
 }
 
-impl Counted {
-    /// Counts what passes on this connection from now on.
-    pub fn new(stream: TcpStream, traffic: Arc<Traffic>) -> Counted {
-        Counted { stream, traffic }
+impl CountingStream {
+    /// Counts the bytes of this connection from now on.
+    pub fn new(stream: TcpStream, traffic: Arc<Traffic>) -> CountingStream {
+        CountingStream { stream, traffic }
     }
 }
 
-impl AsyncRead for Counted {
+impl AsyncRead for CountingStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let before = buffer.filled().len();
+        let filled_before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
-        self.traffic.record_bytes(buffer.filled().len() - before);
+        self.traffic
+            .record_bytes(buffer.filled().len() - filled_before);
         polled
     }
 }
 
-impl AsyncWrite for Counted {
+impl AsyncWrite for CountingStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/scale/tests/command.rs
+++ b/scale/tests/command.rs
@@ -1,4 +1,4 @@
-//! The command itself: the smoke experiment from end to end, what is refused before anything starts, and interruption.
+//! The command: the smoke experiment from end to end, invalid input, and interruption.
 use serde_json::Value;
 use std::fs;
 use std::io::{BufRead, BufReader};
@@ -15,8 +15,8 @@
         .expect("the workspace's root")
 }
 
-/// Makes sure that the program that the deployment file names is there and up to date. With the arguments of that file
-/// this finds what `.ci/run` has built.
+/// Builds the program that the deployment file names. The arguments are those of that file, so that the build of
+/// `.ci/run` is reused.
 fn build_balancer() {
     static BUILT: OnceLock<()> = OnceLock::new();
     BUILT.get_or_init(|| {
@@ -57,8 +57,8 @@
     path
 }
 
-/// Checks that the command ended with one line of plain text that has this in it, before anything started.
-fn assert_refused(output: &Output, wanted: &str) {
+/// Checks that the command failed before it started anything, with one line of plain text that contains `wanted`.
+fn assert_rejected(output: &Output, wanted: &str) {
     let errors = String::from_utf8(output.stderr.clone()).expect("text");
     assert!(!output.status.success(), "it fails: {errors}");
     assert_eq!(errors.lines().count(), 1, "one line: {errors}");
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn the_smoke_experiment_runs_from_end_to_end() {
+fn runs_smoke_experiment_from_end_to_end() {
     build_balancer();
     let out = directory("smoke-report");
     let output = scale(Path::new(SMOKE))
@@ -132,23 +132,23 @@
 }
 
 #[test]
-fn an_unknown_key_is_refused() {
+fn rejects_unknown_key() {
     let experiment = changed_smoke("unknown-key", "cores =", "corse =");
     let output = scale(&experiment).output().expect("runs");
-    assert_refused(&output, "corse");
-    assert_refused(&output, "line 12");
+    assert_rejected(&output, "corse");
+    assert_rejected(&output, "line 12");
 }
 
 #[test]
-fn a_file_that_is_not_there_is_refused() {
+fn rejects_missing_experiment_file() {
     let output = scale(Path::new("scale/experiments/none.toml"))
         .output()
         .expect("runs");
-    assert_refused(&output, "none.toml");
+    assert_rejected(&output, "none.toml");
 }
 
 #[test]
-fn impossible_sizes_are_refused() {
+fn rejects_sizes_out_of_range() {
     for (from, to, key) in [
         ("repeats = 1", "repeats = 0", "repeats"),
         (
@@ -189,21 +189,21 @@
     ] {
         let experiment = changed_smoke("impossible", from, to);
         let output = scale(&experiment).output().expect("runs");
-        assert_refused(&output, &format!("{key}: "));
+        assert_rejected(&output, &format!("{key}: "));
     }
 }
 
 #[test]
-fn faults_are_refused_as_long_as_they_are_not_implemented() {
+fn rejects_faults_while_not_implemented() {
     let fault =
         "[[faults]]\nkind = \"zone_lost\"\nzone = 1\nat_seconds = 1.0\nfor_seconds = 2.0\n\n[control]";
     let experiment = changed_smoke("faults", "[control]", fault);
     let output = scale(&experiment).output().expect("runs");
-    assert_refused(&output, "faults: ");
+    assert_rejected(&output, "faults: ");
 }
 
 #[test]
-fn a_missing_build_is_refused() {
+fn rejects_missing_build() {
     let elsewhere = directory("no-build");
     fs::create_dir_all(elsewhere.join("deploy")).expect("a directory");
     fs::copy(root().join(DEPLOYMENT), elsewhere.join(DEPLOYMENT)).expect("copies");
@@ -212,14 +212,14 @@
         .arg(&elsewhere)
         .output()
         .expect("runs");
-    assert_refused(
+    assert_rejected(
         &output,
         "target/release/balancer is missing: build it with `cargo build",
     );
 }
 
-/// Sends one signal once the first balancer runs, and checks that nothing is left.
-fn assert_interrupted_by(signal: &str) {
+/// Sends a signal once the first balancer runs, and checks that no process remains.
+fn assert_ends_every_process_on(signal: &str) {
     build_balancer();
     let mut child = scale(Path::new(SMOKE))
         .stdout(Stdio::null())
@@ -238,28 +238,31 @@
         .status()
         .expect("runs sh")
         .success());
-    let rest: Vec<String> = lines.map(|line| line.expect("text")).collect();
+    let remaining: Vec<String> = lines.map(|line| line.expect("text")).collect();
     assert!(!child.wait().expect("ends").success());
-    log += &rest.join("\n");
-    assert_eq!(rest.last().map(String::as_str), Some("scale: interrupted"));
+    log += &remaining.join("\n");
+    assert_eq!(
+        remaining.last().map(String::as_str),
+        Some("scale: interrupted")
+    );
     assert_ended(&started_processes(&log));
 }
 
 #[test]
-fn an_interrupt_ends_every_process() {
-    assert_interrupted_by("INT");
+fn ends_every_process_on_sigint() {
+    assert_ends_every_process_on("INT");
 }
 
 #[test]
-fn a_termination_ends_every_process() {
-    assert_interrupted_by("TERM");
+fn ends_every_process_on_sigterm() {
+    assert_ends_every_process_on("TERM");
 }
 
 #[test]
-fn an_error_ends_every_process() {
+fn ends_every_process_on_error() {
     let elsewhere = directory("bad-program");
     fs::create_dir_all(elsewhere.join("deploy")).expect("a directory");
-    // The first balancer runs without ever being ready, and its end is noticed.
+    // The first balancer exits before it is ready.
     let deployment = "build = \"true\"\nrun = \"exec bin/program\"\n";
     fs::write(elsewhere.join(DEPLOYMENT), deployment).expect("writes");
     fs::create_dir_all(elsewhere.join("bin")).expect("a directory");
--- a/scale/tests/stand_ins.rs
+++ b/scale/tests/stand_ins.rs
@@ -1,16 +1,16 @@
-//! The stand-ins by themselves: what they answer, by the protocol's description.
+//! The stand-ins by themselves: their responses, by the protocol's description.
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::service::service_fn;
 use hyper::{Request, StatusCode};
 use hyper_util::rt::TokioIo;
-use scale::client::{Call, CallKind, ConnectionUse, Pool};
+use scale::client::{Call, CallKind, ConnectionPool, ConnectionUse};
 use scale::discovery::registry::Endpoint;
 use scale::discovery::Discovery;
-use scale::load::{send, CallOutcome, LoadPlan};
-use scale::server::{answer, Server};
+use scale::load::{send, CallOutcome, CallRecord, LoadPlan};
+use scale::server::{response, Server};
 use scale::service::{ServiceCounters, ServiceInstance, ServiceSettings};
-use scale::stamp::Clock;
+use scale::timing::RunClock;
 use serde_json::Value;
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -19,7 +19,7 @@
 use std::time::Duration;
 use tokio::sync::Barrier;
 
-const DEADLINE: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn run(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_multi_thread()
@@ -28,7 +28,7 @@
         .build()
         .expect("a runtime");
     runtime.block_on(async {
-        tokio::time::timeout(DEADLINE * 2, test)
+        tokio::time::timeout(TIMEOUT * 2, test)
             .await
             .expect("the test ends")
     });
@@ -46,9 +46,9 @@
         .header("host", "d")
         .body(Empty::<Bytes>::new())
         .expect("a request");
-    let answer = sender.send_request(request).await.expect("an answer");
-    assert_eq!(answer.status(), StatusCode::OK);
-    let body = answer
+    let response = sender.send_request(request).await.expect("a response");
+    assert_eq!(response.status(), StatusCode::OK);
+    let body = response
         .into_body()
         .collect()
         .await
@@ -71,56 +71,80 @@
         .collect()
 }
 
+/// The changes since a version, without waiting for one.
+async fn changes_since(discovery: &Discovery, version: u64) -> Value {
+    let path = format!("/api/targets?since={version}&timeout_ms=0");
+    get(discovery.address(), &path).await
+}
+
 #[test]
-fn discovery_answers_with_the_whole_list_and_with_deltas() {
+fn discovery_responds_with_snapshots_and_deltas() {
     run(async {
         let discovery = Discovery::start(endpoints(3), 2).expect("starts");
-        let whole = get(discovery.address(), "/api/targets").await;
+        let snapshot = get(discovery.address(), "/api/targets").await;
         assert_eq!(
-            (&whole["version"], &whole["full"]),
+            (&snapshot["version"], &snapshot["full"]),
             (&1.into(), &true.into())
         );
-        assert_eq!(states(&whole), ["active"; 3]);
+        assert_eq!(states(&snapshot), ["active"; 3]);
 
-        discovery.registry.change(1);
-        let delta = get(discovery.address(), "/api/targets?since=1&timeout_ms=0").await;
+        discovery.registry().advance_endpoint(1);
+        let delta = changes_since(&discovery, 1).await;
         assert_eq!(
             (&delta["version"], &delta["full"]),
             (&2.into(), &false.into())
         );
         assert_eq!(states(&delta), ["leaving"]);
         assert_eq!(delta["servers"][0]["id"], "s-00000001");
+    });
+}
+
+#[test]
+fn discovery_lists_removed_endpoints_in_deltas_only() {
+    run(async {
+        let discovery = Discovery::start(endpoints(3), 2).expect("starts");
+        let snapshot = get(discovery.address(), "/api/targets").await;
+        assert_eq!(states(&snapshot), ["active"; 3]);
+        discovery.registry().advance_endpoint(1);
+        let delta = changes_since(&discovery, 1).await;
+        assert_eq!(states(&delta), ["leaving"]);
 
-        discovery.registry.change(1);
-        let delta = get(discovery.address(), "/api/targets?since=1&timeout_ms=0").await;
+        discovery.registry().advance_endpoint(1);
+        let delta = changes_since(&discovery, 1).await;
         assert_eq!(
             states(&delta),
             ["left"],
-            "an endpoint that changed twice is told once, as it is"
-        );
-        let whole = get(discovery.address(), "/api/targets").await;
-        assert_eq!(
-            states(&whole),
-            ["active"; 2],
-            "who left appears among changes only"
+            "an endpoint that changed twice appears once, in its present state"
         );
+        let snapshot = get(discovery.address(), "/api/targets").await;
+        assert_eq!(states(&snapshot), ["active"; 2]);
+    });
+}
 
-        discovery.registry.change(0);
-        let answer = get(discovery.address(), "/api/targets?since=1&timeout_ms=0").await;
+#[test]
+fn discovery_responds_with_snapshot_to_unknown_version() {
+    run(async {
+        let discovery = Discovery::start(endpoints(3), 2).expect("starts");
+        discovery.registry().advance_endpoint(1);
+        discovery.registry().advance_endpoint(1);
+        let delta = changes_since(&discovery, 1).await;
+        assert_eq!(delta["full"], false, "two changes are remembered");
+        discovery.registry().advance_endpoint(0);
+        let response = changes_since(&discovery, 1).await;
         assert_eq!(
-            answer["full"], true,
+            response["full"], true,
             "two changes are remembered, not three"
         );
-        let answer = get(discovery.address(), "/api/targets?since=77&timeout_ms=0").await;
+        let response = changes_since(&discovery, 77).await;
         assert_eq!(
-            answer["full"], true,
-            "a version of another discovery means nothing"
+            response["full"], true,
+            "the version of another discovery is unknown"
         );
     });
 }
 
 #[test]
-fn a_watch_waits_for_a_change() {
+fn watch_waits_for_a_change() {
     run(async {
         let discovery = Discovery::start(endpoints(2), 10).expect("starts");
         let address = discovery.address();
@@ -131,12 +155,12 @@
         while discovery.traffic().bytes() == 0 {
             tokio::task::yield_now().await;
         }
-        discovery.registry.change(0);
-        let delta = watch.await.expect("an answer");
+        discovery.registry().advance_endpoint(0);
+        let delta = watch.await.expect("a response");
         assert_eq!((&delta["version"], states(&delta).len()), (&2.into(), 1));
-        let nothing = get(address, "/api/targets?since=2&timeout_ms=1").await;
+        let unchanged = get(address, "/api/targets?since=2&timeout_ms=1").await;
         assert_eq!(
-            (&nothing["full"], states(&nothing).len()),
+            (&unchanged["full"], states(&unchanged).len()),
             (&false.into(), 0)
         );
     });
@@ -147,7 +171,7 @@
     Call {
         kind: CallKind::Order,
         connection: ConnectionUse::Idle,
-        deadline: DEADLINE,
+        timeout: TIMEOUT,
         body,
     }
 }
@@ -155,131 +179,142 @@
 fn service(settings: ServiceSettings) -> (ServiceInstance, Arc<ServiceCounters>) {
     let counters = Arc::new(ServiceCounters::default());
     let instance =
-        ServiceInstance::start(settings, counters.clone(), Clock::start(), 1).expect("starts");
+        ServiceInstance::start(settings, counters.clone(), RunClock::start(), 1).expect("starts");
     (instance, counters)
 }
 
-fn quick() -> ServiceSettings {
+fn instant_service() -> ServiceSettings {
     ServiceSettings {
         cores: 1,
         queue: 10,
-        answer_time: Duration::ZERO,
-        failing: 0.0,
-        answer_bytes: 300,
+        mean_service_time: Duration::ZERO,
+        failure_fraction: 0.0,
+        response_bytes: 300,
         next: None,
     }
 }
 
 #[test]
-fn a_service_calls_the_next_one_and_fails_with_it() {
+fn service_calls_next_service_and_fails_with_it() {
     run(async {
-        for (failing, wanted) in [
+        for (failure_fraction, expected) in [
             (0.0, StatusCode::OK),
             (1.0, StatusCode::INTERNAL_SERVER_ERROR),
         ] {
-            let (leaf, leaf_counters) = service(ServiceSettings { failing, ..quick() });
-            let next = Some(Arc::new(Pool::new(leaf.address(), 1)));
-            let (top, top_counters) = service(ServiceSettings { next, ..quick() });
-            let pool = Pool::new(top.address(), 2);
+            let (leaf, leaf_counters) = service(ServiceSettings {
+                failure_fraction,
+                ..instant_service()
+            });
+            let next = Some(Arc::new(ConnectionPool::new(leaf.address(), 1)));
+            let (top, top_counters) = service(ServiceSettings {
+                next,
+                ..instant_service()
+            });
+            let pool = ConnectionPool::new(top.address(), 2);
             for _ in 0..2 {
-                let answer = pool.call(&order("body")).await.expect("an answer");
-                assert_eq!(answer.status, wanted);
-                assert!(wanted != StatusCode::OK || answer.body.len() == 300);
+                let response = pool.call(&order("body")).await.expect("a response");
+                assert_eq!(response.status, expected);
+                assert!(expected != StatusCode::OK || response.body.len() == 300);
             }
-            assert_eq!(leaf_counters.attempts.load(Ordering::Relaxed), 2);
-            assert_eq!(top_counters.attempts.load(Ordering::Relaxed), 2);
+            assert_eq!(leaf_counters.attempts(), 2);
+            assert_eq!(top_counters.attempts(), 2);
         }
     });
 }
 
 #[test]
-fn a_full_queue_declines() {
+fn rejects_call_when_queue_is_full() {
     run(async {
-        let (held, _) = service(ServiceSettings {
+        let (blocked, _) = service(ServiceSettings {
             cores: 0,
             queue: 1,
-            ..quick()
+            ..instant_service()
         });
-        let pool = Arc::new(Pool::new(held.address(), 1));
+        let pool = Arc::new(ConnectionPool::new(blocked.address(), 1));
         let first = tokio::spawn({
             let pool = pool.clone();
-            async move { pool.call(&order("waits for ever")).await }
+            async move { pool.call(&order("waits forever")).await }
         });
-        let declined = loop {
+        let rejected = loop {
             let call = Call {
-                deadline: Duration::from_millis(200),
+                timeout: Duration::from_millis(200),
                 ..order("second")
             };
             match pool.call(&call).await {
-                Ok(answer) => break answer,
-                // It came first, and the other one is declined.
+                Ok(response) => break response,
+                // This call came first, and the other one is rejected.
                 Err(_) => tokio::task::yield_now().await,
             }
         };
-        assert_eq!(declined.status, StatusCode::SERVICE_UNAVAILABLE);
+        assert_eq!(rejected.status, StatusCode::SERVICE_UNAVAILABLE);
         first.abort();
     });
 }
 
-/// Clients that wait for an answer before they send the next call would never get one here.
-#[test]
-fn clients_send_when_planned_whatever_became_of_earlier_calls() {
-    run(async {
-        const TOGETHER: usize = 20;
-        let all_came = Arc::new(Barrier::new(TOGETHER));
-        let came = Arc::new(AtomicUsize::new(0));
-        let count = came.clone();
-        let server = Server::start(move || {
-            let (all_came, came) = (all_came.clone(), count.clone());
-            service_fn(move |_| {
-                let (all_came, came) = (all_came.clone(), came.clone());
-                async move {
-                    if came.fetch_add(1, Ordering::Relaxed) < TOGETHER {
-                        all_came.wait().await;
-                    }
-                    Ok::<_, Infallible>(answer(StatusCode::OK, ""))
+/// A server that responds to no call before this number of calls has arrived.
+fn server_that_waits_for(calls: usize) -> Server {
+    let all_arrived = Arc::new(Barrier::new(calls));
+    let arrived = Arc::new(AtomicUsize::new(0));
+    Server::start(move || {
+        let all_arrived = all_arrived.clone();
+        let arrived = arrived.clone();
+        service_fn(move |_| {
+            let all_arrived = all_arrived.clone();
+            let arrived = arrived.clone();
+            async move {
+                if arrived.fetch_add(1, Ordering::Relaxed) < calls {
+                    all_arrived.wait().await;
                 }
-            })
+                Ok::<_, Infallible>(response(StatusCode::OK, ""))
+            }
         })
-        .expect("starts");
+    })
+    .expect("starts")
+}
+
+/// Clients that wait for a response before they send the next call would never get one here.
+#[test]
+fn clients_send_planned_calls_while_earlier_ones_are_unanswered() {
+    run(async {
+        const SIMULTANEOUS_CALLS: usize = 20;
+        let server = server_that_waits_for(SIMULTANEOUS_CALLS);
         let plan = LoadPlan {
             calls_per_second: 1000.0,
             duration: Duration::from_millis(200),
-            read_share: 0.5,
-            new_connection_share: 0.5,
+            read_fraction: 0.5,
+            new_connection_fraction: 0.5,
             body: Bytes::from_static(b"body"),
-            deadline: DEADLINE,
+            timeout: TIMEOUT,
             seed: 1,
         };
-        let records = send(
-            plan,
-            vec![Arc::new(Pool::new(server.address, 1))],
-            Clock::start(),
-        )
-        .await;
+        let pools = vec![Arc::new(ConnectionPool::new(server.address(), 1))];
+        let records = send(plan, pools, RunClock::start()).await;
         assert!(
-            records.len() >= TOGETHER,
+            records.len() >= SIMULTANEOUS_CALLS,
             "{} calls were planned",
             records.len()
         );
-        assert!(records
-            .iter()
-            .all(|record| record.outcome == CallOutcome::Served));
-        assert!(
-            records
-                .iter()
-                .all(|record| record.latency >= record.lateness),
-            "counted from the plan"
-        );
-        let mut planned: Vec<Duration> = records.iter().map(|record| record.planned).collect();
-        planned.sort_unstable();
-        let first_end = records
-            .iter()
-            .map(|record| record.planned + record.latency)
-            .min();
-        assert!(
-            first_end >= Some(planned[TOGETHER - 1]),
-            "nothing ends before all have come"
-        );
+        for record in &records {
+            assert_eq!(record.outcome, CallOutcome::Served);
+            assert!(
+                record.latency >= record.send_delay,
+                "latency counts from the planned time"
+            );
+        }
+        assert_no_call_ends_before(SIMULTANEOUS_CALLS, &records);
     });
 }
+
+/// Checks that no call ended before this number of calls was planned.
+fn assert_no_call_ends_before(calls: usize, records: &[CallRecord]) {
+    let mut planned: Vec<Duration> = records.iter().map(|record| record.planned_at).collect();
+    planned.sort_unstable();
+    let first_end = records
+        .iter()
+        .map(|record| record.planned_at + record.latency)
+        .min();
+    assert!(
+        first_end >= Some(planned[calls - 1]),
+        "no call ends before all have arrived"
+    );
+}
