--- a/balancer/src/discovery/watch.rs
+++ b/balancer/src/discovery/watch.rs
@@ -2,7 +2,6 @@
 //!
 //! The decision module decides when to poll ([`balancer_core::Action::PollEndpoints`]); the consumer of the updates
 //! passes that on. A watch that stands is kept up here.
-use crate::clock::from_millis;
 use crate::discovery::call_timeouts::{CallKind, CallLimits, CallTimeouts, UpdateMode};
 use crate::discovery::client::{CallError, DiscoveryClient};
 use crate::discovery::consumer::{CallFailure, EndpointConsumer};
@@ -72,7 +71,7 @@
         let address = *options.addresses.borrow();
         // The agent acknowledges a change also while this watch is broken. The next call has to bring the change well
         // before attempts to a draining upstream must end.
-        let drain_grace = from_millis(deployment.drain_grace);
+        let drain_grace = deployment.drain_grace;
         Discovery {
             client: DiscoveryClient::new(address, TopologyNames::of(deployment)),
             addresses: options.addresses,
--- a/balancer/src/process/config.rs
+++ b/balancer/src/process/config.rs
@@ -1,6 +1,6 @@
 //! The configuration as typed values. Errors name the field that is wrong.
 use crate::discovery::endpoints::{EndpointListError, EndpointUpdate, TopologyNames};
-use balancer_settings::Deployment;
+use balancer_settings::{Deployment, SettingsParseError};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
@@ -27,7 +27,7 @@
     },
     /// The settings are invalid.
     #[error("settings: {0}")]
-    Settings(String),
+    Settings(#[source] SettingsParseError),
     /// A class or tenant has no name.
     #[error("settings.{list}[{index}].name: missing")]
     MissingName {
@@ -135,8 +135,8 @@
 }
 
 fn parse_settings(json: &RawValue) -> Result<Deployment, ConfigError> {
-    let deployment = balancer_settings::deployment(json.get().as_bytes())
-        .map_err(|error| ConfigError::Settings(error.to_string()))?;
+    let deployment = balancer_settings::parse_deployment(json.get().as_bytes())
+        .map_err(ConfigError::Settings)?;
     check_names("classes", &deployment.classes)?;
     check_names("tenants", &deployment.tenants)?;
     Ok(deployment)
--- a/balancer/src/process/config/tests.rs
+++ b/balancer/src/process/config/tests.rs
@@ -1,5 +1,6 @@
 //! Configurations that are read, and errors that name what is wrong.
 use super::*;
+use std::time::Duration;
 
 const VALID_CONFIG: &str = r#"{"name":"n3","listen":"127.0.0.1:0","discovery":"127.0.0.1:9",
     "seed":"8c1f30d27a5be964","limits":{"sockets":1024},
@@ -17,9 +18,9 @@
         (
             config.seed,
             config.max_descriptors,
-            config.deployment.dial_timeout
+            config.deployment.connect_timeout
         ),
-        (0x8c1f_30d2_7a5b_e964, 1024, 250.0)
+        (0x8c1f_30d2_7a5b_e964, 1024, Duration::from_millis(250))
     );
     let endpoints: Vec<_> = config
         .cached_snapshot
--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -214,7 +214,7 @@
 /// Sends attempts over sockets.
 fn transport(deployment: &Deployment, parts: &SharedParts) -> Transport {
     let connector = Connector::new(
-        from_millis(deployment.dial_timeout),
+        deployment.connect_timeout,
         from_millis(deployment.policy.idle_close.min(MAX_SETTING_MS)),
         parts.sockets.clone(),
         parts.metrics.attempts(),
