--- a/balancer/tests/asked_lists.rs
+++ b/balancer/tests/asked_lists.rs
@@ -1,15 +1,15 @@
-//! Lists that must be asked for, from discovery that works in turn for many: each test stands for one way in which a
-//! fleet could keep itself from being served.
+//! Polled endpoint lists, from a discovery that serves a fleet of balancers from one queue. Each test covers one way in
+//! which the fleet could overload that queue.
 mod common;
 use common::*;
 use std::io::{BufReader, Write};
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long a call waits in the queue of a crowded discovery: it fails calls that have waited for 2 s.
-const QUEUED: Duration = Duration::from_millis(1900);
+/// How long a call waits in the queue of an overloaded discovery, which fails calls that have waited for 2 s.
+const QUEUE_TIME: Duration = Duration::from_millis(1900);
 
-fn answer(stream: &mut BufReader<TcpStream>, status: &str, body: &str) {
+fn respond(stream: &mut BufReader<TcpStream>, status: &str, body: &str) {
     let text = format!(
         "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
         body.len()
@@ -20,14 +20,12 @@
         .expect("it is open");
 }
 
-/// A balancer gave each call up after 1.2 s once one had failed, and called anew. Where all did so while discovery needed
-/// 1.4 s and more for each, it worked for calls that nobody waited for, and news of drains never came.
+/// If balancers abandoned calls after 1.2 s while discovery needs 1.4 s and more for each, discovery would process only
+/// abandoned calls, and balancers would never learn of draining upstreams.
 #[test]
-fn a_call_that_waits_its_turn_at_discovery_is_not_given_up() {
-    let (old, new) = (
-        Upstream::start(|_| ok("old")),
-        Upstream::start(|_| ok("new")),
-    );
+fn does_not_abandon_call_that_waits_in_discovery_queue() {
+    let old = Upstream::start(|_| ok("old"));
+    let new = Upstream::start(|_| ok("new"));
     let agent = TcpListener::bind("127.0.0.1:0").expect("binds");
     let known = listing(1, true, &[(0, old.addr, "active")]);
     let config = config(agent.local_addr().expect("an address"), 1024, &known);
@@ -38,10 +36,10 @@
         assert!(call.start.contains("since=1&"), "{}", call.start);
         stream
     };
-    answer(&mut call(), "503 Service Unavailable", "");
+    respond(&mut call(), "503 Service Unavailable", "");
     let mut queued = call();
-    std::thread::sleep(QUEUED);
-    answer(
+    std::thread::sleep(QUEUE_TIME);
+    respond(
         &mut queued,
         "200 OK",
         &listing(2, false, &[(0, old.addr, "left"), (1, new.addr, "active")]),
@@ -51,9 +49,9 @@
     assert_eq!(node.client().call(&get("r1", "5000m")).body, b"new");
 }
 
-/// A fleet that is moved to a new address together called it anew after 0.1 s where it refused, and kept its queue full.
+/// If a fleet that migrates together retried a new address 0.1 s after each rejection, it would keep the queue full.
 #[test]
-fn a_new_address_that_refuses_is_given_time() {
+fn backs_off_from_new_address_that_rejects_calls() {
     let upstream = Upstream::start(|_| ok("x"));
     let known = listing(1, true, &[(0, upstream.addr, "active")]);
     let node = Node::start(1024, &known);
@@ -74,24 +72,24 @@
         );
         stream
     };
-    answer(&mut call(), "503 Service Unavailable", "");
-    let refused = Instant::now();
-    let mut again = call();
+    respond(&mut call(), "503 Service Unavailable", "");
+    let rejected_at = Instant::now();
+    let mut retry = call();
     assert!(
-        refused.elapsed() >= Duration::from_millis(350),
+        rejected_at.elapsed() >= Duration::from_millis(350),
         "{:?}",
-        refused.elapsed()
+        rejected_at.elapsed()
     );
     assert!(
-        refused.elapsed() < Duration::from_millis(2500),
+        rejected_at.elapsed() < Duration::from_millis(2500),
         "{:?}",
-        refused.elapsed()
+        rejected_at.elapsed()
     );
-    answer(
-        &mut again,
+    respond(
+        &mut retry,
         "200 OK",
         &listing(1, true, &[(0, upstream.addr, "active")]),
     );
-    let next = read(&mut again).expect("the watch goes on");
+    let next = read(&mut retry).expect("the watch goes on");
     assert!(next.start.contains("since=1&"), "{}", next.start);
 }
--- a/balancer/tests/hollow.rs
+++ b/balancer/tests/hollow.rs
@@ -1,4 +1,4 @@
-//! Hollow balancers in one process against a stand-in of discovery, on a loopback port.
+//! Hollow balancers in one process against a simulated discovery on a loopback port.
 mod common;
 
 use balancer::hollow::{AppliedUpdate, HollowBalancer, HollowOptions, RequestOutcome};
@@ -18,21 +18,21 @@
 
 const BALANCERS: usize = 40;
 const ENDPOINTS: usize = 30;
-/// A time longer than any that an agent has to bring a change within.
-const IN_FORCE_WITHIN: Duration = Duration::from_secs(6);
+/// Longer than any time within which an agent has to deliver a change.
+const MAX_UPDATE_TIME: Duration = Duration::from_secs(6);
 
 /// The endpoints by number: the version of their last change, their address and state.
 struct Endpoints {
     version: u64,
-    /// Whether watches are answered with whole lists too.
-    whole_lists: bool,
+    /// Whether the response to a watch is a complete list too.
+    always_complete: bool,
     by_number: BTreeMap<usize, (u64, SocketAddr, &'static str)>,
 }
 
 impl Endpoints {
-    /// The whole list, or what is newer than a version.
-    fn answer(&self, since: Option<u64>) -> String {
-        let since = since.filter(|_| !self.whole_lists);
+    /// The complete list, or what is newer than a version.
+    fn response(&self, since: Option<u64>) -> String {
+        let since = since.filter(|_| !self.always_complete);
         let newer = |changed: &u64| since.is_none_or(|since| *changed > since);
         let listed = |state: &str| since.is_some() || state != "left";
         let servers: Vec<_> = self
@@ -45,7 +45,7 @@
     }
 }
 
-/// Answers calls for the whole list, and watches once there is something newer or their time is over.
+/// Responds to calls for the complete list at once, and to watches once something is newer or their time is over.
 #[derive(Clone)]
 struct EndpointService {
     addr: SocketAddr,
@@ -61,7 +61,7 @@
             (0..endpoints).map(|number| (number, (1, endpoint_address(number), "active")));
         let endpoints = Endpoints {
             version: 1,
-            whole_lists: false,
+            always_complete: false,
             by_number: by_number.collect(),
         };
         let shared = Arc::new((Mutex::new(endpoints), Condvar::new()));
@@ -94,7 +94,7 @@
             let (guard, _) = changed
                 .wait_timeout_while(guard, wait, waits)
                 .expect("no panic");
-            let body = guard.answer(since);
+            let body = guard.response(since);
             drop(guard);
             let answer = format!(
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Changes one endpoint, and tells the new version.
+    /// Changes one endpoint, and returns the new version.
     fn change(&self, number: usize, state: &'static str) -> u64 {
         let (endpoints, changed) = &*self.shared;
         let mut endpoints = endpoints.lock().expect("no panic");
@@ -133,18 +133,18 @@
     value.parse().ok()
 }
 
-/// An address that nothing is ever connected to.
+/// An address that nothing connects to.
 fn endpoint_address(number: usize) -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 20_000 + number as u16))
 }
 
-/// The configuration of a balancer whose list is pushed, or that has to ask for it.
+/// The configuration of a balancer whose list is pushed or polled.
 fn parsed_config(service: &EndpointService, mode: &str, known: &str) -> Config {
     let text = config(service.addr, 64, known).replace("on_request", mode);
     Config::parse(text.as_bytes()).expect("a configuration")
 }
 
-/// Balancers that report the updates they applied, by their number.
+/// Balancers that report the updates they applied, with their number.
 struct Fleet {
     balancers: Vec<HollowBalancer>,
     updates: UnboundedReceiver<(usize, AppliedUpdate)>,
@@ -168,7 +168,7 @@
             };
             let report = report.clone();
             let on_update = move |update| {
-                // Nobody listens any more when the test is over.
+                // The receiver is gone when the test is over.
                 let _ = report.send((number, update));
             };
             HollowBalancer::start(options, on_update).expect("valid settings")
@@ -179,8 +179,8 @@
         }
     }
 
-    /// Waits until all have applied a version, and returns the update with which each of them did.
-    async fn in_force(&mut self, version: u64) -> Vec<AppliedUpdate> {
+    /// Waits until all balancers have applied a version, and returns the update with which each of them did.
+    async fn wait_until_applied(&mut self, version: u64) -> Vec<AppliedUpdate> {
         let mut applied = BTreeMap::new();
         while applied.len() < self.balancers.len() {
             let next = timeout(PATIENCE, self.updates.recv())
@@ -210,12 +210,12 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Whole list, change and removal reach every balancer, as the wall clock tells.
+/// The complete list, a change and a removal reach every balancer in time.
 fn changes_reach_all(mode: &str) {
     on_one_thread(async {
         let service = EndpointService::start(ENDPOINTS);
         let mut fleet = Fleet::start(&parsed_config(&service, mode, "null"), BALANCERS);
-        for first in fleet.in_force(1).await {
+        for first in fleet.wait_until_applied(1).await {
             assert!(
                 first.full && first.endpoints == ENDPOINTS,
                 "{mode}: {first:?}"
@@ -228,13 +228,13 @@
         {
             let changed_at = SystemTime::now();
             let version = service.change(number, state);
-            for update in fleet.in_force(version).await {
+            for update in fleet.wait_until_applied(version).await {
                 assert!(!update.full && update.endpoints == 1, "{mode}: {update:?}");
                 let took = update
                     .applied_at
                     .duration_since(changed_at)
                     .expect("it is applied afterwards");
-                assert!(took < IN_FORCE_WITHIN, "{mode}: {took:?}");
+                assert!(took < MAX_UPDATE_TIME, "{mode}: {took:?}");
             }
             assert_eq!(fleet.listed(), [listed; BALANCERS], "{mode}");
         }
@@ -242,25 +242,25 @@
 }
 
 #[test]
-fn changes_are_in_force_at_all_balancers_whose_list_is_pushed() {
+fn pushed_changes_reach_all_balancers() {
     changes_reach_all("pushed");
 }
 
 #[test]
-fn changes_are_in_force_at_all_balancers_that_ask_for_the_list() {
+fn polled_changes_reach_all_balancers() {
     changes_reach_all("on_request");
 }
 
-/// What a whole list leaves out is gone.
+/// Endpoints that a complete list does not hold are removed.
 #[test]
-fn whole_lists_replace_the_one_before() {
+fn complete_list_replaces_previous_one() {
     on_one_thread(async {
         let service = EndpointService::start(ENDPOINTS);
-        service.shared.0.lock().expect("no panic").whole_lists = true;
+        service.shared.0.lock().expect("no panic").always_complete = true;
         let mut fleet = Fleet::start(&parsed_config(&service, "pushed", "null"), BALANCERS);
-        fleet.in_force(1).await;
+        fleet.wait_until_applied(1).await;
         let version = service.change(3, "left");
-        for update in fleet.in_force(version).await {
+        for update in fleet.wait_until_applied(version).await {
             assert!(
                 update.full && update.endpoints == ENDPOINTS - 1,
                 "{update:?}"
@@ -270,20 +270,20 @@
     });
 }
 
-/// A balancer that starts with a cached snapshot asks only for what is newer.
+/// A balancer that starts with a cached snapshot fetches only what is newer.
 #[test]
-fn a_cached_snapshot_saves_the_whole_list() {
+fn cached_snapshot_saves_fetching_complete_list() {
     on_one_thread(async {
         let service = EndpointService::start(ENDPOINTS);
-        let known = service.shared.0.lock().expect("no panic").answer(None);
+        let snapshot = service.shared.0.lock().expect("no panic").response(None);
         let version = service.change(3, "leaving");
-        let mut fleet = Fleet::start(&parsed_config(&service, "pushed", &known), 1);
+        let mut fleet = Fleet::start(&parsed_config(&service, "pushed", &snapshot), 1);
         assert_eq!(
             fleet.listed(),
             [ENDPOINTS],
             "the snapshot is in force at once"
         );
-        let update = fleet.in_force(version).await[0];
+        let update = fleet.wait_until_applied(version).await[0];
         assert!(!update.full && update.endpoints == 1, "{update:?}");
         assert!(
             service.calls()[0].starts_with("/api/targets?since=1&"),
@@ -294,27 +294,27 @@
 }
 
 #[test]
-fn requests_are_decided_and_served_at_once() {
+fn serves_requests_once_endpoints_are_known() {
     on_one_thread(async {
         let service = EndpointService::start(ENDPOINTS);
         let mut fleet = Fleet::start(&parsed_config(&service, "pushed", "null"), 1);
-        let patience = Duration::from_secs(1);
-        let before = fleet.balancers[0].request(0, 0, patience).await;
+        let deadline = Duration::from_secs(1);
+        let before = fleet.balancers[0].request(0, 0, deadline).await;
         assert_eq!(before, RequestOutcome::Rejected, "no endpoint is known yet");
-        fleet.in_force(1).await;
-        let outcome = fleet.balancers[0].request(0, 0, patience).await;
+        fleet.wait_until_applied(1).await;
+        let outcome = fleet.balancers[0].request(0, 0, deadline).await;
         assert_eq!(outcome, RequestOutcome::Served);
     });
 }
 
 #[test]
-fn a_dropped_balancer_ends() {
+fn dropped_balancer_stops() {
     on_one_thread(async {
         let service = EndpointService::start(ENDPOINTS);
         let mut fleet = Fleet::start(&parsed_config(&service, "pushed", "null"), BALANCERS);
-        fleet.in_force(1).await;
+        fleet.wait_until_applied(1).await;
         fleet.balancers.clear();
-        // The last sender goes with the last balancer's tasks.
+        // The channel closes with the tasks of the last balancer.
         let ended = timeout(PATIENCE, async {
             while fleet.updates.recv().await.is_some() {}
         })
--- a/balancer/tests/operators.rs
+++ b/balancer/tests/operators.rs
@@ -1,11 +1,12 @@
-//! The operators' door, and what staff do through it.
+//! The admin server, and what operators do through it.
 mod common;
 
 use common::*;
 use std::io::Write;
 use std::thread;
 
-fn figure(node: &Node, name: &str) -> u64 {
+/// The value of a metric.
+fn metric(node: &Node, name: &str) -> u64 {
     let text = node.asks(b"METRICS\n");
     let line = text
         .lines()
@@ -16,10 +17,10 @@
 }
 
 #[test]
-fn calls_are_answered_with_yes_or_no() {
+fn answers_commands_with_yes_or_no() {
     let upstream = Upstream::start(|_| ok(""));
     let node = Node::with_door(&[upstream.addr]);
-    for (call, wanted) in [
+    for (command, expected) in [
         ("STATUS\n", "YES serving\n"),
         ("STATUS\r\n", "YES serving\n"),
         ("STATUS now\n", "NO STATUS takes nothing\n"),
@@ -37,20 +38,24 @@
         ),
         ("\n", "NO the line is empty\n"),
     ] {
-        assert_eq!(node.asks(call.as_bytes()), wanted, "{call:?}");
+        assert_eq!(node.asks(command.as_bytes()), expected, "{command:?}");
     }
     assert!(node.asks(b"status\n").starts_with("NO unknown call"));
     for bytes in [&b"STATUS \xff\n"[..], &[b'x'; 600]] {
         assert!(node.asks(bytes).starts_with("NO a call is one line"));
     }
-    let mut half = node.caller();
-    half.get_mut().write_all(b"SUSPEND s-0").expect("writes");
-    half.get_mut()
+    let mut incomplete = node.caller();
+    incomplete
+        .get_mut()
+        .write_all(b"SUSPEND s-0")
+        .expect("writes");
+    incomplete
+        .get_mut()
         .shutdown(std::net::Shutdown::Write)
         .expect("a socket");
     assert!(
-        read_all(half).starts_with("NO a call is one line"),
-        "half a line may be half an id"
+        read_all(incomplete).starts_with("NO a call is one line"),
+        "an incomplete line may hold an incomplete id"
     );
     node.comes_to("node_pool_ejected 0");
 }
@@ -61,20 +66,20 @@
     text
 }
 
-/// Callers that stay without a call, by the dozen, shut out none that has one.
+/// Connections that send nothing do not keep a command out.
 #[test]
-fn silent_callers_do_not_hold_the_door() {
+fn silent_connections_do_not_block_admin_server() {
     let upstream = Upstream::start(|_| ok(""));
     let node = Node::with_door(&[upstream.addr]);
     let silent: Vec<_> = (0..60).map(|_| node.caller()).collect();
     assert_eq!(node.asks(b"STATUS\n"), "YES serving\n");
-    // It keeps only so many of them.
-    node.holds(|n| n < 45, "silent callers fill its descriptors");
+    // The server keeps a limited number of them.
+    node.holds(|n| n < 45, "silent connections fill its descriptors");
     drop(silent);
 }
 
 #[test]
-fn without_an_address_there_is_no_door_and_a_bad_one_ends_the_program_with_one_line() {
+fn runs_no_admin_server_without_address_and_exits_with_one_line_for_bad_address() {
     let upstream = Upstream::start(|_| ok(""));
     assert_eq!(Node::with(&[upstream.addr]).ops, None);
     let config = config(refusing(), 1024, "null");
@@ -93,7 +98,7 @@
 }
 
 #[test]
-fn the_environment_names_the_door_too() {
+fn reads_admin_address_from_environment() {
     let upstream = Upstream::start(|_| ok(""));
     let discovery = Discovery::start();
     let config = config(
@@ -108,8 +113,8 @@
 }
 
 #[test]
-fn figures_tell_how_requests_ended_and_what_is_under_way() {
-    let (word, held) = std::sync::mpsc::channel();
+fn metrics_count_ended_and_active_requests() {
+    let (release, held) = std::sync::mpsc::channel();
     let held = std::sync::Mutex::new(Some(held));
     let upstream = Upstream::start(move |request| match request.header("req-id") {
         Some("held") => {
@@ -135,20 +140,20 @@
     assert_eq!(client.call(&pay("bad", "9000m")).status(), 502);
     node.comes_to("node_active 0");
     node.comes_to("node_tries 2");
-    let mut waits = node.client_that_sent(&get("held", "9000m"));
+    let mut waiting = node.client_that_sent(&get("held", "9000m"));
     node.comes_to("node_tries 3");
-    assert_eq!(figure(&node, "node_active"), 1);
-    word.send(()).expect("the upstream waits");
-    assert_eq!(waits.answer().expect("an answer").status(), 200);
+    assert_eq!(metric(&node, "node_active"), 1);
+    release.send(()).expect("the upstream waits");
+    assert_eq!(waiting.answer().expect("an answer").status(), 200);
     node.comes_to("node_active 0");
     assert_eq!(node.asks(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
     assert_eq!(
         client.call(&get("2", "9000m")).status(),
         503,
-        "nothing else is left"
+        "no other upstream is listed"
     );
     node.comes_to("node_shed{kind=\"read\"} 1");
-    for (name, wanted) in [
+    for (name, expected) in [
         ("node_ok{kind=\"read\"}", 2),
         ("node_errors{kind=\"pay\"}", 1),
         ("node_shed{kind=\"pay\"}", 0),
@@ -157,47 +162,60 @@
         ("node_pool_ejected", 1),
         ("node_config_applied", 0),
     ] {
-        assert_eq!(figure(&node, name), wanted, "{name}");
+        assert_eq!(metric(&node, name), expected, "{name}");
     }
 }
 
-/// The list calls it active throughout; kept connections to it close, and later lists do not bring it back.
+/// The endpoint list reports the upstream as active throughout. Connections to it close, and later lists do not restore
+/// it.
 #[test]
-fn a_suspended_upstream_gets_nothing_until_it_is_restored() {
-    let out = Upstream::start(|_| ok("out"));
+fn suspended_upstream_receives_nothing_until_it_is_restored() {
+    let suspended = Upstream::start(|_| ok("suspended"));
     let other = Upstream::start(|_| ok("other"));
-    let node = Node::with_door(&[out.addr, other.addr]);
+    let node = Node::with_door(&[suspended.addr, other.addr]);
     let mut client = node.client();
     let mut id = 0;
-    let mut served = |until: &str, most: usize| -> usize {
-        let mut calls = 0;
+    // Sends requests until one is served by `upstream`, and returns their number.
+    let mut requests_until = |upstream: &str, limit: usize| -> usize {
+        let mut requests = 0;
         loop {
-            (id, calls) = (id + 1, calls + 1);
+            id += 1;
+            requests += 1;
             let body = client.call(&get(&id.to_string(), "9000m")).body;
-            if body == until.as_bytes() || calls >= most {
-                return calls;
+            if body == upstream.as_bytes() || requests >= limit {
+                return requests;
             }
         }
     };
-    assert!(served("out", 1000) < 1000, "it is in use before");
+    assert!(
+        requests_until("suspended", 1000) < 1000,
+        "it is used before the suspension"
+    );
     assert_eq!(node.asks(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
-    out.closed();
-    assert_eq!(served("out", 50), 50);
-    let both = [(0, out.addr, "active"), (1, other.addr, "active")];
+    suspended.closed();
+    assert_eq!(requests_until("suspended", 50), 50);
+    let both = [(0, suspended.addr, "active"), (1, other.addr, "active")];
     node.discovery.answer(&listing(2, true, &both[1..]));
     node.discovery.answer(&listing(3, true, &both));
-    // Only once the answer before is taken it asks for what follows.
+    // The balancer watches for what follows version 3 once that version is in force.
     while !node.discovery.called().contains("since=3") {}
-    assert_eq!(served("out", 50), 50, "gone and back");
+    assert_eq!(
+        requests_until("suspended", 50),
+        50,
+        "it was removed from the list and listed again"
+    );
     assert_eq!(node.asks(b"RESTORE s-0\n"), "YES s-0 is in use\n");
-    assert!(served("out", 100_000) < 100_000, "it is in use again");
+    assert!(
+        requests_until("suspended", 100_000) < 100_000,
+        "it is used again"
+    );
 }
 
-/// Sent away: the front is told, answers close their connections, and those at rest are closed; who still comes
-/// is served. Afterwards all is as before.
+/// During a pause readiness checks fail, responses close their connections, idle connections are closed, and new
+/// connections are served. After the resume everything is as before.
 #[test]
-fn a_pause_sends_clients_away_and_a_resume_ends_it() {
-    let (word, held) = std::sync::mpsc::channel();
+fn pause_sends_clients_away_until_resume() {
+    let (release, held) = std::sync::mpsc::channel();
     let held = std::sync::Mutex::new(Some(held));
     let upstream = Upstream::start(move |request| match request.header("req-id") {
         Some("held") => {
@@ -213,9 +231,10 @@
             .status()
     };
     assert_eq!(ready(), 200);
-    let (mut rests, mut used) = (node.client(), node.client());
+    let mut unused = node.client();
+    let mut used = node.client();
     assert_eq!(used.call(&get("1", "9000m")).status(), 200);
-    let mut waits = node.client_that_sent(&get("held", "9000m"));
+    let mut waiting = node.client_that_sent(&get("held", "9000m"));
     upstream.request();
     upstream.request();
     for _ in 0..2 {
@@ -226,7 +245,7 @@
         "YES serving, paused: clients are sent away\n"
     );
     assert_ne!(ready(), 200);
-    assert!(used.answer().is_none(), "connections at rest close");
+    assert!(used.answer().is_none(), "idle connections close");
     let mut late = node.client();
     let answer = late.call(&get("2", "9000m"));
     assert_eq!(
@@ -234,13 +253,16 @@
         (200, Some("close"))
     );
     assert!(late.answer().is_none());
-    word.send(()).expect("the upstream waits");
-    let answer = waits.answer().expect("an answer");
+    release.send(()).expect("the upstream waits");
+    let answer = waiting.answer().expect("an answer");
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, Some("close"))
     );
-    assert!(rests.answer().is_none(), "and those that ask for nothing");
+    assert!(
+        unused.answer().is_none(),
+        "connections without a request close"
+    );
     for _ in 0..2 {
         assert_eq!(node.asks(b"RESUME\n"), "YES serving\n");
     }
@@ -251,30 +273,30 @@
     }
 }
 
-/// A caller that came for a request and has not begun to write it is not turned away with those that rest.
+/// A client that has connected and not sent its request yet is not disconnected with the idle ones.
 #[test]
-fn a_pause_leaves_newcomers_time_to_ask() {
+fn pause_leaves_new_connections_time_for_a_request() {
     let upstream = Upstream::start(|_| ok(""));
     let node = Node::with_door(&[upstream.addr]);
-    let (mut newcomer, mut used) = (node.client(), node.client());
+    let mut new = node.client();
+    let mut used = node.client();
     assert_eq!(used.call(&get("1", "9000m")).status(), 200);
     assert_eq!(node.asks(b"PAUSE\n"), "YES paused\n");
-    // It has rested for less than the other has been there.
+    // It has been idle for a shorter time than the other one has been connected.
     assert!(used.answer().is_none());
-    assert_eq!(newcomer.call(&get("2", "9000m")).status(), 200);
+    assert_eq!(new.call(&get("2", "9000m")).status(), 200);
 }
 
-/// However many calls come at once, each has its answer.
 #[test]
-fn calls_at_once_are_all_answered() {
+fn answers_all_concurrent_commands() {
     let upstream = Upstream::start(|_| ok(""));
     let node = Node::with_door(&[upstream.addr]);
-    let door = node.ops.expect("a door");
+    let address = node.ops.expect("an admin address");
     thread::scope(|scope| {
-        for call in ["SUSPEND s-0\n", "RESTORE s-0\n", "METRICS\n", "STATUS\n"].repeat(2) {
+        for command in ["SUSPEND s-0\n", "RESTORE s-0\n", "METRICS\n", "STATUS\n"].repeat(2) {
             scope.spawn(move || {
                 for _ in 0..20 {
-                    let answer = asks(door, call.as_bytes());
+                    let answer = asks(address, command.as_bytes());
                     assert!(
                         answer.starts_with("YES") || answer.ends_with("END\n"),
                         "{answer}"
--- a/balancer/tests/restarts.rs
+++ b/balancer/tests/restarts.rs
@@ -1,19 +1,20 @@
-//! A balancer that starts again, whatever it finds: it is ready within 10 s.
+//! Restarts: a balancer is ready within 10 s, whatever it finds.
 mod common;
 use common::*;
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
 /// More upstreams than any fleet has had, all at one address.
-const MANY: usize = 1024;
+const ENDPOINTS: usize = 1024;
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
-fn many(addr: SocketAddr) -> Vec<(usize, SocketAddr, &'static str)> {
-    (0..MANY).map(|n| (n, addr, "active")).collect()
+/// A list of [`ENDPOINTS`] endpoints at one address.
+fn endpoints_at(addr: SocketAddr) -> Vec<(usize, SocketAddr, &'static str)> {
+    (0..ENDPOINTS).map(|n| (n, addr, "active")).collect()
 }
 
-/// Waits until it says that it is ready, which it has to in time.
-fn is_ready(node: &Node, since: Instant) {
+/// Waits until the readiness check succeeds, which must be in time.
+fn wait_until_ready(node: &Node, since: Instant) {
     while node.client().call("GET /-/ready HTTP/1.1\r\n\r\n").status() != 200 {
         assert!(since.elapsed() < READY_WITHIN, "not ready");
         std::thread::sleep(Duration::from_millis(20));
@@ -21,7 +22,8 @@
     assert!(since.elapsed() < READY_WITHIN, "{:?}", since.elapsed());
 }
 
-fn pushed(config: String, pushed: bool) -> String {
+/// The configuration, with pushed instead of polled endpoint lists if `pushed`.
+fn with_list_mode(config: String, pushed: bool) -> String {
     if pushed {
         config.replace("on_request", "pushed")
     } else {
@@ -30,35 +32,39 @@
 }
 
 #[test]
-fn with_a_large_known_list_it_serves_while_discovery_is_down_or_silent() {
+fn serves_from_large_cached_list_while_discovery_is_down_or_unresponsive() {
     let upstream = Upstream::start(|_| ok("x"));
-    let silent = TcpListener::bind("127.0.0.1:0").expect("binds");
-    for discovery in [refusing(), silent.local_addr().expect("an address")] {
+    let unresponsive = TcpListener::bind("127.0.0.1:0").expect("binds");
+    for discovery in [refusing(), unresponsive.local_addr().expect("an address")] {
         for push in [true, false] {
-            let config = config(discovery, 1024, &listing(1, true, &many(upstream.addr)));
+            let config = config(
+                discovery,
+                1024,
+                &listing(1, true, &endpoints_at(upstream.addr)),
+            );
             let started = Instant::now();
-            let node = Node::run(command(&pushed(config, push)), Discovery::start());
-            is_ready(&node, started);
+            let node = Node::run(command(&with_list_mode(config, push)), Discovery::start());
+            wait_until_ready(&node, started);
             assert_eq!(node.client().call(&get("r1", "5000m")).status(), 200);
         }
     }
 }
 
 #[test]
-fn a_known_list_that_cannot_be_read_is_passed_over_on_one_line() {
+fn starts_without_malformed_cached_list_and_logs_one_line() {
     let upstream = Upstream::start(|_| ok("x"));
     for push in [true, false] {
         let discovery = Discovery::start();
         let known = listing(1, true, &[(0, refusing(), "odd")]);
         let config = config(discovery.addr, 1024, &known);
         let started = Instant::now();
-        let node = Node::run(command(&pushed(config, push)), discovery);
+        let node = Node::run(command(&with_list_mode(config, push)), discovery);
         assert_eq!(node.discovery.called(), "/api/targets");
         node.discovery
             .answer(&listing(3, true, &[(1, upstream.addr, "active")]));
-        is_ready(&node, started);
+        wait_until_ready(&node, started);
         assert_eq!(node.client().call(&get("r1", "5000m")).status(), 200);
-        // It is named before the door opens, and nothing else is said of it.
+        // The line precedes "serving on", where `log` starts. No later line mentions the list.
         assert!(
             !node.log().iter().any(|line| line.contains("known")),
             "{:?}",
@@ -68,41 +74,40 @@
 }
 
 #[test]
-fn a_known_list_that_is_stale_is_brought_up_to_date() {
+fn updates_stale_cached_list() {
     let upstream = Upstream::start(|_| ok("x"));
     let node = Node::start(1024, &listing(1, true, &[(0, refusing(), "active")]));
     let started = Instant::now();
     assert!(node.discovery.called().starts_with("/api/targets?since=1&"));
-    let news = [(0, refusing(), "left"), (1, upstream.addr, "active")];
-    node.discovery.answer(&listing(9, false, &news));
+    let changes = [(0, refusing(), "left"), (1, upstream.addr, "active")];
+    node.discovery.answer(&listing(9, false, &changes));
     assert!(node.discovery.called().starts_with("/api/targets?since=9&"));
-    is_ready(&node, started);
+    wait_until_ready(&node, started);
     assert_eq!(node.client().call(&get("r1", "5000m")).status(), 200);
 }
 
-/// Lists of hundreds come pushed and asked for, also indented.
+/// Large lists arrive pushed and polled, also indented.
 #[test]
-fn a_list_of_over_a_thousand_upstreams_is_taken_and_changed() {
-    let (old, new) = (
-        Upstream::start(|_| ok("old")),
-        Upstream::start(|_| ok("new")),
-    );
+fn applies_and_changes_list_of_over_a_thousand_upstreams() {
+    let old = Upstream::start(|_| ok("old"));
+    let new = Upstream::start(|_| ok("new"));
     for push in [true, false] {
         let discovery = Discovery::start();
         let config = config(discovery.addr, 1024, "null");
         let started = Instant::now();
-        let node = Node::run(command(&pushed(config, push)), discovery);
+        let node = Node::run(command(&with_list_mode(config, push)), discovery);
         node.discovery.called();
-        node.discovery
-            .answer(&listing(1, true, &many(old.addr)).replace(',', ",\n                    "));
-        is_ready(&node, started);
+        node.discovery.answer(
+            &listing(1, true, &endpoints_at(old.addr)).replace(',', ",\n                    "),
+        );
+        wait_until_ready(&node, started);
         let mut client = node.client();
         for i in 0..50 {
             assert_eq!(client.call(&get(&format!("r{i}"), "5000m")).body, b"old");
         }
         assert!(node.discovery.called().contains("since=1&"));
-        // All move.
-        let moved: Vec<_> = (0..MANY).map(|n| (n, new.addr, "active")).collect();
+        // All endpoints move to another address.
+        let moved: Vec<_> = (0..ENDPOINTS).map(|n| (n, new.addr, "active")).collect();
         node.discovery.answer(&listing(2, false, &moved));
         assert!(node.discovery.called().contains("since=2&"));
         for i in 50..100 {
@@ -112,18 +117,19 @@
     }
 }
 
-/// Callers that say nothing take every place they can while discovery is down: staff, upstreams and the news at
-/// discovery's return still find theirs.
+/// Silent clients use every descriptor they can get while discovery is down. Operators, upstreams and discovery, once it
+/// is back, still get theirs.
 #[test]
-fn idle_callers_that_fill_the_descriptors_keep_no_news_out() {
-    let (old, new) = (
-        Upstream::start(|_| ok("old")),
-        Upstream::start(|_| ok("new")),
-    );
+fn silent_clients_that_fill_descriptors_do_not_block_endpoint_updates() {
+    let old = Upstream::start(|_| ok("old"));
+    let new = Upstream::start(|_| ok("new"));
     for push in [true, false] {
         let down = refusing();
         let config = config(down, 64, &listing(1, true, &[(0, old.addr, "active")]));
-        let node = Node::run(command(&pushed(door(&config), push)), Discovery::start());
+        let node = Node::run(
+            command(&with_list_mode(door(&config), push)),
+            Discovery::start(),
+        );
         let _idle: Vec<Client> = (0..200).map(|_| node.client()).collect();
         assert_eq!(node.client().call(&get("r1", "15000m")).body, b"old");
         assert!(node.asks(b"STATUS\n").starts_with("YES"));
@@ -131,10 +137,10 @@
         let returned = Instant::now();
         let mut call = std::io::BufReader::new(agent.accept().expect("a call").0);
         assert!(read(&mut call).expect("a call").start.contains("since=1&"));
-        let news = listing(2, true, &[(1, new.addr, "active")]);
+        let update = listing(2, true, &[(1, new.addr, "active")]);
         let answer = format!(
-            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{news}",
-            news.len()
+            "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{update}",
+            update.len()
         );
         std::io::Write::write_all(call.get_mut(), answer.as_bytes()).expect("writes");
         assert!(read(&mut call)
@@ -150,22 +156,25 @@
     }
 }
 
-/// What the system fails for a moment at the start, here an address that is still taken, is no reason not to start.
+/// A start-up operation that the system fails for a moment is retried; here the address is still in use.
 #[test]
-fn an_address_that_is_taken_for_a_moment_is_waited_for() {
+fn retries_to_listen_while_address_is_in_use() {
     let upstream = Upstream::start(|_| ok("x"));
-    let taken = TcpListener::bind("127.0.0.1:0").expect("binds");
-    let listen = format!("\"listen\":\"{}\"", taken.local_addr().expect("an address"));
+    let occupied = TcpListener::bind("127.0.0.1:0").expect("binds");
+    let listen = format!(
+        "\"listen\":\"{}\"",
+        occupied.local_addr().expect("an address")
+    );
     let discovery = Discovery::start();
     let known = listing(1, true, &[(0, upstream.addr, "active")]);
     let config =
         config(discovery.addr, 1024, &known).replace("\"listen\":\"127.0.0.1:0\"", &listen);
     let since = Instant::now();
-    let frees = std::thread::spawn(move || {
+    let release = std::thread::spawn(move || {
         std::thread::sleep(Duration::from_millis(800));
-        drop(taken);
+        drop(occupied);
     });
     let node = Node::run(command(&config), discovery);
-    is_ready(&node, since);
-    frees.join().expect("no panic");
+    wait_until_ready(&node, since);
+    release.join().expect("no panic");
 }
--- a/balancer/tests/upgrades.rs
+++ b/balancer/tests/upgrades.rs
@@ -1,4 +1,4 @@
-//! Two processes of one balancer: the new one takes over while callers go on calling.
+//! Upgrades: a new process of a balancer takes over from the old one while clients send requests.
 mod common;
 
 use common::*;
@@ -8,31 +8,33 @@
 use std::thread;
 use std::time::Instant;
 
-/// Calls until told to stop, on one connection for as long as it lasts, and counts. What is turned back fails it.
-fn calls(to: SocketAddr, name: usize, stop: Arc<AtomicBool>) -> usize {
-    let (mut client, mut calls) = (Client::to(to), 0);
+/// Sends requests until `stop` is set, on one connection for as long as it lasts. Fails if a request fails. Returns the
+/// number of requests.
+fn send_requests(to: SocketAddr, name: usize, stop: Arc<AtomicBool>) -> usize {
+    let mut client = Client::to(to);
+    let mut requests = 0;
     while !stop.load(Ordering::SeqCst) {
-        let answer = client.call(&get(&format!("{name}-{calls}"), "15000m"));
+        let answer = client.call(&get(&format!("{name}-{requests}"), "15000m"));
         assert_eq!(answer.status(), 200);
-        calls += 1;
+        requests += 1;
         if answer.header("connection") == Some("close") {
             client = Client::to(to);
         }
     }
-    calls
+    requests
 }
 
-/// No caller's connection rests for long, so that none is closed while a request is on its way.
+/// No client's connection is idle for long, so that none is closed while a request is in transit.
 #[test]
-fn an_upgrade_turns_no_request_back() {
+fn upgrade_fails_no_request() {
     let upstream = Upstream::start(|_| ok(""));
     let folder = folder("upgrade");
     let mut old = Node::in_folder(&folder, None, &[upstream.addr]);
     let stop = Arc::new(AtomicBool::new(false));
-    let callers: Vec<_> = (0..8)
+    let clients: Vec<_> = (0..8)
         .map(|name| {
             let (to, stop) = (old.addr, stop.clone());
-            thread::spawn(move || calls(to, name, stop))
+            thread::spawn(move || send_requests(to, name, stop))
         })
         .collect();
     for _ in 0..3 {
@@ -42,39 +44,41 @@
         assert!(old.wait().success(), "{:?}", old.log());
         old = new;
     }
-    // The last one serves, too.
+    // The last process serves too.
     assert_eq!(old.client().call(&get("last", "9000m")).status(), 200);
     stop.store(true, Ordering::SeqCst);
-    for caller in callers {
-        assert!(caller.join().expect("none is turned back") > 0);
+    for client in clients {
+        assert!(client.join().expect("no request fails") > 0);
     }
 }
 
-/// Orders given before, at the old door and at the new one, hold for both.
+/// Overrides hold for both processes, whether they were set before the upgrade, at the old process or at the new one.
 #[test]
-fn orders_hold_for_both_processes_and_after_the_old_one() {
-    let (out, used) = (
-        Upstream::start(|_| ok("out")),
-        Upstream::start(|_| ok("used")),
-    );
-    let upstreams = [out.addr, used.addr, used.addr];
+fn overrides_hold_for_both_processes_and_after_old_process_ends() {
+    let suspended = Upstream::start(|_| ok("suspended"));
+    let used = Upstream::start(|_| ok("used"));
+    let upstreams = [suspended.addr, used.addr, used.addr];
     let folder = folder("orders");
     let mut old = Node::in_folder(&folder, None, &upstreams);
     assert_eq!(old.asks(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
     let new = Node::in_folder(&folder, Some(&old), &upstreams);
-    let (old_door, new_door) = (old.ops.expect("a door"), new.ops.expect("a door"));
+    let old_admin = old.ops.expect("an admin address");
+    let new_admin = new.ops.expect("an admin address");
     assert!(
         new.asks(b"METRICS\n").contains("node_pool_ejected 1\n"),
-        "given before it was started"
+        "an override from before its start holds"
     );
     assert_eq!(new.asks(b"SUSPEND s-1\n"), "YES s-1 is left out\n");
-    comes_to(old_door, "node_pool_ejected 2");
+    comes_to(old_admin, "node_pool_ejected 2");
     assert_eq!(old.asks(b"RESTORE s-1\n"), "YES s-1 is in use\n");
-    comes_to(new_door, "node_pool_ejected 1");
+    comes_to(new_admin, "node_pool_ejected 1");
     assert_eq!(old.asks(b"PAUSE\n"), "YES paused\n");
     let started = Instant::now();
     while new.asks(b"STATUS\n") == "YES serving\n" {
-        assert!(started.elapsed() < PATIENCE, "the pause is not heard of");
+        assert!(
+            started.elapsed() < PATIENCE,
+            "the pause does not reach the new process"
+        );
     }
     old.terminate();
     assert!(old.wait().success());
@@ -90,13 +94,13 @@
     for id in 0..50 {
         assert_eq!(client.call(&get(&id.to_string(), "9000m")).body, b"used");
     }
-    assert_eq!(out.further(), 0);
+    assert_eq!(suspended.further(), 0);
 }
 
-/// The front's question on a kept connection must not send it away from the new process.
+/// A readiness check on a kept connection must not make the front avoid the new process.
 #[test]
-fn the_old_process_stays_ready_while_it_hands_over() {
-    let (word, held) = std::sync::mpsc::channel();
+fn old_process_stays_ready_during_handoff() {
+    let (release, held) = std::sync::mpsc::channel();
     let held = std::sync::Mutex::new(Some(held));
     let upstream = Upstream::start(move |request| match request.header("req-id") {
         Some("held") => {
@@ -116,20 +120,23 @@
     let _new = Node::in_folder(&folder, Some(&old), &[upstream.addr]);
     old.terminate();
     old.logs("told to end");
-    word.send(()).expect("the upstream waits");
+    release.send(()).expect("the upstream waits");
     assert_eq!(client.answer().expect("an answer").status(), 200);
     assert_eq!(
-        client.answer().expect("an answer to the front").status(),
+        client
+            .answer()
+            .expect("a response to the readiness check")
+            .status(),
         200
     );
     assert!(old.wait().success());
 }
 
-/// The program would cut an answer off itself if it ended by its time; that is left to whoever kills it.
+/// If the process exited by its schedule, it would cut the response off itself. It leaves that to SIGKILL.
 #[test]
-fn an_answer_that_is_passed_on_outlasts_the_time_to_end() {
+fn relayed_response_delays_exit() {
     const LARGE: usize = 1 << 20;
-    let (word, held) = std::sync::mpsc::channel();
+    let (release, held) = std::sync::mpsc::channel();
     let held = std::sync::Mutex::new(Some(held));
     let upstream = Upstream::start(move |_| {
         let held = held.lock().expect("no panic").take().expect("one is held");
@@ -142,21 +149,23 @@
     upstream.request();
     old.comes_to("node_tries 1");
     old.terminate();
-    // At the time at which all else has ended.
+    // Everything else has ended by then.
     old.logs("1 answers are still being passed on");
-    word.send(()).expect("the upstream waits");
+    release.send(()).expect("the upstream waits");
     assert_eq!(client.answer().expect("an answer").body.len(), LARGE);
     assert!(old.wait().success());
 }
 
 #[test]
-fn a_new_process_that_fails_to_start_leaves_the_old_one_serving() {
+fn old_process_serves_on_if_new_process_fails_to_start() {
     let upstream = Upstream::start(|_| ok(""));
     let folder = folder("fails");
     let old = Node::in_folder(&folder, None, &[upstream.addr]);
-    let taken = old.ops.expect("a door");
-    let config = door(&config(refusing(), 1024, "null"))
-        .replace("127.0.0.1:0\",\"listen", &format!("{taken}\",\"listen"));
+    let used_address = old.ops.expect("an admin address");
+    let config = door(&config(refusing(), 1024, "null")).replace(
+        "127.0.0.1:0\",\"listen",
+        &format!("{used_address}\",\"listen"),
+    );
     let output = command(&config)
         .env("TMPDIR", &folder)
         .output()
@@ -174,7 +183,7 @@
 }
 
 #[test]
-fn orders_that_cannot_be_read_are_told_of_and_passed_over() {
+fn starts_without_overrides_that_cannot_be_read() {
     let upstream = Upstream::start(|_| ok(""));
     let folder = folder("torn");
     std::fs::write(
@@ -187,9 +196,9 @@
     assert_eq!(node.asks(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
 }
 
-/// A new process that cannot write to the folder as it begins to serve is known to the old one once it can.
+/// A new process that cannot write to the folder when it starts to serve registers once it can.
 #[test]
-fn a_new_process_is_known_once_the_folder_can_be_written_again() {
+fn new_process_registers_once_folder_can_be_written_again() {
     let upstream = Upstream::start(|_| ok(""));
     let folder = folder("heals");
     let old = Node::in_folder(&folder, None, &[upstream.addr]);
@@ -199,10 +208,47 @@
     assert_eq!(new.asks(b"STATUS\n"), "YES serving\n");
     std::fs::rename(&aside, &folder).expect("renames");
     let started = std::time::Instant::now();
-    let orders =
+    let overrides =
         || std::fs::read_to_string(folder.join("herondock-orders.json")).unwrap_or_default();
-    while !orders().contains("\"processes\":2") {
-        assert!(started.elapsed() < PATIENCE, "{}", orders());
+    while !overrides().contains("\"processes\":2") {
+        assert!(started.elapsed() < PATIENCE, "{}", overrides());
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
 }
+
+/// The file as the version before the rename of the overrides wrote it after these commands: `SUSPEND s-1`,
+/// `RESTORE s-1`, `SUSPEND s-0`, `PAUSE`. Processes of both versions share it during an upgrade.
+const OVERRIDES_OF_PREVIOUS_VERSION: &str =
+    "{\"version\":1,\"revision\":5,\"processes\":1,\"paused\":true,\
+    \"suspended\":[\"s-0\"],\"restored\":{\"s-1\":1796291300171.371}}";
+
+#[test]
+fn honours_overrides_stored_by_previous_version_and_keeps_their_format() {
+    let suspended = Upstream::start(|_| ok("suspended"));
+    let used = Upstream::start(|_| ok("used"));
+    let folder = folder("previous");
+    let file = folder.join("herondock-orders.json");
+    std::fs::write(&file, OVERRIDES_OF_PREVIOUS_VERSION).expect("writes");
+    let node = Node::in_folder(&folder, None, &[suspended.addr, used.addr]);
+    assert_eq!(
+        node.asks(b"STATUS\n"),
+        "YES serving, paused: clients are sent away\n"
+    );
+    node.comes_to("node_pool_ejected 1");
+    assert_eq!(node.asks(b"RESUME\n"), "YES serving\n");
+    let mut client = node.client();
+    for id in 0..50 {
+        assert_eq!(client.call(&get(&id.to_string(), "9000m")).body, b"used");
+    }
+    assert_eq!(suspended.further(), 0);
+    // The previous version reads what this one wrote: the process has registered, and the pause is over.
+    assert_eq!(
+        std::fs::read_to_string(&file).expect("reads"),
+        OVERRIDES_OF_PREVIOUS_VERSION
+            .replace("\"revision\":5", "\"revision\":7")
+            .replace("\"processes\":1", "\"processes\":2")
+            .replace("\"paused\":true", "\"paused\":false")
+    );
+    assert_eq!(node.asks(b"RESTORE s-0\n"), "YES s-0 is in use\n");
+    node.comes_to("node_pool_ejected 0");
+}
