--- a/balancer/src/control/control_plane.rs
+++ b/balancer/src/control/control_plane.rs
@@ -26,7 +26,7 @@
     /// Checks the decision module's actions.
     pub guard: Guard,
     /// The cached snapshot of the endpoints, if there is one.
-    pub known: Option<&'a EndpointUpdate>,
+    pub cached_snapshot: Option<&'a EndpointUpdate>,
     /// The newest value is discovery's address.
     pub discovery: watch::Receiver<SocketAddr>,
     /// Receives log lines.
@@ -49,11 +49,11 @@
         let handle = DriverHandle::new(driver_options(&options)?);
         let driver = handle.clone();
         let timers = tokio::task::spawn_local(async move { driver.run().await });
-        handle.apply_cached(options.known);
+        handle.apply_cached(options.cached_snapshot);
         let discovery = Discovery::new(DiscoveryOptions {
             addresses: options.discovery,
             deployment: options.deployment,
-            known_version: options.known.map(|update| update.version),
+            known_version: options.cached_snapshot.map(|update| update.version),
             log: options.log,
         });
         Ok(ControlPlane {
--- a/balancer/src/control/driver/submission.rs
+++ b/balancer/src/control/driver/submission.rs
@@ -48,7 +48,7 @@
 }
 
 impl DriverHandle {
-    /// Submits a request of a class and tenant, given by their positions in the settings. From now on it is owed one
+    /// Submits a request of a class and tenant, given by their positions in the settings. It receives one
     /// final response. The client waits `client_timeout` milliseconds after the end of its request.
     pub fn submit(
         &self,
--- a/balancer/src/control/driver_state/requests.rs
+++ b/balancer/src/control/driver_state/requests.rs
@@ -40,7 +40,7 @@
 }
 
 impl DriverState {
-    /// Adds a request, which from now on is owed one final response.
+    /// Adds a request. Each added request receives exactly one final response, unless its client disconnects before.
     pub fn submit(&mut self, new: NewRequest) -> Result<SubmittedRequest, SubmitError> {
         let idempotency = self
             .idempotency_by_class
@@ -63,7 +63,7 @@
             class = new.class,
             tenant = new.tenant,
             client_timeout_ms = client_timeout,
-            "request taken"
+            "request accepted"
         );
         Ok(SubmittedRequest {
             id,
@@ -120,7 +120,7 @@
             .get_mut(id)
             .is_some_and(PendingRequest::client_disconnected);
         if was_waiting {
-            tracing::debug!(request = id.0, "client left");
+            tracing::debug!(request = id.0, "client disconnected");
             self.remove_if_finished(id);
         }
         was_waiting
--- a/balancer/src/control/invariants.rs
+++ b/balancer/src/control/invariants.rs
@@ -174,7 +174,7 @@
         }
     }
 
-    /// This side closed a client's connection although a request on it was owed its response.
+    /// This side closed a client's connection before responding to a request on it.
     pub fn closed_unanswered(&self, request: &str) {
         self.record_violation(Rule::ClosedUnanswered, request);
     }
--- a/balancer/src/discovery/watch.rs
+++ b/balancer/src/discovery/watch.rs
@@ -237,7 +237,7 @@
                 full = update.full,
                 endpoints = update.endpoints.len(),
                 took_ms,
-                "discovery answered"
+                "discovery responded"
             ),
             Err(error) => {
                 tracing::debug!(since = self.version, %error, took_ms, "discovery call failed")
--- a/balancer/src/hollow.rs
+++ b/balancer/src/hollow.rs
@@ -33,7 +33,7 @@
     /// Discovery's address.
     pub discovery: SocketAddr,
     /// The cached snapshot of the endpoints, if there is one. The balancer then fetches only what is newer.
-    pub known: Option<&'a EndpointUpdate>,
+    pub cached_snapshot: Option<&'a EndpointUpdate>,
     /// Seeds the decision module's random choices.
     pub seed: u64,
     /// Receives log lines.
@@ -90,7 +90,7 @@
             clock: Clock::start(),
             dispatch: Dispatch::Hollow,
             guard: Guard::new(Metrics::new(&options.deployment.classes)),
-            known: options.known,
+            cached_snapshot: options.cached_snapshot,
             discovery: addresses,
             log: options.log,
         })?;
--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -204,7 +204,7 @@
         clock,
         dispatch: Dispatch::Sockets(transport(&config.deployment, parts)),
         guard: parts.guard.clone(),
-        known: cached_snapshot,
+        cached_snapshot,
         discovery: discovery_addresses,
         log: Log::StandardError,
     })
--- a/balancer/tests/hollow.rs
+++ b/balancer/tests/hollow.rs
@@ -139,8 +139,8 @@
 }
 
 /// The configuration of a balancer whose list is pushed or polled.
-fn parsed_config(service: &EndpointService, mode: &str, known: &str) -> Config {
-    let text = config(service.addr, 64, known).replace("on_request", mode);
+fn parsed_config(service: &EndpointService, mode: &str, cached_list: &str) -> Config {
+    let text = config(service.addr, 64, cached_list).replace("on_request", mode);
     Config::parse(text.as_bytes()).expect("a configuration")
 }
 
@@ -153,7 +153,7 @@
 impl Fleet {
     fn start(config: &Config, count: usize) -> Fleet {
         let (report, updates) = unbounded_channel();
-        let known = config
+        let cached_snapshot = config
             .cached_snapshot
             .as_ref()
             .expect("a list that can be read")
@@ -162,7 +162,7 @@
             let options = HollowOptions {
                 deployment: &config.deployment,
                 discovery: config.discovery_address,
-                known,
+                cached_snapshot,
                 seed: number as u64,
                 log: Log::Discard,
             };
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -63,7 +63,7 @@
     let options = HollowOptions {
         deployment: &config.deployment,
         discovery: config.discovery_address,
-        known: None,
+        cached_snapshot: None,
         seed: config.seed.wrapping_add(u64::from(number)),
         log: Log::Discard,
     };
