--- a/balancer/tests/asked_lists.rs
+++ b/balancer/tests/asked_lists.rs
@@ -25,17 +25,17 @@
 #[test]
 fn a_call_that_waits_its_turn_at_discovery_is_not_given_up() {
     let (old, new) = (
-        Upstream::start(|_| ok("old")),
-        Upstream::start(|_| ok("new")),
+        StubUpstream::start(|_| ok_response("old")),
+        StubUpstream::start(|_| ok_response("new")),
     );
     let agent = TcpListener::bind("127.0.0.1:0").expect("binds");
-    let known = listing(1, true, &[(0, old.addr, "active")]);
-    let config = config(agent.local_addr().expect("an address"), 1024, &known);
-    let node = Node::run(command(&config), Discovery::start());
+    let known = endpoint_list(1, true, &[(0, old.address, "active")]);
+    let config = balancer_config(agent.local_addr().expect("an address"), 1024, &known);
+    let node = BalancerProcess::run(balancer_command(&config), StubDiscovery::start());
     let call = || {
         let mut stream = BufReader::new(agent.accept().expect("a call").0);
-        let call = read(&mut stream).expect("a call");
-        assert!(call.start.contains("since=1&"), "{}", call.start);
+        let call = read_message(&mut stream).expect("a call");
+        assert!(call.start_line.contains("since=1&"), "{}", call.start_line);
         stream
     };
     answer(&mut call(), "503 Service Unavailable", "");
@@ -44,33 +44,37 @@
     answer(
         &mut queued,
         "200 OK",
-        &listing(2, false, &[(0, old.addr, "left"), (1, new.addr, "active")]),
+        &endpoint_list(
+            2,
+            false,
+            &[(0, old.address, "left"), (1, new.address, "active")],
+        ),
     );
-    let next = read(&mut queued).expect("the watch goes on");
-    assert!(next.start.contains("since=2&"), "{}", next.start);
-    assert_eq!(node.client().call(&get("r1", "5000m")).body, b"new");
+    let next = read_message(&mut queued).expect("the watch goes on");
+    assert!(next.start_line.contains("since=2&"), "{}", next.start_line);
+    assert_eq!(node.client().call(&get_request("r1", "5000m")).body, b"new");
 }
 
 /// A fleet that is moved to a new address together called it anew after 0.1 s where it refused, and kept its queue full.
 #[test]
 fn a_new_address_that_refuses_is_given_time() {
-    let upstream = Upstream::start(|_| ok("x"));
-    let known = listing(1, true, &[(0, upstream.addr, "active")]);
-    let node = Node::start(1024, &known);
-    node.discovery.called();
+    let upstream = StubUpstream::start(|_| ok_response("x"));
+    let known = endpoint_list(1, true, &[(0, upstream.address, "active")]);
+    let node = BalancerProcess::start(1024, &known);
+    node.discovery.next_call_path();
     let agent = TcpListener::bind("127.0.0.1:0").expect("binds");
-    node.reload(&config(
+    node.reload(&balancer_config(
         agent.local_addr().expect("an address"),
         1024,
         "null",
     ));
     let call = || {
         let mut stream = BufReader::new(agent.accept().expect("a call").0);
-        let call = read(&mut stream).expect("a call");
+        let call = read_message(&mut stream).expect("a call");
         assert!(
-            call.start.starts_with("GET /api/targets "),
+            call.start_line.starts_with("GET /api/targets "),
             "{}",
-            call.start
+            call.start_line
         );
         stream
     };
@@ -90,8 +94,8 @@
     answer(
         &mut again,
         "200 OK",
-        &listing(1, true, &[(0, upstream.addr, "active")]),
+        &endpoint_list(1, true, &[(0, upstream.address, "active")]),
     );
-    let next = read(&mut again).expect("the watch goes on");
-    assert!(next.start.contains("since=1&"), "{}", next.start);
+    let next = read_message(&mut again).expect("the watch goes on");
+    assert!(next.start_line.contains("since=1&"), "{}", next.start_line);
 }
--- /dev/null
+++ b/balancer/tests/common/balancer_process.rs
@@ -0,0 +1,244 @@
+//! The balancer under test, as a process.
+use super::{
+    active_endpoints, balancer_command, balancer_config, call_admin, connect, wait_for_metric,
+    with_admin_endpoint, with_read_timeout, Client, StubDiscovery, TEST_TIMEOUT,
+};
+use std::io::{BufRead, BufReader};
+use std::net::{SocketAddr, TcpStream};
+use std::path::{Path, PathBuf};
+use std::process::{Child, ChildStderr, Command, ExitStatus};
+use std::sync::{Arc, Mutex};
+use std::thread;
+use std::time::Instant;
+
+/// A running balancer; killed when dropped.
+pub struct BalancerProcess {
+    child: Child,
+    /// The file of its configuration.
+    pub config_path: PathBuf,
+    pub address: SocketAddr,
+    /// Its admin endpoint, if it has one.
+    pub admin_address: Option<SocketAddr>,
+    /// Its discovery: silent, not gone.
+    pub discovery: StubDiscovery,
+    log: Arc<Mutex<Vec<String>>>,
+    log_reader: Option<thread::JoinHandle<()>>,
+}
+
+/// The addresses that a balancer logs when it starts.
+struct Addresses {
+    serving: SocketAddr,
+    admin: Option<SocketAddr>,
+}
+
+impl BalancerProcess {
+    /// A balancer that starts with this endpoint list.
+    pub fn start(sockets: usize, known: &str) -> BalancerProcess {
+        let discovery = StubDiscovery::start();
+        let config = balancer_config(discovery.address, sockets, known);
+        BalancerProcess::run(balancer_command(&config), discovery)
+    }
+
+    /// Runs a command that starts a balancer, and waits until it serves.
+    pub fn run(mut command: Command, discovery: StubDiscovery) -> BalancerProcess {
+        let config_path = command
+            .get_envs()
+            .find(|(name, _)| *name == "NODE_CONFIG")
+            .and_then(|(_, path)| path)
+            .expect("a configuration")
+            .into();
+        let mut child = command.spawn().expect("starts");
+        let mut stderr = BufReader::new(child.stderr.take().expect("its log"));
+        let addresses = read_addresses(&mut stderr);
+        let log = Arc::new(Mutex::new(Vec::new()));
+        let lines = log.clone();
+        let log_reader = thread::spawn(move || {
+            for line in stderr.lines().map_while(Result::ok) {
+                lines.lock().expect("no panic").push(line);
+            }
+        });
+        BalancerProcess {
+            child,
+            config_path,
+            address: addresses.serving,
+            admin_address: addresses.admin,
+            discovery,
+            log,
+            log_reader: Some(log_reader),
+        }
+    }
+
+    /// A balancer that starts with these upstreams, and whose discovery is silent.
+    pub fn with_upstreams(upstreams: &[SocketAddr]) -> BalancerProcess {
+        BalancerProcess::start(1024, &active_endpoints(upstreams))
+    }
+
+    /// A balancer with an admin endpoint that starts with these upstreams, and whose discovery is
+    /// silent.
+    pub fn with_admin(upstreams: &[SocketAddr]) -> BalancerProcess {
+        let discovery = StubDiscovery::start();
+        let config = balancer_config(discovery.address, 1024, &active_endpoints(upstreams));
+        let command = balancer_command(&with_admin_endpoint(&config));
+        BalancerProcess::run(command, discovery)
+    }
+
+    /// A balancer with an admin endpoint that stores its state in this folder, and listens where
+    /// another one does, if any. Its discovery has sent these upstreams.
+    pub fn in_state_folder(
+        folder: &Path,
+        predecessor: Option<&BalancerProcess>,
+        upstreams: &[SocketAddr],
+    ) -> BalancerProcess {
+        let discovery = StubDiscovery::start();
+        let endpoints = active_endpoints(upstreams);
+        discovery.respond(&endpoints);
+        let config = balancer_config(discovery.address, 1024, &endpoints);
+        let mut config = with_admin_endpoint(&config);
+        if let Some(predecessor) = predecessor {
+            let address = format!("\"listen\":\"{}\"", predecessor.address);
+            config = config.replacen("\"listen\":\"127.0.0.1:0\"", &address, 1);
+        }
+        let mut command = balancer_command(&config);
+        command.env("TMPDIR", folder);
+        BalancerProcess::run(command, discovery)
+    }
+
+    fn admin(&self) -> SocketAddr {
+        self.admin_address.expect("an admin endpoint")
+    }
+
+    /// A connection to the admin endpoint.
+    pub fn admin_connection(&self) -> BufReader<TcpStream> {
+        connect(self.admin())
+    }
+
+    /// Waits until the metrics have this line: a response is read a moment before its request
+    /// counts as completed.
+    pub fn wait_for_metric(&self, line: &str) {
+        wait_for_metric(self.admin(), line);
+    }
+
+    /// The complete response of the admin endpoint to these bytes.
+    pub fn call_admin(&self, bytes: &[u8]) -> String {
+        call_admin(self.admin(), bytes)
+    }
+
+    /// What it has logged since it began to serve.
+    pub fn log_lines(&self) -> Vec<String> {
+        self.log.lock().expect("no panic").clone()
+    }
+
+    /// Waits for a line of the log that contains this text.
+    pub fn wait_for_log(&self, text: &str) {
+        let start = Instant::now();
+        while !self.log_lines().iter().any(|line| line.contains(text)) {
+            assert!(
+                start.elapsed() < TEST_TIMEOUT,
+                "no line with {text:?} in {:?}",
+                self.log_lines()
+            );
+            thread::yield_now();
+        }
+    }
+
+    /// How many descriptors it uses.
+    pub fn descriptor_count(&self) -> usize {
+        let path = format!("/proc/{}/fd", self.child.id());
+        std::fs::read_dir(path).expect("its descriptors").count()
+    }
+
+    /// Waits until the number of its descriptors satisfies `condition`.
+    pub fn wait_for_descriptors(&self, condition: impl Fn(usize) -> bool, otherwise: &str) {
+        let start = Instant::now();
+        while !condition(self.descriptor_count()) {
+            assert!(start.elapsed() < TEST_TIMEOUT, "{otherwise}");
+            thread::yield_now();
+        }
+    }
+
+    /// How much memory it uses.
+    pub fn resident_kb(&self) -> usize {
+        let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
+            .expect("its status");
+        let line = status
+            .lines()
+            .find_map(|line| line.strip_prefix("VmRSS:"))
+            .expect("its memory");
+        line.trim()
+            .trim_end_matches(" kB")
+            .parse()
+            .expect("a number")
+    }
+
+    /// Asks it to shut down.
+    pub fn terminate(&self) {
+        self.signal("TERM");
+    }
+
+    /// Replaces the configuration and has it reloaded.
+    pub fn reload(&self, config: &str) {
+        std::fs::write(&self.config_path, config).expect("writes the configuration");
+        self.signal("HUP");
+    }
+
+    fn signal(&self, name: &str) {
+        let kill = format!("kill -{name} {}", self.child.id());
+        assert!(Command::new("sh")
+            .args(["-c", &kill])
+            .status()
+            .expect("runs sh")
+            .success());
+    }
+
+    /// Waits until it has exited and its log is read.
+    pub fn wait_for_exit(&mut self) -> ExitStatus {
+        let status = self.child.wait().expect("it exits");
+        if let Some(reader) = self.log_reader.take() {
+            reader.join().expect("the log is read");
+        }
+        status
+    }
+
+    /// A client that has connected.
+    pub fn client(&self) -> Client {
+        self.try_client().expect("connects")
+    }
+
+    /// A client that has sent this text and not yet read a response.
+    pub fn client_that_sent(&self, text: &str) -> Client {
+        let mut client = self.client();
+        client.send(text);
+        client
+    }
+
+    /// A client that has connected; `None` if the balancer does not listen any more.
+    pub fn try_client(&self) -> Option<Client> {
+        let stream = TcpStream::connect(self.address).ok()?;
+        Some(Client::on(with_read_timeout(stream)))
+    }
+}
+
+fn read_addresses(log: &mut BufReader<ChildStderr>) -> Addresses {
+    let mut admin = None;
+    loop {
+        let mut line = String::new();
+        let length = log.read_line(&mut line).expect("a log line");
+        assert_ne!(length, 0, "it exited at once");
+        if let Some((_, address)) = line.trim_end().split_once("operators call at ") {
+            admin = Some(address.parse().expect("an address"));
+        }
+        if let Some((_, address)) = line.trim_end().split_once("serving on ") {
+            return Addresses {
+                serving: address.parse().expect("an address"),
+                admin,
+            };
+        }
+    }
+}
+
+impl Drop for BalancerProcess {
+    fn drop(&mut self) {
+        let _ = self.child.kill();
+        let _ = self.child.wait();
+    }
+}
--- /dev/null
+++ b/balancer/tests/common/listeners.rs
@@ -0,0 +1,73 @@
+//! Addresses to which connections fail.
+use super::with_read_timeout;
+use std::io::BufReader;
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::time::Duration;
+
+/// An address that refuses connections.
+pub fn refusing_address() -> SocketAddr {
+    TcpListener::bind("127.0.0.1:0")
+        .and_then(|listener| listener.local_addr())
+        .expect("an address")
+}
+
+/// A listener with a full accept queue: connections to it do not open.
+pub struct UnresponsiveListener {
+    pub address: SocketAddr,
+    listener: socket2::Socket,
+    queued: Vec<socket2::Socket>,
+}
+
+impl UnresponsiveListener {
+    /// Listens and fills its own queue.
+    pub fn start() -> UnresponsiveListener {
+        let listener = tcp_socket();
+        listener
+            .bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into())
+            .expect("binds");
+        listener.listen(0).expect("listens");
+        let address = listener.local_addr().expect("an address");
+        let mut queued = Vec::new();
+        // The first connection that does not open shows that the queue is full.
+        loop {
+            let next = tcp_socket();
+            let is_open = next
+                .connect_timeout(&address, Duration::from_millis(300))
+                .is_ok();
+            queued.push(next);
+            if !is_open {
+                break;
+            }
+            assert!(queued.len() < 64, "the queue has no end");
+        }
+        UnresponsiveListener {
+            address: address.as_socket().expect("an address"),
+            listener,
+            queued,
+        }
+    }
+
+    /// Lets connections open, and returns the first one of another process.
+    pub fn accept_first_connection(self) -> BufReader<TcpStream> {
+        let own_ports: Vec<u16> = self
+            .queued
+            .iter()
+            .filter_map(|socket| socket.local_addr().ok())
+            .map(|address| port(&address))
+            .collect();
+        loop {
+            let (stream, peer) = self.listener.accept().expect("accepts");
+            if !own_ports.contains(&port(&peer)) {
+                return with_read_timeout(TcpStream::from(stream));
+            }
+        }
+    }
+}
+
+fn tcp_socket() -> socket2::Socket {
+    socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket")
+}
+
+fn port(address: &socket2::SockAddr) -> u16 {
+    address.as_socket().expect("an address").port()
+}
--- /dev/null
+++ b/balancer/tests/common/raw_http.rs
@@ -0,0 +1,61 @@
+//! Parts of HTTP messages as bytes on a connection.
+use super::with_read_timeout;
+use std::io::{BufRead, BufReader, Read, Write};
+use std::net::{SocketAddr, TcpListener, TcpStream};
+use std::thread;
+
+/// An upstream that serves one connection after another with `serve`.
+pub fn start_raw_upstream(
+    serve: impl Fn(&mut BufReader<TcpStream>) + Send + 'static,
+) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
+    let address = listener.local_addr().expect("an address");
+    thread::spawn(move || {
+        for stream in listener.incoming().flatten() {
+            serve(&mut with_read_timeout(stream));
+        }
+    });
+    address
+}
+
+/// Reads a head up to its empty line.
+pub fn read_head(from: &mut BufReader<TcpStream>) -> String {
+    let mut head = String::new();
+    while !head.ends_with("\r\n\r\n") && from.read_line(&mut head).expect("a head") > 0 {}
+    head
+}
+
+/// Reads this many bytes.
+pub fn read_bytes(from: &mut BufReader<TcpStream>, length: usize) -> Vec<u8> {
+    let mut bytes = vec![0; length];
+    from.read_exact(&mut bytes).expect("enough bytes");
+    bytes
+}
+
+/// Sends these bytes.
+pub fn send_bytes(to: &mut BufReader<TcpStream>, bytes: &[u8]) {
+    // A closed connection shows when the response is read.
+    let _ = to.get_mut().write_all(bytes);
+}
+
+/// Reads a chunked body.
+pub fn read_chunks(from: &mut BufReader<TcpStream>) -> Vec<u8> {
+    let mut body = Vec::new();
+    loop {
+        let mut size = String::new();
+        from.read_line(&mut size).expect("a size");
+        let size = usize::from_str_radix(size.trim_end(), 16).expect("a size");
+        body.extend(read_bytes(from, size));
+        read_bytes(from, 2);
+        if size == 0 {
+            return body;
+        }
+    }
+}
+
+/// Bytes without repetition, so that a lost or repeated part is detected.
+pub fn test_bytes(length: usize) -> Vec<u8> {
+    (0..length)
+        .map(|i| (i ^ (i >> 8) ^ (i >> 16)) as u8)
+        .collect()
+}
--- /dev/null
+++ b/balancer/tests/disconnects.rs
@@ -0,0 +1,293 @@
+//! Clients that disconnect while their request waits: each test is one way of waiting, with every
+//! way of disconnecting, and with and without unread bytes behind the request, which hide the end
+//! of the stream from a reader.
+mod common;
+use common::*;
+use std::sync::mpsc::channel;
+use std::sync::Mutex;
+use std::time::{Duration, Instant};
+
+/// Every way of disconnecting, without and with bytes behind the request.
+fn disconnect_cases() -> impl Iterator<Item = (Disconnect, String)> {
+    DISCONNECTS.into_iter().flat_map(|how| {
+        ["".to_string(), get_request("behind", "60000m")].map(|behind| (how, behind))
+    })
+}
+
+/// A half-closed client gets this status, and nothing after that.
+fn expect_only_response(client: Option<Client>, status: u16, what: &str) {
+    if let Some(mut client) = client {
+        assert_eq!(
+            client.read_response().map(|response| response.status()),
+            Some(status),
+            "{what}"
+        );
+        assert!(
+            client.read_response().is_none(),
+            "{what}: the request behind it is not read"
+        );
+    }
+}
+
+/// A balancer with an admin endpoint and one upstream whose connections do not open yet, and whose
+/// dial timeout is long.
+fn balancer_with_unopened_upstream(cancel: bool) -> (BalancerProcess, UnresponsiveListener) {
+    let full = UnresponsiveListener::start();
+    let discovery = StubDiscovery::start();
+    let config = balancer_config(
+        discovery.address,
+        1024,
+        &endpoint_list(1, true, &[(0, full.address, "active")]),
+    )
+    .replace("\"idle_close\"", "\"dial_timeout\":80000,\"idle_close\"")
+    .replace("\"cancel\":true", &format!("\"cancel\":{cancel}"));
+    let balancer = BalancerProcess::run(balancer_command(&with_admin_endpoint(&config)), discovery);
+    // The connection to discovery is open, so that it does not count as a dial below.
+    balancer.discovery.next_call_path();
+    (balancer, full)
+}
+
+#[test]
+fn writes_nothing_for_a_client_that_disconnects_while_dialling() {
+    for cancel in [true, false] {
+        for (how, behind) in disconnect_cases() {
+            let what = format!("{how:?}, {} bytes behind, cancel {cancel}", behind.len());
+            let (balancer, full) = balancer_with_unopened_upstream(cancel);
+            let client = balancer
+                .client_that_sent(&format!("{}{behind}", payment_request("gone", "60000m")));
+            balancer.wait_for_metric("node_active 1");
+            let client = client.disconnect(how);
+            balancer.wait_for_metric("node_active 0");
+            expect_only_response(client, 502, &what);
+            // Without cancellation the connection opens now, and nothing is written to it.
+            if !cancel {
+                assert!(
+                    read_message(&mut full.accept_first_connection()).is_none(),
+                    "{what}"
+                );
+            }
+            balancer.wait_for_metric("node_tries 0");
+        }
+    }
+}
+
+#[test]
+fn writes_nothing_for_a_large_request_whose_client_disconnects_while_dialling() {
+    for how in DISCONNECTS {
+        let (balancer, full) = balancer_with_unopened_upstream(false);
+        // More than is buffered here, and no more than the system buffers: the end of the stream
+        // could not arrive behind that.
+        let body = "x".repeat(70_000);
+        let head = payment_request("gone", "60000m").replace(
+            "Content-Length: 4\r\n\r\nbody",
+            "Content-Length: 70000\r\n\r\n",
+        );
+        let without = balancer.descriptor_count();
+        let client = balancer.client_that_sent(&format!("{head}{body}"));
+        // The client's socket and the one that dials.
+        balancer.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
+        let client = client.disconnect(how);
+        if client.is_none() {
+            balancer.wait_for_descriptors(
+                |n| n <= without + 1,
+                "it does not notice that the client disconnected",
+            );
+        }
+        expect_only_response(client, 502, &format!("{how:?}"));
+        assert!(
+            read_message(&mut full.accept_first_connection()).is_none(),
+            "{how:?}"
+        );
+    }
+}
+
+#[test]
+fn does_not_retry_for_a_client_that_disconnects_during_an_attempt() {
+    for (how, behind) in disconnect_cases() {
+        let what = format!("{how:?}, {} bytes behind", behind.len());
+        let (signal, awaited) = channel();
+        let awaited = Mutex::new(Some(awaited));
+        let declined =
+            "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
+        let upstream =
+            StubUpstream::start(move |_| match awaited.lock().expect("no panic").take() {
+                Some(awaited) => Reply::RespondAfterSignal(awaited, declined.into()),
+                None => ok_response("x"),
+            });
+        let discovery = StubDiscovery::start();
+        let config = balancer_config(
+            discovery.address,
+            1024,
+            &endpoint_list(1, true, &[(0, upstream.address, "active")]),
+        )
+        .replace("\"cancel\":true", "\"cancel\":false");
+        let balancer =
+            BalancerProcess::run(balancer_command(&with_admin_endpoint(&config)), discovery);
+        let client =
+            balancer.client_that_sent(&format!("{}{behind}", payment_request("gone", "60000m")));
+        assert_eq!(
+            upstream.next_request().header("req-id"),
+            Some("gone"),
+            "{what}"
+        );
+        let client = client.disconnect(how);
+        balancer.wait_for_metric("node_active 0");
+        signal.send(()).expect("the upstream waits");
+        expect_only_response(client, 502, &what);
+        assert_eq!(
+            balancer
+                .client()
+                .call(&get_request("next", "15000m"))
+                .status(),
+            200,
+            "{what}"
+        );
+        assert_eq!(
+            upstream.next_request().header("req-id"),
+            Some("next"),
+            "{what}"
+        );
+        assert_eq!(upstream.further_request_count(), 0, "{what}");
+    }
+}
+
+#[test]
+fn cancels_in_flight_attempt_when_client_disconnects() {
+    for (how, behind) in disconnect_cases() {
+        let what = format!("{how:?}, {} bytes behind", behind.len());
+        let upstream = StubUpstream::start(|m| {
+            if m.header("req-id") == Some("next") {
+                ok_response("x")
+            } else {
+                Reply::NeverRespond
+            }
+        });
+        let balancer = BalancerProcess::with_upstreams(&[upstream.address]);
+        let client =
+            balancer.client_that_sent(&format!("{}{behind}", payment_request("gone", "60000m")));
+        upstream.next_request();
+        let client = client.disconnect(how);
+        upstream.wait_for_closed_connection();
+        expect_only_response(client, 502, &what);
+        assert_eq!(
+            balancer
+                .client()
+                .call(&get_request("next", "15000m"))
+                .status(),
+            200,
+            "{what}"
+        );
+        assert_eq!(
+            upstream.next_request().header("req-id"),
+            Some("next"),
+            "{what}"
+        );
+    }
+}
+
+/// An attempt must not start over 0.1 s after its client has disconnected.
+#[test]
+fn notices_a_disconnect_behind_unread_bytes_at_once() {
+    let upstream = StubUpstream::start(|_| Reply::NeverRespond);
+    let balancer = BalancerProcess::with_upstreams(&[upstream.address]);
+    for how in DISCONNECTS {
+        // The best of several rounds, as a busy machine may be late.
+        let rounds = (0..5).map(|round| {
+            let client =
+                balancer.client_that_sent(&payment_request(&format!("{how:?}{round}"), "60000m"));
+            upstream.next_request();
+            let mut client = client;
+            client.send(&get_request("behind", "60000m"));
+            std::thread::sleep(Duration::from_millis(10));
+            let disconnected_at = Instant::now();
+            let half_closed = client.disconnect(how);
+            upstream.wait_for_closed_connection();
+            drop(half_closed);
+            disconnected_at.elapsed()
+        });
+        let best = rounds.min().expect("some rounds");
+        assert!(best < Duration::from_millis(50), "{how:?}: {best:?}");
+    }
+}
+
+/// Unread bytes behind a waiting request are read after its response.
+#[test]
+fn serves_pipelined_requests_in_order() {
+    let (signal, reply) = hold_first_request("first", "second");
+    let upstream = StubUpstream::start(reply);
+    let balancer = BalancerProcess::with_upstreams(&[upstream.address]);
+    let mut client = balancer.client_that_sent(&get_request("r1", "15000m"));
+    upstream.next_request();
+    // More than is read at once, so that the system buffers some of it.
+    let many: String = (2..400)
+        .map(|i| get_request(&format!("r{i}"), "15000m"))
+        .collect();
+    client.send(&many);
+    std::thread::sleep(Duration::from_millis(20));
+    signal.send(()).expect("the upstream waits");
+    assert_eq!(client.read_response().expect("a response").body, b"first");
+    for i in 2..400 {
+        assert_eq!(
+            client.read_response().map(|response| response.body),
+            Some(b"second".to_vec()),
+            "request {i}"
+        );
+    }
+}
+
+/// Clients that wait for a permit have written their requests. The request of one that disconnects
+/// meanwhile is not forwarded.
+#[test]
+fn does_not_forward_a_request_whose_client_disconnects_before_it_is_accepted() {
+    for (how, behind) in disconnect_cases() {
+        let what = format!("{how:?}, {} bytes behind", behind.len());
+        let (signal, awaited) = channel();
+        let awaited = Mutex::new(Some(awaited));
+        let served = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
+        let upstream =
+            StubUpstream::start(move |m| match awaited.lock().expect("no panic").take() {
+                Some(awaited) => Reply::RespondAfterSignal(awaited, served.into()),
+                None if m.header("req-id") == Some("next") => ok_response("x"),
+                None => Reply::NeverRespond,
+            });
+        let balancer = BalancerProcess::start(
+            64,
+            &endpoint_list(1, true, &[(0, upstream.address, "active")]),
+        );
+        // All permits are in use by clients that wait for responses; the first of them gets one
+        // after the signal.
+        let mut first = balancer.client_that_sent(&payment_request("r0", "15000m"));
+        upstream.next_request();
+        let busy = |i| {
+            let client = balancer.client_that_sent(&get_request(&format!("r{i}"), "15000m"));
+            upstream.next_request();
+            client
+        };
+        let others: Vec<Client> = (1..20).map(busy).collect();
+        let client = balancer
+            .client_that_sent(&format!("{}{behind}", payment_request("gone", "60000m")))
+            .disconnect(how);
+        signal.send(()).expect("the upstream waits");
+        assert_eq!(
+            first.read_response().map(|response| response.status()),
+            Some(200),
+            "{what}"
+        );
+        expect_only_response(client, 503, &what);
+        // A later client is served later.
+        assert_eq!(
+            balancer
+                .client()
+                .call(&get_request("next", "15000m"))
+                .status(),
+            200,
+            "{what}"
+        );
+        assert_eq!(
+            upstream.next_request().header("req-id"),
+            Some("next"),
+            "{what}"
+        );
+        drop(others);
+    }
+}
--- /dev/null
+++ b/balancer/tests/discovery_timing.rs
@@ -0,0 +1,261 @@
+//! Calls to discovery that fail, stall or break: the next call follows in time.
+mod common;
+use common::*;
+use std::io::{BufReader, Write};
+use std::net::{TcpListener, TcpStream};
+use std::sync::mpsc::channel;
+use std::time::{Duration, Instant};
+
+/// Guards against missing a release for 22 s because of one silent watch.
+#[test]
+fn calls_discovery_again_when_a_watch_is_silent() {
+    let (old, new) = (
+        StubUpstream::start(|_| ok_response("old")),
+        StubUpstream::start(|_| ok_response("new")),
+    );
+    let silent = TcpListener::bind("127.0.0.1:0").expect("binds");
+    let known = endpoint_list(1, true, &[(0, old.address, "active")]);
+    let pushed = balancer_config(silent.local_addr().expect("an address"), 1024, &known)
+        .replace("on_request", "pushed");
+    let balancer = BalancerProcess::run(balancer_command(&pushed), StubDiscovery::start());
+    let (sender, connections) = channel();
+    std::thread::spawn(move || silent.incoming().flatten().try_for_each(|s| sender.send(s)));
+    let call = || {
+        let mut stream = BufReader::new(
+            connections
+                .recv_timeout(TEST_TIMEOUT)
+                .expect("a call in time"),
+        );
+        let call = read_message(&mut stream).expect("a call");
+        assert!(
+            call.start_line.starts_with("GET /api/targets?since=1&"),
+            "{}",
+            call.start_line
+        );
+        stream
+    };
+    let first = call();
+    let mut second = call();
+    let update = endpoint_list(2, true, &[(1, new.address, "active")]);
+    let response = ok_text(&update);
+    second
+        .get_mut()
+        .write_all(response.as_bytes())
+        .expect("writes");
+    let next = read_message(&mut second).expect("the watch continues");
+    assert!(
+        next.start_line.starts_with("GET /api/targets?since=2&"),
+        "{}",
+        next.start_line
+    );
+    assert_eq!(
+        balancer
+            .client()
+            .call(&payment_request("r1", "15000m"))
+            .body,
+        b"new"
+    );
+    drop(first);
+}
+
+/// The calls that reach a listener, each on its own connection, which stays open until the test
+/// drops it.
+fn accept_calls(listener: TcpListener) -> impl Iterator<Item = (BufReader<TcpStream>, Message)> {
+    std::iter::from_fn(move || {
+        let mut stream = BufReader::new(listener.accept().expect("a call").0);
+        let call = read_message(&mut stream).expect("a call");
+        Some((stream, call))
+    })
+}
+
+/// An update must be applied 6 s after discovery can be reached, whatever failed before.
+#[test]
+fn applies_an_update_within_six_seconds_after_a_silent_call_and_a_malformed_list() {
+    let (old, new) = (
+        StubUpstream::start(|_| ok_response("old")),
+        StubUpstream::start(|_| ok_response("new")),
+    );
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
+    let known = endpoint_list(1, true, &[(0, old.address, "active")]);
+    let config = balancer_config(listener.local_addr().expect("an address"), 1024, &known);
+    let balancer = BalancerProcess::run(balancer_command(&config), StubDiscovery::start());
+    let mut calls = accept_calls(listener);
+    let (_silent, first) = calls.next().expect("a call");
+    assert!(
+        first.start_line.starts_with("GET /api/targets?since=1&"),
+        "{}",
+        first.start_line
+    );
+    let called_at = Instant::now();
+    let mut respond_to_next_call = |body: &str| {
+        let (mut stream, call) = calls.next().expect("a call");
+        assert!(
+            call.start_line.starts_with("GET /api/targets?since=1&"),
+            "{}",
+            call.start_line
+        );
+        let response = ok_text(body);
+        stream
+            .get_mut()
+            .write_all(response.as_bytes())
+            .expect("writes");
+        stream
+    };
+    let malformed = respond_to_next_call("{\"version\":");
+    let mut updated = respond_to_next_call(&endpoint_list(2, true, &[(1, new.address, "active")]));
+    // The next call shows that the update has been applied.
+    read_message(&mut updated).expect("the watch continues");
+    assert!(
+        called_at.elapsed() < Duration::from_secs(6),
+        "{:?}",
+        called_at.elapsed()
+    );
+    assert_eq!(
+        balancer.client().call(&get_request("r1", "5000m")).body,
+        b"new"
+    );
+    drop(malformed);
+}
+
+/// The same for an address that accepts connections and never responds, while no list is known.
+#[test]
+fn calls_an_address_that_never_responds_again_and_again() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
+    let config = balancer_config(listener.local_addr().expect("an address"), 1024, "null");
+    let _balancer = BalancerProcess::run(balancer_command(&config), StubDiscovery::start());
+    let mut calls = accept_calls(listener);
+    let _first = calls.next().expect("a call");
+    for _ in 0..3 {
+        let called_at = Instant::now();
+        let (_silent, call) = calls.next().expect("a call");
+        assert!(
+            call.start_line.starts_with("GET /api/targets "),
+            "{}",
+            call.start_line
+        );
+        assert!(
+            called_at.elapsed() < Duration::from_secs(4),
+            "{:?}",
+            called_at.elapsed()
+        );
+    }
+}
+
+/// A list that stalls, is truncated or never ends: the known list stays, one log line names the
+/// error, and the next call follows in time.
+#[test]
+fn ignores_truncated_and_endless_lists_without_delay() {
+    let (old, new) = (
+        StubUpstream::start(|_| ok_response("old")),
+        StubUpstream::start(|_| ok_response("new")),
+    );
+    let update = endpoint_list(2, true, &[(1, new.address, "active")]);
+    let head = |length: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
+    let half = format!("{}{}", head(update.len()), &update[..update.len() - 2]);
+    let endless = format!("{}{}", head(1 << 40), &update[..update.len() - 2]);
+    for (text, is_truncated, is_endless) in [
+        (&half, false, false),
+        (&half, true, false),
+        (&endless, false, true),
+    ] {
+        let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
+        let known = endpoint_list(1, true, &[(0, old.address, "active")]);
+        let config = balancer_config(listener.local_addr().expect("an address"), 1024, &known);
+        let balancer = BalancerProcess::run(balancer_command(&config), StubDiscovery::start());
+        let mut calls = accept_calls(listener);
+        let (mut stream, _) = calls.next().expect("a call");
+        let sent_at = Instant::now();
+        stream.get_mut().write_all(text.as_bytes()).expect("writes");
+        if is_truncated {
+            stream
+                .get_mut()
+                .shutdown(std::net::Shutdown::Both)
+                .expect("it is open");
+        }
+        // The balancer closes the connection in the middle of a list that is too long.
+        while is_endless && stream.get_mut().write_all(&[b' '; 1 << 16]).is_ok() {}
+        let (_next, call) = calls.next().expect("a call");
+        assert!(
+            sent_at.elapsed() < Duration::from_secs(5),
+            "{:?}",
+            sent_at.elapsed()
+        );
+        assert!(call.start_line.contains("since=1&"), "{}", call.start_line);
+        assert_eq!(
+            balancer.client().call(&get_request("r1", "5000m")).body,
+            b"old"
+        );
+        let log = balancer.log_lines();
+        assert_eq!(
+            log.iter()
+                .filter(|line| line.starts_with("discovery: "))
+                .count(),
+            1,
+            "{log:?}"
+        );
+    }
+}
+
+/// Guards against a backoff that delays updates for too long.
+#[test]
+fn backoff_after_failed_calls_stays_short() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
+    let config = balancer_config(listener.local_addr().expect("an address"), 1024, "null");
+    let _balancer = BalancerProcess::run(balancer_command(&config), StubDiscovery::start());
+    let mut calls = accept_calls(listener);
+    drop(calls.next());
+    for _ in 0..6 {
+        let failed = Instant::now();
+        drop(calls.next());
+        assert!(
+            failed.elapsed() < Duration::from_millis(1400),
+            "{:?}",
+            failed.elapsed()
+        );
+    }
+}
+
+/// An update must be applied even if no watch is open: a balancer that reconnects late sends to
+/// draining upstreams for longer than the grace, here 0.3 s.
+#[test]
+fn reopens_a_broken_watch_within_the_drain_grace() {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
+    let config = balancer_config(listener.local_addr().expect("an address"), 1024, "null");
+    let pushed = config
+        .replace("on_request", "pushed")
+        .replace("\"drain_grace\":1000", "\"drain_grace\":300");
+    let _balancer = BalancerProcess::run(balancer_command(&pushed), StubDiscovery::start());
+    let mut first = None;
+    for _ in 0..7 {
+        let mut stream = BufReader::new(listener.accept().expect("a call").0);
+        read_message(&mut stream).expect("a call");
+        first.get_or_insert_with(Instant::now);
+        socket2::SockRef::from(stream.get_ref())
+            .set_linger(Some(Duration::ZERO))
+            .expect("a socket");
+    }
+    // Six pauses.
+    let took = first.expect("a call").elapsed();
+    assert!(took < Duration::from_millis(1800), "{took:?}");
+}
+
+/// After a reload an update must be applied within 4 s.
+#[test]
+fn calls_a_silent_new_address_again_in_time() {
+    let balancer = BalancerProcess::start(1024, "null");
+    balancer.discovery.next_call_path();
+    let silent = TcpListener::bind("127.0.0.1:0").expect("binds");
+    let reloaded = Instant::now();
+    balancer.reload(&balancer_config(
+        silent.local_addr().expect("an address"),
+        1024,
+        "null",
+    ));
+    let calls: Vec<_> = (0..2).map(|_| silent.accept().expect("a call")).collect();
+    assert!(
+        reloaded.elapsed() < Duration::from_secs(4),
+        "{:?}",
+        reloaded.elapsed()
+    );
+    drop(calls);
+}
--- a/balancer/tests/hollow.rs
+++ b/balancer/tests/hollow.rs
@@ -4,7 +4,7 @@
 use balancer::hollow::{AppliedUpdate, HollowBalancer, HollowOptions, RequestOutcome};
 use balancer::process::config::Config;
 use balancer::telemetry::log::LogOutput;
-use common::{config, listing, read, PATIENCE};
+use common::{balancer_config, endpoint_list, read_message, TEST_TIMEOUT};
 use std::collections::BTreeMap;
 use std::future::Future;
 use std::io::{BufReader, Write};
@@ -41,7 +41,7 @@
             .filter(|(_, (changed, _, state))| newer(changed) && listed(state))
             .map(|(&number, &(_, addr, state))| (number, addr, state))
             .collect();
-        listing(self.version, since.is_none(), &servers)
+        endpoint_list(self.version, since.is_none(), &servers)
     }
 }
 
@@ -82,8 +82,13 @@
 
     fn serve(&self, stream: TcpStream) {
         let mut stream = BufReader::new(stream);
-        while let Some(call) = read(&mut stream) {
-            let path = call.start.split(' ').nth(1).expect("a path").to_string();
+        while let Some(call) = read_message(&mut stream) {
+            let path = call
+                .start_line
+                .split(' ')
+                .nth(1)
+                .expect("a path")
+                .to_string();
             let since = parameter(&path, "since");
             let wait = parameter(&path, "timeout_ms").map_or(Duration::ZERO, Duration::from_millis);
             self.calls.lock().expect("no panic").push(path);
@@ -140,7 +145,7 @@
 
 /// The configuration of a balancer whose list is pushed, or that has to ask for it.
 fn parsed_config(service: &EndpointService, mode: &str, known: &str) -> Config {
-    let text = config(service.addr, 64, known).replace("on_request", mode);
+    let text = balancer_config(service.addr, 64, known).replace("on_request", mode);
     Config::parse(text.as_bytes()).expect("a configuration")
 }
 
@@ -183,7 +188,7 @@
     async fn in_force(&mut self, version: u64) -> Vec<AppliedUpdate> {
         let mut applied = BTreeMap::new();
         while applied.len() < self.balancers.len() {
-            let next = timeout(PATIENCE, self.updates.recv())
+            let next = timeout(TEST_TIMEOUT, self.updates.recv())
                 .await
                 .expect("an update in time");
             let (number, update) = next.expect("the balancers run");
@@ -315,7 +320,7 @@
         fleet.in_force(1).await;
         fleet.balancers.clear();
         // The last sender goes with the last balancer's tasks.
-        let ended = timeout(PATIENCE, async {
+        let ended = timeout(TEST_TIMEOUT, async {
             while fleet.updates.recv().await.is_some() {}
         })
         .await;
