--- a/balancer/src/control/control_plane.rs
+++ b/balancer/src/control/control_plane.rs
@@ -1,6 +1,6 @@
 //! The control plane of a balancer: the driver of the decision module, and the discovery client that feeds it. The
 //! process and the hollow balancers start it alike.
-use crate::clock::{from_millis, to_millis, Clock};
+use crate::clock::{to_millis, Clock};
 use crate::control::driver::{DriverHandle, DriverOptions};
 use crate::control::invariants::Guard;
 use crate::discovery::endpoints::EndpointUpdate;
--- a/balancer/tests/operators.rs
+++ b/balancer/tests/operators.rs
@@ -6,8 +6,8 @@
 use std::thread;
 
 /// The value of a metric.
-fn metric(node: &Node, name: &str) -> u64 {
-    let text = node.asks(b"METRICS\n");
+fn metric(node: &BalancerProcess, name: &str) -> u64 {
+    let text = node.call_admin(b"METRICS\n");
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
@@ -18,8 +18,8 @@
 
 #[test]
 fn answers_commands_with_yes_or_no() {
-    let upstream = Upstream::start(|_| ok(""));
-    let node = Node::with_door(&[upstream.addr]);
+    let upstream = StubUpstream::start(|_| ok_response(""));
+    let node = BalancerProcess::with_admin(&[upstream.address]);
     for (command, expected) in [
         ("STATUS\n", "YES serving\n"),
         ("STATUS\r\n", "YES serving\n"),
@@ -38,13 +38,13 @@
         ),
         ("\n", "NO the line is empty\n"),
     ] {
-        assert_eq!(node.asks(command.as_bytes()), expected, "{command:?}");
+        assert_eq!(node.call_admin(command.as_bytes()), expected, "{command:?}");
     }
-    assert!(node.asks(b"status\n").starts_with("NO unknown call"));
+    assert!(node.call_admin(b"status\n").starts_with("NO unknown call"));
     for bytes in [&b"STATUS \xff\n"[..], &[b'x'; 600]] {
-        assert!(node.asks(bytes).starts_with("NO a call is one line"));
+        assert!(node.call_admin(bytes).starts_with("NO a call is one line"));
     }
-    let mut incomplete = node.caller();
+    let mut incomplete = node.admin_connection();
     incomplete
         .get_mut()
         .write_all(b"SUSPEND s-0")
@@ -57,7 +57,7 @@
         read_all(incomplete).starts_with("NO a call is one line"),
         "an incomplete line may hold an incomplete id"
     );
-    node.comes_to("node_pool_ejected 0");
+    node.wait_for_metric("node_pool_ejected 0");
 }
 
 fn read_all(mut from: std::io::BufReader<std::net::TcpStream>) -> String {
@@ -69,25 +69,31 @@
 /// Connections that send nothing do not keep a command out.
 #[test]
 fn silent_connections_do_not_block_admin_server() {
-    let upstream = Upstream::start(|_| ok(""));
-    let node = Node::with_door(&[upstream.addr]);
-    let silent: Vec<_> = (0..60).map(|_| node.caller()).collect();
-    assert_eq!(node.asks(b"STATUS\n"), "YES serving\n");
+    let upstream = StubUpstream::start(|_| ok_response(""));
+    let node = BalancerProcess::with_admin(&[upstream.address]);
+    let silent: Vec<_> = (0..60).map(|_| node.admin_connection()).collect();
+    assert_eq!(node.call_admin(b"STATUS\n"), "YES serving\n");
     // The server keeps a limited number of them.
-    node.holds(|n| n < 45, "silent connections fill its descriptors");
+    node.wait_for_descriptors(|n| n < 45, "silent connections fill its descriptors");
     drop(silent);
 }
 
 #[test]
 fn runs_no_admin_server_without_address_and_exits_with_one_line_for_bad_address() {
-    let upstream = Upstream::start(|_| ok(""));
-    assert_eq!(Node::with(&[upstream.addr]).ops, None);
-    let config = config(refusing(), 1024, "null");
+    let upstream = StubUpstream::start(|_| ok_response(""));
+    assert_eq!(
+        BalancerProcess::with_upstreams(&[upstream.address]).ops,
+        None
+    );
+    let config = balancer_config(refusing_address(), 1024, "null");
     for config in [
-        door(&config).replace("\"ops\":\"127.0.0.1:0\"", "\"ops\":\"door\""),
-        { door(&config).replace("\"ops\":\"127.0.0.1:0\"", "\"ops\":\"192.0.2.1:9\"") },
+        with_admin_endpoint(&config).replace("\"ops\":\"127.0.0.1:0\"", "\"ops\":\"door\""),
+        {
+            with_admin_endpoint(&config)
+                .replace("\"ops\":\"127.0.0.1:0\"", "\"ops\":\"192.0.2.1:9\"")
+        },
     ] {
-        let output = command(&config).output().expect("runs");
+        let output = balancer_command(&config).output().expect("runs");
         let log = String::from_utf8(output.stderr).expect("text");
         assert!(!output.status.success());
         assert!(
@@ -99,33 +105,33 @@
 
 #[test]
 fn reads_admin_address_from_environment() {
-    let upstream = Upstream::start(|_| ok(""));
-    let discovery = Discovery::start();
-    let config = config(
-        discovery.addr,
+    let upstream = StubUpstream::start(|_| ok_response(""));
+    let discovery = StubDiscovery::start();
+    let config = balancer_config(
+        discovery.address,
         1024,
-        &listing(1, true, &[(0, upstream.addr, "active")]),
+        &endpoint_list(1, true, &[(0, upstream.address, "active")]),
     );
-    let mut command = command(&config);
+    let mut command = balancer_command(&config);
     command.env("NODE_OPS", "127.0.0.1:0");
-    let node = Node::run(command, discovery);
-    assert_eq!(node.asks(b"STATUS\n"), "YES serving\n");
+    let node = BalancerProcess::run(command, discovery);
+    assert_eq!(node.call_admin(b"STATUS\n"), "YES serving\n");
 }
 
 #[test]
 fn metrics_count_ended_and_active_requests() {
     let (release, held) = std::sync::mpsc::channel();
     let held = std::sync::Mutex::new(Some(held));
-    let upstream = Upstream::start(move |request| match request.header("req-id") {
+    let upstream = StubUpstream::start(move |request| match request.header("req-id") {
         Some("held") => {
             let held = held.lock().expect("no panic").take().expect("one is held");
-            Then::Hold(held, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
+            Reply::RespondAfterSignal(held, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
         }
-        Some("bad") => status("500 Internal Server Error"),
-        _ => ok(""),
+        Some("bad") => empty_response("500 Internal Server Error"),
+        _ => ok_response(""),
     });
-    let node = Node::with_door(&[upstream.addr]);
-    let start = node.asks(b"METRICS\n");
+    let node = BalancerProcess::with_admin(&[upstream.address]);
+    let start = node.call_admin(b"METRICS\n");
     assert!(start.ends_with("END\n"), "{start}");
     for class in ["read", "order", "pay"] {
         for outcome in ["ok", "shed", "errors"] {
@@ -136,23 +142,23 @@
         }
     }
     let mut client = node.client();
-    assert_eq!(client.call(&get("1", "9000m")).status(), 200);
-    assert_eq!(client.call(&pay("bad", "9000m")).status(), 502);
-    node.comes_to("node_active 0");
-    node.comes_to("node_tries 2");
-    let mut waiting = node.client_that_sent(&get("held", "9000m"));
-    node.comes_to("node_tries 3");
+    assert_eq!(client.call(&get_request("1", "9000m")).status(), 200);
+    assert_eq!(client.call(&payment_request("bad", "9000m")).status(), 502);
+    node.wait_for_metric("node_active 0");
+    node.wait_for_metric("node_tries 2");
+    let mut waiting = node.client_that_sent(&get_request("held", "9000m"));
+    node.wait_for_metric("node_tries 3");
     assert_eq!(metric(&node, "node_active"), 1);
     release.send(()).expect("the upstream waits");
-    assert_eq!(waiting.answer().expect("an answer").status(), 200);
-    node.comes_to("node_active 0");
-    assert_eq!(node.asks(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
+    assert_eq!(waiting.read_response().expect("an answer").status(), 200);
+    node.wait_for_metric("node_active 0");
+    assert_eq!(node.call_admin(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
     assert_eq!(
-        client.call(&get("2", "9000m")).status(),
+        client.call(&get_request("2", "9000m")).status(),
         503,
         "no other upstream is listed"
     );
-    node.comes_to("node_shed{kind=\"read\"} 1");
+    node.wait_for_metric("node_shed{kind=\"read\"} 1");
     for (name, expected) in [
         ("node_ok{kind=\"read\"}", 2),
         ("node_errors{kind=\"pay\"}", 1),
@@ -170,9 +176,9 @@
 /// it.
 #[test]
 fn suspended_upstream_receives_nothing_until_it_is_restored() {
-    let suspended = Upstream::start(|_| ok("suspended"));
-    let other = Upstream::start(|_| ok("other"));
-    let node = Node::with_door(&[suspended.addr, other.addr]);
+    let suspended = StubUpstream::start(|_| ok_response("suspended"));
+    let other = StubUpstream::start(|_| ok_response("other"));
+    let node = BalancerProcess::with_admin(&[suspended.address, other.address]);
     let mut client = node.client();
     let mut id = 0;
     // Sends requests until one is served by `upstream`, and returns their number.
@@ -181,7 +187,7 @@
         loop {
             id += 1;
             requests += 1;
-            let body = client.call(&get(&id.to_string(), "9000m")).body;
+            let body = client.call(&get_request(&id.to_string(), "9000m")).body;
             if body == upstream.as_bytes() || requests >= limit {
                 return requests;
             }
@@ -191,20 +197,23 @@
         requests_until("suspended", 1000) < 1000,
         "it is used before the suspension"
     );
-    assert_eq!(node.asks(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
-    suspended.closed();
+    assert_eq!(node.call_admin(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
+    suspended.wait_for_closed_connection();
     assert_eq!(requests_until("suspended", 50), 50);
-    let both = [(0, suspended.addr, "active"), (1, other.addr, "active")];
-    node.discovery.answer(&listing(2, true, &both[1..]));
-    node.discovery.answer(&listing(3, true, &both));
+    let both = [
+        (0, suspended.address, "active"),
+        (1, other.address, "active"),
+    ];
+    node.discovery.respond(&endpoint_list(2, true, &both[1..]));
+    node.discovery.respond(&endpoint_list(3, true, &both));
     // The balancer watches for what follows version 3 once that version is in force.
-    while !node.discovery.called().contains("since=3") {}
+    while !node.discovery.next_call_path().contains("since=3") {}
     assert_eq!(
         requests_until("suspended", 50),
         50,
         "it was removed from the list and listed again"
     );
-    assert_eq!(node.asks(b"RESTORE s-0\n"), "YES s-0 is in use\n");
+    assert_eq!(node.call_admin(b"RESTORE s-0\n"), "YES s-0 is in use\n");
     assert!(
         requests_until("suspended", 100_000) < 100_000,
         "it is used again"
@@ -217,14 +226,14 @@
 fn pause_sends_clients_away_until_resume() {
     let (release, held) = std::sync::mpsc::channel();
     let held = std::sync::Mutex::new(Some(held));
-    let upstream = Upstream::start(move |request| match request.header("req-id") {
+    let upstream = StubUpstream::start(move |request| match request.header("req-id") {
         Some("held") => {
             let held = held.lock().expect("no panic").take().expect("one is held");
-            Then::Hold(held, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
+            Reply::RespondAfterSignal(held, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
         }
-        _ => ok(""),
+        _ => ok_response(""),
     });
-    let node = Node::with_door(&[upstream.addr]);
+    let node = BalancerProcess::with_admin(&[upstream.address]);
     let ready = || {
         node.client()
             .call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -233,70 +242,73 @@
     assert_eq!(ready(), 200);
     let mut unused = node.client();
     let mut used = node.client();
-    assert_eq!(used.call(&get("1", "9000m")).status(), 200);
-    let mut waiting = node.client_that_sent(&get("held", "9000m"));
-    upstream.request();
-    upstream.request();
+    assert_eq!(used.call(&get_request("1", "9000m")).status(), 200);
+    let mut waiting = node.client_that_sent(&get_request("held", "9000m"));
+    upstream.next_request();
+    upstream.next_request();
     for _ in 0..2 {
-        assert_eq!(node.asks(b"PAUSE\n"), "YES paused\n");
+        assert_eq!(node.call_admin(b"PAUSE\n"), "YES paused\n");
     }
     assert_eq!(
-        node.asks(b"STATUS\n"),
+        node.call_admin(b"STATUS\n"),
         "YES serving, paused: clients are sent away\n"
     );
     assert_ne!(ready(), 200);
-    assert!(used.answer().is_none(), "idle connections close");
+    assert!(used.read_response().is_none(), "idle connections close");
     let mut late = node.client();
-    let answer = late.call(&get("2", "9000m"));
+    let answer = late.call(&get_request("2", "9000m"));
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, Some("close"))
     );
-    assert!(late.answer().is_none());
+    assert!(late.read_response().is_none());
     release.send(()).expect("the upstream waits");
-    let answer = waiting.answer().expect("an answer");
+    let answer = waiting.read_response().expect("an answer");
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, Some("close"))
     );
     assert!(
-        unused.answer().is_none(),
+        unused.read_response().is_none(),
         "connections without a request close"
     );
     for _ in 0..2 {
-        assert_eq!(node.asks(b"RESUME\n"), "YES serving\n");
+        assert_eq!(node.call_admin(b"RESUME\n"), "YES serving\n");
     }
     assert_eq!(ready(), 200);
     let mut kept = node.client();
     for id in ["3", "4"] {
-        assert_eq!(kept.call(&get(id, "9000m")).header("connection"), None);
+        assert_eq!(
+            kept.call(&get_request(id, "9000m")).header("connection"),
+            None
+        );
     }
 }
 
 /// A client that has connected and not sent its request yet is not disconnected with the idle ones.
 #[test]
 fn pause_leaves_new_connections_time_for_a_request() {
-    let upstream = Upstream::start(|_| ok(""));
-    let node = Node::with_door(&[upstream.addr]);
+    let upstream = StubUpstream::start(|_| ok_response(""));
+    let node = BalancerProcess::with_admin(&[upstream.address]);
     let mut new = node.client();
     let mut used = node.client();
-    assert_eq!(used.call(&get("1", "9000m")).status(), 200);
-    assert_eq!(node.asks(b"PAUSE\n"), "YES paused\n");
+    assert_eq!(used.call(&get_request("1", "9000m")).status(), 200);
+    assert_eq!(node.call_admin(b"PAUSE\n"), "YES paused\n");
     // It has been idle for a shorter time than the other one has been connected.
-    assert!(used.answer().is_none());
-    assert_eq!(new.call(&get("2", "9000m")).status(), 200);
+    assert!(used.read_response().is_none());
+    assert_eq!(new.call(&get_request("2", "9000m")).status(), 200);
 }
 
 #[test]
 fn answers_all_concurrent_commands() {
-    let upstream = Upstream::start(|_| ok(""));
-    let node = Node::with_door(&[upstream.addr]);
-    let address = node.ops.expect("an admin address");
+    let upstream = StubUpstream::start(|_| ok_response(""));
+    let node = BalancerProcess::with_admin(&[upstream.address]);
+    let address = node.admin_address.expect("an admin address");
     thread::scope(|scope| {
         for command in ["SUSPEND s-0\n", "RESTORE s-0\n", "METRICS\n", "STATUS\n"].repeat(2) {
             scope.spawn(move || {
                 for _ in 0..20 {
-                    let answer = asks(address, command.as_bytes());
+                    let answer = call_admin(address, command.as_bytes());
                     assert!(
                         answer.starts_with("YES") || answer.ends_with("END\n"),
                         "{answer}"
--- a/balancer/tests/upgrades.rs
+++ b/balancer/tests/upgrades.rs
@@ -11,14 +11,14 @@
 /// Sends requests until `stop` is set, on one connection for as long as it lasts. Fails if a request fails. Returns the
 /// number of requests.
 fn send_requests(to: SocketAddr, name: usize, stop: Arc<AtomicBool>) -> usize {
-    let mut client = Client::to(to);
+    let mut client = Client::connect(to);
     let mut requests = 0;
     while !stop.load(Ordering::SeqCst) {
-        let answer = client.call(&get(&format!("{name}-{requests}"), "15000m"));
+        let answer = client.call(&get_request(&format!("{name}-{requests}"), "15000m"));
         assert_eq!(answer.status(), 200);
         requests += 1;
         if answer.header("connection") == Some("close") {
-            client = Client::to(to);
+            client = Client::connect(to);
         }
     }
     requests
@@ -27,25 +27,28 @@
 /// No client's connection is idle for long, so that none is closed while a request is in transit.
 #[test]
 fn upgrade_fails_no_request() {
-    let upstream = Upstream::start(|_| ok(""));
-    let folder = folder("upgrade");
-    let mut old = Node::in_folder(&folder, None, &[upstream.addr]);
+    let upstream = StubUpstream::start(|_| ok_response(""));
+    let folder = state_folder("upgrade");
+    let mut old = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..8)
         .map(|name| {
-            let (to, stop) = (old.addr, stop.clone());
+            let (to, stop) = (old.address, stop.clone());
             thread::spawn(move || send_requests(to, name, stop))
         })
         .collect();
     for _ in 0..3 {
-        let new = Node::in_folder(&folder, Some(&old), &[upstream.addr]);
-        assert_eq!(new.asks(b"STATUS\n"), "YES serving\n");
+        let new = BalancerProcess::in_state_folder(&folder, Some(&old), &[upstream.address]);
+        assert_eq!(new.call_admin(b"STATUS\n"), "YES serving\n");
         old.terminate();
-        assert!(old.wait().success(), "{:?}", old.log());
+        assert!(old.wait_for_exit().success(), "{:?}", old.log_lines());
         old = new;
     }
     // The last process serves too.
-    assert_eq!(old.client().call(&get("last", "9000m")).status(), 200);
+    assert_eq!(
+        old.client().call(&get_request("last", "9000m")).status(),
+        200
+    );
     stop.store(true, Ordering::SeqCst);
     for client in clients {
         assert!(client.join().expect("no request fails") > 0);
@@ -55,46 +58,50 @@
 /// Overrides hold for both processes, whether they were set before the upgrade, at the old process or at the new one.
 #[test]
 fn overrides_hold_for_both_processes_and_after_old_process_ends() {
-    let suspended = Upstream::start(|_| ok("suspended"));
-    let used = Upstream::start(|_| ok("used"));
-    let upstreams = [suspended.addr, used.addr, used.addr];
-    let folder = folder("orders");
-    let mut old = Node::in_folder(&folder, None, &upstreams);
-    assert_eq!(old.asks(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
-    let new = Node::in_folder(&folder, Some(&old), &upstreams);
-    let old_admin = old.ops.expect("an admin address");
-    let new_admin = new.ops.expect("an admin address");
+    let suspended = StubUpstream::start(|_| ok_response("suspended"));
+    let used = StubUpstream::start(|_| ok_response("used"));
+    let upstreams = [suspended.address, used.address, used.address];
+    let folder = state_folder("orders");
+    let mut old = BalancerProcess::in_state_folder(&folder, None, &upstreams);
+    assert_eq!(old.call_admin(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
+    let new = BalancerProcess::in_state_folder(&folder, Some(&old), &upstreams);
+    let old_admin = old.admin_address.expect("an admin address");
+    let new_admin = new.admin_address.expect("an admin address");
     assert!(
-        new.asks(b"METRICS\n").contains("node_pool_ejected 1\n"),
+        new.call_admin(b"METRICS\n")
+            .contains("node_pool_ejected 1\n"),
         "an override from before its start holds"
     );
-    assert_eq!(new.asks(b"SUSPEND s-1\n"), "YES s-1 is left out\n");
-    comes_to(old_admin, "node_pool_ejected 2");
-    assert_eq!(old.asks(b"RESTORE s-1\n"), "YES s-1 is in use\n");
-    comes_to(new_admin, "node_pool_ejected 1");
-    assert_eq!(old.asks(b"PAUSE\n"), "YES paused\n");
+    assert_eq!(new.call_admin(b"SUSPEND s-1\n"), "YES s-1 is left out\n");
+    wait_for_metric(old_admin, "node_pool_ejected 2");
+    assert_eq!(old.call_admin(b"RESTORE s-1\n"), "YES s-1 is in use\n");
+    wait_for_metric(new_admin, "node_pool_ejected 1");
+    assert_eq!(old.call_admin(b"PAUSE\n"), "YES paused\n");
     let started = Instant::now();
-    while new.asks(b"STATUS\n") == "YES serving\n" {
+    while new.call_admin(b"STATUS\n") == "YES serving\n" {
         assert!(
-            started.elapsed() < PATIENCE,
+            started.elapsed() < TEST_TIMEOUT,
             "the pause does not reach the new process"
         );
     }
     old.terminate();
-    assert!(old.wait().success());
+    assert!(old.wait_for_exit().success());
     let ready = || {
         new.client()
             .call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             .status()
     };
     assert_eq!(ready(), 503);
-    assert_eq!(new.asks(b"RESUME\n"), "YES serving\n");
+    assert_eq!(new.call_admin(b"RESUME\n"), "YES serving\n");
     assert_eq!(ready(), 200);
     let mut client = new.client();
     for id in 0..50 {
-        assert_eq!(client.call(&get(&id.to_string(), "9000m")).body, b"used");
+        assert_eq!(
+            client.call(&get_request(&id.to_string(), "9000m")).body,
+            b"used"
+        );
     }
-    assert_eq!(suspended.further(), 0);
+    assert_eq!(suspended.further_request_count(), 0);
 }
 
 /// A readiness check on a kept connection must not make the front avoid the new process.
@@ -102,34 +109,34 @@
 fn old_process_stays_ready_during_handoff() {
     let (release, held) = std::sync::mpsc::channel();
     let held = std::sync::Mutex::new(Some(held));
-    let upstream = Upstream::start(move |request| match request.header("req-id") {
+    let upstream = StubUpstream::start(move |request| match request.header("req-id") {
         Some("held") => {
             let held = held.lock().expect("no panic").take().expect("one is held");
-            Then::Hold(held, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
+            Reply::RespondAfterSignal(held, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
         }
-        _ => ok(""),
+        _ => ok_response(""),
     });
-    let folder = folder("ready");
-    let mut old = Node::in_folder(&folder, None, &[upstream.addr]);
+    let folder = state_folder("ready");
+    let mut old = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
     let both = format!(
         "{}GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n",
-        get("held", "9000m")
+        get_request("held", "9000m")
     );
     let mut client = old.client_that_sent(&both);
-    upstream.request();
-    let _new = Node::in_folder(&folder, Some(&old), &[upstream.addr]);
+    upstream.next_request();
+    let _new = BalancerProcess::in_state_folder(&folder, Some(&old), &[upstream.address]);
     old.terminate();
-    old.logs("told to end");
+    old.wait_for_log("told to end");
     release.send(()).expect("the upstream waits");
-    assert_eq!(client.answer().expect("an answer").status(), 200);
+    assert_eq!(client.read_response().expect("an answer").status(), 200);
     assert_eq!(
         client
-            .answer()
+            .read_response()
             .expect("a response to the readiness check")
             .status(),
         200
     );
-    assert!(old.wait().success());
+    assert!(old.wait_for_exit().success());
 }
 
 /// If the process exited by its schedule, it would cut the response off itself. It leaves that to SIGKILL.
@@ -138,35 +145,35 @@
     const LARGE: usize = 1 << 20;
     let (release, held) = std::sync::mpsc::channel();
     let held = std::sync::Mutex::new(Some(held));
-    let upstream = Upstream::start(move |_| {
+    let upstream = StubUpstream::start(move |_| {
         let held = held.lock().expect("no panic").take().expect("one is held");
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
-        Then::Begin(text, held, "x".repeat(LARGE))
+        Reply::RespondInTwoParts(text, held, "x".repeat(LARGE))
     });
-    let folder = folder("outlasts");
-    let mut old = Node::in_folder(&folder, None, &[upstream.addr]);
-    let mut client = old.client_that_sent(&get("r1", "9000m"));
-    upstream.request();
-    old.comes_to("node_tries 1");
+    let folder = state_folder("outlasts");
+    let mut old = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
+    let mut client = old.client_that_sent(&get_request("r1", "9000m"));
+    upstream.next_request();
+    old.wait_for_metric("node_tries 1");
     old.terminate();
     // Everything else has ended by then.
-    old.logs("1 answers are still being passed on");
+    old.wait_for_log("1 answers are still being passed on");
     release.send(()).expect("the upstream waits");
-    assert_eq!(client.answer().expect("an answer").body.len(), LARGE);
-    assert!(old.wait().success());
+    assert_eq!(client.read_response().expect("an answer").body.len(), LARGE);
+    assert!(old.wait_for_exit().success());
 }
 
 #[test]
 fn old_process_serves_on_if_new_process_fails_to_start() {
-    let upstream = Upstream::start(|_| ok(""));
-    let folder = folder("fails");
-    let old = Node::in_folder(&folder, None, &[upstream.addr]);
-    let used_address = old.ops.expect("an admin address");
-    let config = door(&config(refusing(), 1024, "null")).replace(
+    let upstream = StubUpstream::start(|_| ok_response(""));
+    let folder = state_folder("fails");
+    let old = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
+    let used_address = old.admin_address.expect("an admin address");
+    let config = with_admin_endpoint(&balancer_config(refusing_address(), 1024, "null")).replace(
         "127.0.0.1:0\",\"listen",
         &format!("{used_address}\",\"listen"),
     );
-    let output = command(&config)
+    let output = balancer_command(&config)
         .env("TMPDIR", &folder)
         .output()
         .expect("runs");
@@ -177,41 +184,44 @@
     );
     let mut client = old.client();
     for id in ["1", "2"] {
-        assert_eq!(client.call(&get(id, "9000m")).header("connection"), None);
+        assert_eq!(
+            client.call(&get_request(id, "9000m")).header("connection"),
+            None
+        );
     }
-    assert_eq!(old.asks(b"STATUS\n"), "YES serving\n");
+    assert_eq!(old.call_admin(b"STATUS\n"), "YES serving\n");
 }
 
 #[test]
 fn starts_without_overrides_that_cannot_be_read() {
-    let upstream = Upstream::start(|_| ok(""));
-    let folder = folder("torn");
+    let upstream = StubUpstream::start(|_| ok_response(""));
+    let folder = state_folder("torn");
     std::fs::write(
         folder.join("herondock-orders.json"),
         "{\"version\":1,\"susp",
     )
     .expect("writes");
-    let node = Node::in_folder(&folder, None, &[upstream.addr]);
-    assert_eq!(node.client().call(&get("1", "9000m")).status(), 200);
-    assert_eq!(node.asks(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
+    let node = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
+    assert_eq!(node.client().call(&get_request("1", "9000m")).status(), 200);
+    assert_eq!(node.call_admin(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
 }
 
 /// A new process that cannot write to the folder when it starts to serve registers once it can.
 #[test]
 fn new_process_registers_once_folder_can_be_written_again() {
-    let upstream = Upstream::start(|_| ok(""));
-    let folder = folder("heals");
-    let old = Node::in_folder(&folder, None, &[upstream.addr]);
+    let upstream = StubUpstream::start(|_| ok_response(""));
+    let folder = state_folder("heals");
+    let old = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
     let aside = folder.with_extension("aside");
     std::fs::rename(&folder, &aside).expect("renames");
-    let new = Node::in_folder(&folder, Some(&old), &[upstream.addr]);
-    assert_eq!(new.asks(b"STATUS\n"), "YES serving\n");
+    let new = BalancerProcess::in_state_folder(&folder, Some(&old), &[upstream.address]);
+    assert_eq!(new.call_admin(b"STATUS\n"), "YES serving\n");
     std::fs::rename(&aside, &folder).expect("renames");
     let started = std::time::Instant::now();
     let overrides =
         || std::fs::read_to_string(folder.join("herondock-orders.json")).unwrap_or_default();
     while !overrides().contains("\"processes\":2") {
-        assert!(started.elapsed() < PATIENCE, "{}", overrides());
+        assert!(started.elapsed() < TEST_TIMEOUT, "{}", overrides());
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
 }
@@ -224,23 +234,26 @@
 
 #[test]
 fn honours_overrides_stored_by_previous_version_and_keeps_their_format() {
-    let suspended = Upstream::start(|_| ok("suspended"));
-    let used = Upstream::start(|_| ok("used"));
-    let folder = folder("previous");
+    let suspended = StubUpstream::start(|_| ok_response("suspended"));
+    let used = StubUpstream::start(|_| ok_response("used"));
+    let folder = state_folder("previous");
     let file = folder.join("herondock-orders.json");
     std::fs::write(&file, OVERRIDES_OF_PREVIOUS_VERSION).expect("writes");
-    let node = Node::in_folder(&folder, None, &[suspended.addr, used.addr]);
+    let node = BalancerProcess::in_state_folder(&folder, None, &[suspended.address, used.address]);
     assert_eq!(
-        node.asks(b"STATUS\n"),
+        node.call_admin(b"STATUS\n"),
         "YES serving, paused: clients are sent away\n"
     );
-    node.comes_to("node_pool_ejected 1");
-    assert_eq!(node.asks(b"RESUME\n"), "YES serving\n");
+    node.wait_for_metric("node_pool_ejected 1");
+    assert_eq!(node.call_admin(b"RESUME\n"), "YES serving\n");
     let mut client = node.client();
     for id in 0..50 {
-        assert_eq!(client.call(&get(&id.to_string(), "9000m")).body, b"used");
+        assert_eq!(
+            client.call(&get_request(&id.to_string(), "9000m")).body,
+            b"used"
+        );
     }
-    assert_eq!(suspended.further(), 0);
+    assert_eq!(suspended.further_request_count(), 0);
     // The previous version reads what this one wrote: the process has registered, and the pause is over.
     assert_eq!(
         std::fs::read_to_string(&file).expect("reads"),
@@ -249,6 +262,6 @@
             .replace("\"processes\":1", "\"processes\":2")
             .replace("\"paused\":true", "\"paused\":false")
     );
-    assert_eq!(node.asks(b"RESTORE s-0\n"), "YES s-0 is in use\n");
-    node.comes_to("node_pool_ejected 0");
+    assert_eq!(node.call_admin(b"RESTORE s-0\n"), "YES s-0 is in use\n");
+    node.wait_for_metric("node_pool_ejected 0");
 }
