--- a/balancer/tests/operators.rs
+++ b/balancer/tests/operators.rs
@@ -82,7 +82,7 @@
 fn runs_no_admin_server_without_address_and_exits_with_one_line_for_bad_address() {
     let upstream = StubUpstream::start(|_| ok_response(""));
     assert_eq!(
-        BalancerProcess::with_upstreams(&[upstream.address]).ops,
+        BalancerProcess::with_upstreams(&[upstream.address]).admin_address,
         None
     );
     let config = balancer_config(refusing_address(), 1024, "null");
