--- a/balancer/tests/bodies.rs
+++ b/balancer/tests/bodies.rs
@@ -10,14 +10,6 @@
 
 const LARGE: usize = 3 << 20;
 
-/// The head of a request with this framing.
-fn upload_head(id: &str, framing: &str) -> String {
-    payment_request(id, "15000m").replace(
-        "Content-Length: 4\r\n\r\nbody",
-        &format!("{framing}\r\n\r\n"),
-    )
-}
-
 /// Echoes request bodies, which must be `expected`, in the framing that the request's id selects.
 fn echo_in_every_framing(stream: &mut BufReader<TcpStream>, expected: &[u8]) {
     loop {
--- a/balancer/tests/common/raw_http.rs
+++ b/balancer/tests/common/raw_http.rs
@@ -1,5 +1,5 @@
 //! Parts of HTTP messages as bytes on a connection.
-use super::with_read_timeout;
+use super::{payment_request, with_read_timeout};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
@@ -59,3 +59,11 @@
         .map(|i| (i ^ (i >> 8) ^ (i >> 16)) as u8)
         .collect()
 }
+
+/// The head of a request with this framing.
+pub fn upload_head(id: &str, framing: &str) -> String {
+    payment_request(id, "15000m").replace(
+        "Content-Length: 4\r\n\r\nbody",
+        &format!("{framing}\r\n\r\n"),
+    )
+}
--- a/balancer/tests/discovery.rs
+++ b/balancer/tests/discovery.rs
@@ -1,6 +1,7 @@
 //! Calls to discovery: watches, snapshots and reloads.
 mod common;
 use common::*;
+use std::net::SocketAddr;
 
 /// The next call asks for updates after this version.
 fn expect_call_since(discovery: &StubDiscovery, version: u64, situation: &str) {
@@ -11,6 +12,15 @@
     );
 }
 
+/// Lists that cannot be used: a missing field, an unknown state, and no JSON.
+fn malformed_lists(address: SocketAddr) -> [String; 3] {
+    [
+        "{\"version\":8,\"full\":true,\"servers\":[{\"id\":\"s-0\"}]}".to_string(),
+        endpoint_list(9, true, &[(0, address, "odd")]),
+        "not even".to_string(),
+    ]
+}
+
 #[test]
 fn watch_follows_versions_and_ignores_malformed_lists() {
     let (old, new) = (
@@ -34,11 +44,7 @@
     for i in 0..10 {
         assert_eq!(served_by(&format!("n{i}")), "new");
     }
-    for malformed in [
-        "{\"version\":8,\"full\":true,\"servers\":[{\"id\":\"s-0\"}]}".to_string(),
-        endpoint_list(9, true, &[(0, old.address, "odd")]),
-        "not even".to_string(),
-    ] {
+    for malformed in malformed_lists(old.address) {
         discovery.respond(&malformed);
         expect_call_since(discovery, 7, &malformed);
         assert_eq!(served_by("r"), "new");
