--- a/balancer/src/inbound/client_connection.rs
+++ b/balancer/src/inbound/client_connection.rs
@@ -10,7 +10,7 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep_until, Instant};
 
-/// A client that has been answered may keep its connection unused for this long.
+/// A client that has had a response may keep its connection unused for this long.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest time between two checks of a connection's timeout.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -24,7 +24,7 @@
     idle_key: Cell<Option<IdleKey>>,
     /// Notified when the connection is evicted.
     evict: Rc<Notify>,
-    /// Whether the client may still be sending a request that was answered early.
+    /// Whether the client may still be sending a request that had an early response.
     drains_before_close: Cell<bool>,
 }
 
--- a/balancer/src/inbound/connection_task.rs
+++ b/balancer/src/inbound/connection_task.rs
@@ -105,7 +105,7 @@
     }
 }
 
-/// hyper has answered a request that it could not parse.
+/// hyper itself responds to a request that it cannot parse.
 fn close_reason(result: hyper::Result<()>) -> CloseReason {
     match result {
         Err(error) if error.is_parse() => CloseReason::Malformed,
--- a/balancer/src/inbound/context.rs
+++ b/balancer/src/inbound/context.rs
@@ -20,7 +20,7 @@
     pub sockets: DescriptorBudget,
     /// Counts requests and connections.
     pub metrics: Rc<Metrics>,
-    /// Checks that requests are answered.
+    /// Checks that requests get a response.
     pub guard: Guard,
     /// The phase of the process.
     pub phase: watch::Receiver<Phase>,
--- a/balancer/src/inbound/request_handler.rs
+++ b/balancer/src/inbound/request_handler.rs
@@ -13,7 +13,7 @@
 use crate::inbound::request_framing::AmbiguousFraming;
 use crate::inbound::request_head::{HeadError, RequestHead};
 use crate::inbound::responses::{
-    empty_response, final_response, input_error_response, rejection, ClientResponse,
+    client_response, empty_response, input_error_response, rejection, ClientResponse,
 };
 use crate::net::client_stream::Peer;
 use crate::outbound::headers::{remove_hop_by_hop_headers, DEADLINE_HEADER};
@@ -32,7 +32,7 @@
 
 /// `Retry-After` of a rejection because of too many pending requests, in milliseconds.
 const AT_CAPACITY_RETRY_AFTER_MS: Millis = 500.0;
-/// Answers whether this process serves.
+/// Path of the readiness check.
 const READY_PATH: &str = "/-/ready";
 /// The service, and the prefix of its paths.
 const SERVICE_PATH: &str = "/api";
@@ -41,7 +41,7 @@
 /// The response to a client while its request holds the connection.
 type Response = ClientResponse<ActiveRequestGuard>;
 
-/// Why a request is answered without being submitted.
+/// Why a request gets its response without being submitted.
 #[derive(Debug, Error)]
 enum RequestError {
     #[error(transparent)]
@@ -164,27 +164,27 @@
         Err(error) => return error.response().into(),
     };
     // Dropping the response future notifies the driver that the client has disconnected.
-    let final_answer = tokio::select! {
+    let final_response = tokio::select! {
         biased;
-        answer = submitted.response.response() => Some(answer),
+        response = submitted.response.response() => Some(response),
         () = connection.stream().wait_for_disconnect() => None,
     };
     Reply {
         has_unread_body: submitted.upload.is_some_and(|upload| !upload.is_complete()),
-        closes_connection: final_answer.is_none(),
-        response: response_to_client(final_answer, submitted.in_flight, active),
+        closes_connection: final_response.is_none(),
+        response: response_to_client(final_response, submitted.in_flight, active),
     }
 }
 
 /// A client that has closed only its sending side still reads the response. Its request may have
 /// run.
 fn response_to_client(
-    final_answer: Option<FinalResponse>,
+    final_response: Option<FinalResponse>,
     in_flight: InFlightRequest,
     active: ActiveRequestGuard,
 ) -> Response {
-    match final_answer {
-        Some(answer) => final_response(answer, in_flight, active),
+    match final_response {
+        Some(response) => client_response(response, in_flight, active),
         None => empty_response(StatusCode::BAD_GATEWAY),
     }
 }
@@ -194,7 +194,7 @@
     let mut response = reply.response;
     let drains_before_close = response.status().is_client_error() || reply.has_unread_body;
     connection.set_drains_before_close(drains_before_close);
-    // During shutdown, requests that were sent behind this one are still answered.
+    // During shutdown, requests that were sent behind this one are still served.
     let stream = connection.stream();
     let ends_now = context.closes_connections()
         && !connection.tracker().has_pending_input()
--- a/balancer/src/inbound/responses.rs
+++ b/balancer/src/inbound/responses.rs
@@ -42,12 +42,12 @@
 
 /// The one final response to a request. Sets the request's outcome, and holds `guard` until the
 /// body ends.
-pub fn final_response<G>(
-    answer: FinalResponse,
+pub fn client_response<G>(
+    final_response: FinalResponse,
     request: InFlightRequest,
     guard: G,
 ) -> ClientResponse<G> {
-    match answer {
+    match final_response {
         FinalResponse::Served { headers, body } => served_response(headers, body, request, guard),
         FinalResponse::Rejected { retry_after } => {
             request.set_outcome(RequestOutcome::Rejected);
--- a/balancer/src/outbound/connection_pool.rs
+++ b/balancer/src/outbound/connection_pool.rs
@@ -168,7 +168,7 @@
     }
 
     /// Takes the most recently used connection that is ready and has been idle for less than
-    /// `idle_limit`. The others stay idle and expire, instead of all being kept open by turns.
+    /// `idle_limit`. The others stay idle and expire, instead of all being kept open in turn.
     pub fn take_idle(&self, idle_limit: Duration) -> PooledConnection {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
--- a/balancer/src/telemetry/metrics.rs
+++ b/balancer/src/telemetry/metrics.rs
@@ -40,7 +40,7 @@
 pub enum CloseReason {
     /// The client closed it, a response announced its end, or it broke.
     Finished,
-    /// The client sent something that is no request, and was answered so.
+    /// The client sent something that is no request, and got an error response.
     Malformed,
     /// The balancer had waited long enough for the client.
     TimedOut,
