--- a/balancer-core/tests/common/mod.rs
+++ b/balancer-core/tests/common/mod.rs
@@ -1,4 +1,6 @@
 //! Shared parts of the tests: a harness that drives one balancer, and fixtures.
+// A helper that fails ends its test, as an assertion does.
+#![allow(clippy::expect_used)]
 #![allow(dead_code, unused_imports)] // each test file uses a part of it
 mod checker;
 mod fixtures;
--- a/balancer-core/tests/streaming.rs
+++ b/balancer-core/tests/streaming.rs
@@ -1,4 +1,6 @@
 //! Streamed requests and responses.
+// A helper that fails ends its test, as an assertion does.
+#![allow(clippy::expect_used)]
 mod common;
 
 use balancer_core::{
--- a/balancer/src/admin/override_sync.rs
+++ b/balancer/src/admin/override_sync.rs
@@ -3,7 +3,7 @@
 use crate::admin::override_store::{OverrideStore, ProcessLock};
 use crate::admin::overrides::Overrides;
 use crate::control::driver::DriverHandle;
-use crate::inbound::phase::Phase;
+use crate::phase::Phase;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use tokio::sync::watch;
--- a/balancer/src/control/control_plane.rs
+++ b/balancer/src/control/control_plane.rs
@@ -2,9 +2,9 @@
 //! process and the hollow balancers start it alike.
 use crate::clock::{to_millis, Clock};
 use crate::control::driver::{DriverHandle, DriverOptions};
-use crate::control::invariants::Guard;
 use crate::discovery::endpoints::EndpointUpdate;
 use crate::discovery::watch::{Discovery, DiscoveryOptions, POLL_ACKNOWLEDGE_TIMEOUT};
+use crate::invariants::Guard;
 use crate::outbound::dispatch::Dispatch;
 use crate::telemetry::log::LogOutput;
 use balancer_core::{Balancer, Settings, SettingsError};
--- a/balancer/src/control/driver/tests.rs
+++ b/balancer/src/control/driver/tests.rs
@@ -1,9 +1,9 @@
 //! Response times that the driver reports to the decision module, with real connections.
 use super::*;
 use crate::clock::Clock;
-use crate::control::invariants::Guard;
 use crate::discovery::consumer::EndpointConsumer;
 use crate::discovery::endpoints::ListedEndpoint;
+use crate::invariants::Guard;
 use crate::net::descriptor_budget::DescriptorBudget;
 use crate::outbound::attempt::Transport;
 use crate::outbound::connector::Connector;
--- a/balancer/src/control/driver_options.rs
+++ b/balancer/src/control/driver_options.rs
@@ -1,6 +1,6 @@
 //! What a driver is built from.
 use crate::clock::Clock;
-use crate::control::invariants::Guard;
+use crate::invariants::Guard;
 use crate::outbound::dispatch::Dispatch;
 use crate::telemetry::log::LogOutput;
 use balancer_core::{Balancer, Idempotency};
--- a/balancer/src/control/driver_state.rs
+++ b/balancer/src/control/driver_state.rs
@@ -4,9 +4,9 @@
 use crate::clock::Clock;
 use crate::control::attempts::Attempts;
 use crate::control::driver_options::DriverOptions;
-use crate::control::invariants::Guard;
 use crate::control::pending_requests::PendingRequests;
 use crate::control::timers::TimerQueue;
+use crate::invariants::Guard;
 use crate::outbound::dispatch::Dispatch;
 use crate::outbound::endpoint_table::EndpointTable;
 use crate::telemetry::log::LogOutput;
--- a/balancer/src/control/mod.rs
+++ b/balancer/src/control/mod.rs
@@ -1,8 +1,5 @@
-//! The driver around the decision module: pending requests, timers, attempts and invariants.
-
 pub(crate) mod control_plane;
 pub(crate) mod driver;
-pub(crate) mod invariants;
 
 mod attempt_id;
 mod attempts;
--- a/balancer/src/control/pending_requests.rs
+++ b/balancer/src/control/pending_requests.rs
@@ -1,5 +1,5 @@
 //! The requests that wait for their final response or still have an attempt in flight.
-use crate::control::invariants::{AttemptHistory, Guard};
+use crate::invariants::{AttemptHistory, Guard};
 use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
 use crate::telemetry::guard_counts::Rule;
 use balancer_core::{Idempotency, Millis, RequestId};
--- a/balancer/src/hollow.rs
+++ b/balancer/src/hollow.rs
@@ -6,14 +6,13 @@
 use crate::clock::{to_millis, Clock};
 use crate::control::control_plane::{ControlPlane, ControlPlaneOptions};
 use crate::control::driver::DriverHandle;
-use crate::control::invariants::Guard;
 use crate::discovery::consumer::{CallFailure, EndpointConsumer};
 use crate::discovery::endpoints::EndpointUpdate;
+use crate::invariants::Guard;
 use crate::outbound::dispatch::Dispatch;
 use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
 use crate::telemetry::log::LogOutput;
 use crate::telemetry::metrics::Metrics;
-
 use balancer_settings::Deployment;
 use bytes::Bytes;
 use hyper::{HeaderMap, Method, Uri};
@@ -23,6 +22,7 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
+pub use crate::telemetry::metrics::RequestOutcome;
 pub use balancer_core::{EndpointCounts, SettingsError};
 
 /// What a hollow balancer starts from.
@@ -53,17 +53,6 @@
     pub applied_at: SystemTime,
 }
 
-/// How a request at a hollow balancer ended.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestOutcome {
-    /// The decision module sent it to an upstream, which would have served it.
-    Served,
-    /// Rejected: a retry does no harm.
-    Rejected,
-    /// Failed.
-    Failed,
-}
-
 /// A balancer without sockets to clients and upstreams. It stops when dropped.
 pub struct HollowBalancer {
     handle: DriverHandle,
--- a/balancer/src/inbound/context.rs
+++ b/balancer/src/inbound/context.rs
@@ -1,9 +1,9 @@
 //! What all client connections share.
 use crate::control::driver::DriverHandle;
-use crate::control::invariants::Guard;
 use crate::inbound::idle_connections::IdleConnections;
-use crate::inbound::phase::Phase;
+use crate::invariants::Guard;
 use crate::net::descriptor_budget::DescriptorBudget;
+use crate::phase::Phase;
 use crate::telemetry::metrics::Metrics;
 use balancer_settings::Deployment;
 use std::cell::Cell;
--- a/balancer/src/inbound/mod.rs
+++ b/balancer/src/inbound/mod.rs
@@ -4,7 +4,6 @@
 mod connection_task;
 mod context;
 mod idle_connections;
-pub(crate) mod phase;
 mod request_framing;
 mod request_handler;
 mod request_head;
--- a/balancer/src/inbound/request_handler.rs
+++ b/balancer/src/inbound/request_handler.rs
@@ -9,7 +9,6 @@
 use crate::control::driver::ResponseFuture;
 use crate::inbound::client_connection::{ActiveRequestGuard, ClientConnection};
 use crate::inbound::context::ServerContext;
-use crate::inbound::phase::Phase;
 use crate::inbound::request_framing::AmbiguousFraming;
 use crate::inbound::request_head::{HeadError, RequestHead};
 use crate::inbound::responses::{
@@ -18,6 +17,7 @@
 use crate::net::client_stream::Peer;
 use crate::outbound::headers::{remove_hop_by_hop_headers, DEADLINE_HEADER};
 use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
+use crate::phase::Phase;
 use crate::telemetry::metrics::{InFlightRequest, RequestOutcome};
 use balancer_core::Millis;
 use bytes::Bytes;
--- a/balancer/src/inbound/server.rs
+++ b/balancer/src/inbound/server.rs
@@ -1,12 +1,12 @@
 //! The listener: accepts client connections within the descriptor budget, and starts a task for
 //! each.
 use crate::control::driver::DriverHandle;
-use crate::control::invariants::Guard;
 use crate::inbound::client_connection::ClientConnection;
 use crate::inbound::connection_task::serve_connection;
 use crate::inbound::context::ServerContext;
-use crate::inbound::phase::Phase;
+use crate::invariants::Guard;
 use crate::net::descriptor_budget::{is_resource_shortage, ConnectionPermit, DescriptorBudget};
+use crate::phase::Phase;
 use crate::telemetry::metrics::Metrics;
 use balancer_settings::Deployment;
 use std::cell::Cell;
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -9,10 +9,15 @@
 //! | `process` | start-up, signals, shutdown, configuration |
 //! | `admin` | the admin server, administrative overrides, handoff between processes |
 //! | `inbound` | clients' connections, requests and responses |
-//! | `control` | the driver of the decision module, its tables and its invariants |
+//! | `control` | the driver of the decision module and its tables |
 //! | `outbound` | endpoints, connections to upstreams, attempts |
 //! | `discovery` | the discovery client and endpoint lists |
-//! | `body`, `net`, `telemetry`, `clock` | bodies, sockets, metrics and log events, time |
+//! | `invariants` | the guard that checks what must always hold, before an attempt starts, is written or is answered |
+//! | `phase`, `clock` | the phase of the process; time |
+//! | `body`, `net`, `telemetry` | bodies; sockets and descriptors; metrics and log events |
+//!
+//! Imports go one way: `process`, `inbound` and `admin` use `control`, which uses `outbound` and `discovery`; all of them
+//! may use the last three rows.
 pub mod discovery;
 pub mod hollow;
 pub mod process;
@@ -23,8 +28,10 @@
 mod clock;
 mod control;
 mod inbound;
+mod invariants;
 mod net;
 mod outbound;
+mod phase;
 
 #[cfg(test)]
 mod test_support;
--- a/balancer/src/outbound/attempt.rs
+++ b/balancer/src/outbound/attempt.rs
@@ -3,7 +3,7 @@
 use crate::body::limits::MAX_BODY_BYTES;
 use crate::body::request_body::AttemptBody;
 use crate::body::response_body::{response_stream, ResponseContent};
-use crate::control::invariants::{Guard, WriteConditions};
+use crate::invariants::{Guard, WriteConditions};
 use crate::net::client_stream::{ClientStream, WriteProgress};
 use crate::outbound::connection_pool::{Connection, Upstream};
 use crate::outbound::connector::{AcquiredConnection, ConnectionOrigin, Connector};
--- a/balancer/src/process/shutdown.rs
+++ b/balancer/src/process/shutdown.rs
@@ -1,7 +1,7 @@
 //! The shutdown of the process, from the signal to the last response.
 use crate::admin::process_coordinator::ProcessCoordinator;
 use crate::control::driver::DriverHandle;
-use crate::inbound::phase::Phase;
+use crate::phase::Phase;
 use crate::process::shutdown_schedule::{ShutdownSchedule, ACCEPT_PERIOD};
 use std::time::Duration;
 use tokio::sync::watch;
--- a/balancer/tests/asked_lists.rs
+++ b/balancer/tests/asked_lists.rs
@@ -1,5 +1,7 @@
 //! Polled endpoint lists, from a discovery that serves a fleet of balancers from one queue. Each test covers one way in
 //! which the fleet could overload that queue.
+// A helper that fails ends its test, as an assertion does.
+#![allow(clippy::expect_used)]
 mod common;
 use common::*;
 use std::io::{BufReader, Write};
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -1,5 +1,7 @@
 //! The balancer under test, with stand-ins for clients, upstreams and discovery on loopback ports.
 //! Every wait ends when its event has happened; [`TEST_TIMEOUT`] only ends a test that has failed.
+// A helper that fails ends its test, as an assertion does.
+#![allow(clippy::expect_used)]
 #![allow(dead_code, unused_imports)]
 
 mod admin;
--- a/balancer/tests/discovery_timing.rs
+++ b/balancer/tests/discovery_timing.rs
@@ -1,4 +1,6 @@
 //! Calls to discovery that fail, stall or break: the next call follows in time.
+// A helper that fails ends its test, as an assertion does.
+#![allow(clippy::expect_used)]
 mod common;
 use common::*;
 use std::io::{BufReader, Write};
--- a/balancer/tests/hollow.rs
+++ b/balancer/tests/hollow.rs
@@ -1,4 +1,6 @@
 //! Hollow balancers in one process against a simulated discovery on a loopback port.
+// A helper that fails ends its test, as an assertion does.
+#![allow(clippy::expect_used)]
 mod common;
 
 use balancer::hollow::{AppliedUpdate, HollowBalancer, HollowOptions, RequestOutcome};
--- a/balancer/tests/operators.rs
+++ b/balancer/tests/operators.rs
@@ -1,4 +1,6 @@
 //! The admin server, and what operators do through it.
+// A helper that fails ends its test, as an assertion does.
+#![allow(clippy::expect_used)]
 mod common;
 
 use common::*;
--- a/scale/tests/command.rs
+++ b/scale/tests/command.rs
@@ -1,4 +1,6 @@
 //! The command: the smoke experiment from end to end, invalid input, and interruption.
+// A helper that fails ends its test, as an assertion does.
+#![allow(clippy::expect_used)]
 use serde_json::Value;
 use std::fs;
 use std::io::{BufRead, BufReader};
--- a/scale/tests/stand_ins.rs
+++ b/scale/tests/stand_ins.rs
@@ -1,4 +1,6 @@
 //! The stand-ins by themselves: their responses, by the protocol's description.
+// A helper that fails ends its test, as an assertion does.
+#![allow(clippy::expect_used)]
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::service::service_fn;
--- a/simulator-adapter/tests/bad_input.rs
+++ b/simulator-adapter/tests/bad_input.rs
@@ -1,4 +1,6 @@
 //! The program on bad input: one message on standard error, a non-zero exit status, no further reply.
+// A helper that fails ends its test, as an assertion does.
+#![allow(clippy::expect_used)]
 use std::io::Write;
 use std::process::{Command, Stdio};
 
--- a/soak/tests/smoke.rs
+++ b/soak/tests/smoke.rs
@@ -1,4 +1,6 @@
 //! Short runs of the soak on real balancers of the workspace's build, with the system call faults that once lost requests.
+// A helper that fails ends its test, as an assertion does.
+#![allow(clippy::expect_used)]
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::sync::{Mutex, PoisonError};
