--- a/balancer-core/src/policy.rs
+++ b/balancer-core/src/policy.rs
@@ -245,11 +245,11 @@
         }
         self.is_degraded = is_degraded;
         let state = if is_degraded {
-            "late or failed: capacity is cut"
+            "are late or fail: capacity is reduced"
         } else {
-            "in time again"
+            "are on time again"
         };
         let tier = self.settings.tier;
-        actions.push(Action::Log(format!("answers of tier {tier} {state}")));
+        actions.push(Action::Log(format!("responses of tier {tier} {state}")));
     }
 }
--- a/balancer/src/admin/override_sync.rs
+++ b/balancer/src/admin/override_sync.rs
@@ -64,7 +64,7 @@
 
     fn log_read_error(&self, error: &OverrideReadError) {
         if !self.last_read_failed.replace(true) {
-            eprintln!("orders: {error}: passed over");
+            eprintln!("overrides: {error}: ignored");
         }
     }
 
--- a/balancer/src/admin/process_coordinator.rs
+++ b/balancer/src/admin/process_coordinator.rs
@@ -70,7 +70,7 @@
     /// Reports to the predecessor that this process serves from now on, and starts to follow the other processes.
     pub async fn serve(self: &Rc<ProcessCoordinator>) {
         if let Err(error) = self.register().await {
-            eprintln!("{error}: tried again until it is");
+            eprintln!("{error}: will be retried");
         }
         let phase = if self.overrides.is_paused() {
             Phase::Paused
--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -155,7 +155,7 @@
 
     /// Shuts down: serves the clients to the end, for as long as the schedule allows.
     async fn shut_down(self) {
-        eprintln!("{}: told to end", self.config.name);
+        eprintln!("{}: shutdown requested", self.config.name);
         let shutdown = Shutdown {
             name: &self.config.name,
             requested_at: Instant::now(),
@@ -176,7 +176,7 @@
         Ok(snapshot) => snapshot.as_ref(),
         Err(error) => {
             let message = error.to_string().replace('\n', " ");
-            eprintln!("{}: known: {message}: passed over", config.name);
+            eprintln!("{}: known: {message}: ignored", config.name);
             None
         }
     }
@@ -247,7 +247,7 @@
         return Ok(None);
     };
     let address = listener.local_addr().map_err(ProgramError::AdminAddress)?;
-    eprintln!("{}: operators call at {address}", config.name);
+    eprintln!("{}: admin endpoint listens on {address}", config.name);
     let overrides = OverrideSync::new(
         handle.clone(),
         parts.phase.clone(),
--- a/balancer/src/process/shutdown.rs
+++ b/balancer/src/process/shutdown.rs
@@ -60,12 +60,12 @@
             let active = handle.active_requests();
             if active == 0 || check_at >= self.requested_at + MAX_RELAY_PERIOD {
                 eprintln!(
-                    "{name}: callers are still connected at the end, {active} answers cut off"
+                    "{name}: clients are still connected at the end, {active} responses cut off"
                 );
                 return;
             }
             if check_at == exit_at {
-                eprintln!("{name}: {active} answers are still being passed on");
+                eprintln!("{name}: {active} responses are still being relayed");
             }
             check_at += RELAY_CHECK_INTERVAL;
         }
