--- a/balancer/tests/lifecycle.rs
+++ b/balancer/tests/lifecycle.rs
@@ -100,7 +100,10 @@
     balancer.terminate();
     assert_eq!(balancer.wait_for_exit().code(), Some(0));
     let log = balancer.log_lines();
-    assert!(log.iter().any(|l| l.contains("shutdown requested")), "{log:?}");
+    assert!(
+        log.iter().any(|l| l.contains("shutdown requested")),
+        "{log:?}"
+    );
     assert!(
         !log.iter().any(|l| l.contains("at the end")),
         "it was delayed: {log:?}"
