--- a/balancer/src/body/request_body.rs
+++ b/balancer/src/body/request_body.rs
@@ -1,7 +1,7 @@
 //! Request bodies as they are forwarded to upstreams.
 use crate::body::body_error::BodyError;
 use crate::body::upload::Upload;
-use crate::net::client_stream::WriteProgress;
+use crate::net::shared_stream::WriteProgress;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use std::cell::Cell;
--- a/balancer/src/inbound/client_connection.rs
+++ b/balancer/src/inbound/client_connection.rs
@@ -2,7 +2,7 @@
 use crate::body::paced_body::REQUEST_READ_TIMEOUT;
 use crate::inbound::idle_connections::{ConnectionKind, IdleConnections, IdleKey};
 use crate::inbound::request_tracker::RequestTracker;
-use crate::net::client_stream::ClientStream;
+use crate::net::shared_stream::SharedStream;
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 /// One client connection.
 pub struct ClientConnection {
     tracker: Rc<RequestTracker>,
-    stream: ClientStream,
+    stream: SharedStream,
     idle_connections: Rc<IdleConnections>,
     /// Set between requests.
     idle_key: Cell<Option<IdleKey>>,
@@ -36,7 +36,7 @@
     ) -> Rc<ClientConnection> {
         let connection = Rc::new(ClientConnection {
             tracker: RequestTracker::new(),
-            stream: ClientStream::new(stream, Rc::default()),
+            stream: SharedStream::new(stream, Rc::default()),
             idle_connections: idle_connections.clone(),
             idle_key: Cell::new(None),
             evict: Rc::new(Notify::new()),
@@ -52,7 +52,7 @@
     }
 
     /// The connection's stream.
-    pub fn stream(&self) -> &ClientStream {
+    pub fn stream(&self) -> &SharedStream {
         &self.stream
     }
 
--- a/balancer/src/inbound/connection_task.rs
+++ b/balancer/src/inbound/connection_task.rs
@@ -4,8 +4,8 @@
 use crate::inbound::context::ServerContext;
 use crate::inbound::request_handler::respond;
 use crate::inbound::request_tracker::TrackedStream;
-use crate::net::client_stream::{ClientStream, MAX_HEAD_BYTES};
 use crate::net::descriptor_budget::ConnectionPermit;
+use crate::net::shared_stream::{SharedStream, MAX_HEAD_BYTES};
 use crate::telemetry::metrics::CloseReason;
 use hyper::body::Incoming;
 use hyper::server::conn::http1;
@@ -156,7 +156,7 @@
 }
 
 /// Reads and discards what the client still sends.
-async fn drain(stream: &mut ClientStream) {
+async fn drain(stream: &mut SharedStream) {
     let mut remaining = MAX_DRAIN_BYTES;
     let mut buffer = vec![0; MAX_HEAD_BYTES];
     while remaining > 0 {
--- a/balancer/src/inbound/request_handler.rs
+++ b/balancer/src/inbound/request_handler.rs
@@ -14,7 +14,7 @@
 use crate::inbound::responses::{
     client_response, empty_response, input_error_response, rejection, ClientResponse,
 };
-use crate::net::client_stream::Peer;
+use crate::net::shared_stream::Peer;
 use crate::outbound::headers::{remove_hop_by_hop_headers, DEADLINE_HEADER};
 use crate::outbound::message::{FinalResponse, OutboundRequest, SubmitError};
 use crate::phase::Phase;
--- a/balancer/src/inbound/request_tracker.rs
+++ b/balancer/src/inbound/request_tracker.rs
@@ -1,7 +1,7 @@
 //! Follows a client's bytes before hyper parses them: complete heads, partial heads and when they
 //! arrived.
 use crate::inbound::request_framing::{parse_framing, BodyFraming};
-use crate::net::client_stream::{ClientStream, MAX_HEAD_BYTES};
+use crate::net::shared_stream::{SharedStream, MAX_HEAD_BYTES};
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -124,7 +124,7 @@
 
 /// A client's stream that reports what is read to a [`RequestTracker`].
 pub struct TrackedStream {
-    stream: ClientStream,
+    stream: SharedStream,
     tracker: Rc<RequestTracker>,
     /// The part of a head that has been read.
     head: Vec<u8>,
@@ -133,7 +133,7 @@
 
 impl TrackedStream {
     /// Tracks a new stream.
-    pub fn new(stream: ClientStream, tracker: Rc<RequestTracker>) -> TrackedStream {
+    pub fn new(stream: SharedStream, tracker: Rc<RequestTracker>) -> TrackedStream {
         TrackedStream {
             stream,
             tracker,
--- a/balancer/src/net/mod.rs
+++ b/balancer/src/net/mod.rs
@@ -1,6 +1,6 @@
 //! Sockets: streams, reads and writes, the descriptor budget, and retries of failed I/O.
 
-pub(crate) mod client_stream;
 pub(crate) mod descriptor_budget;
 pub(crate) mod retry_io;
+pub(crate) mod shared_stream;
 pub(crate) mod socket_io;
--- a/balancer/src/net/client_stream.rs
+++ b/balancer/src/net/shared_stream.rs
@@ -37,7 +37,7 @@
 
 /// A stream with several holders; closed when the last one drops it.
 #[derive(Clone)]
-pub struct ClientStream {
+pub struct SharedStream {
     stream: Rc<RefCell<TcpStream>>,
     write_progress: Rc<Cell<WriteProgress>>,
     /// Counts the messages that are written completely.
@@ -84,10 +84,10 @@
     }
 }
 
-impl ClientStream {
+impl SharedStream {
     /// Shares a stream. `messages_written` counts the messages that are written completely.
-    pub fn new(stream: TcpStream, messages_written: Rc<Cell<u64>>) -> ClientStream {
-        ClientStream {
+    pub fn new(stream: TcpStream, messages_written: Rc<Cell<u64>>) -> SharedStream {
+        SharedStream {
             stream: Rc::new(RefCell::new(stream)),
             write_progress: Rc::new(Cell::new(WriteProgress::Partial)),
             messages_written,
@@ -177,7 +177,7 @@
     }
 }
 
-impl AsyncRead for ClientStream {
+impl AsyncRead for SharedStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -196,7 +196,7 @@
     }
 }
 
-impl AsyncWrite for ClientStream {
+impl AsyncWrite for SharedStream {
     fn poll_write(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
--- a/balancer/src/net/client_stream/tests.rs
+++ b/balancer/src/net/shared_stream/tests.rs
@@ -3,13 +3,13 @@
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-async fn connected_pair(messages_written: Rc<Cell<u64>>) -> (ClientStream, TcpStream) {
+async fn connected_pair(messages_written: Rc<Cell<u64>>) -> (SharedStream, TcpStream) {
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0")
         .await
         .expect("binds");
     let address = listener.local_addr().expect("an address");
     let (stream, accepted) = tokio::join!(TcpStream::connect(address), listener.accept());
-    let stream = ClientStream::new(stream.expect("connects"), messages_written);
+    let stream = SharedStream::new(stream.expect("connects"), messages_written);
     let (peer, _) = accepted.expect("accepts");
     (stream, peer)
 }
--- a/balancer/src/outbound/attempt.rs
+++ b/balancer/src/outbound/attempt.rs
@@ -4,7 +4,7 @@
 use crate::body::request_body::AttemptBody;
 use crate::body::response_body::{response_stream, ResponseContent};
 use crate::invariants::{Guard, WriteConditions};
-use crate::net::client_stream::{ClientStream, WriteProgress};
+use crate::net::shared_stream::{SharedStream, WriteProgress};
 use crate::outbound::connection_pool::{Connection, Upstream};
 use crate::outbound::connector::{AcquiredConnection, ConnectionOrigin, Connector};
 use crate::outbound::headers::{remove_hop_by_hop_headers, DEADLINE_HEADER};
@@ -214,7 +214,7 @@
     /// Checks the write conditions again at the request's first byte: the connection's task may
     /// write it later, and the whole process may be suspended in between. Returns whether the write
     /// was denied.
-    fn deny_late_first_byte(&self, socket: &ClientStream) -> Rc<Cell<bool>> {
+    fn deny_late_first_byte(&self, socket: &SharedStream) -> Rc<Cell<bool>> {
         let denied = Rc::new(Cell::new(false));
         let denied_by_permit = denied.clone();
         let guard = self.transport.guard.clone();
--- a/balancer/src/outbound/connection_pool.rs
+++ b/balancer/src/outbound/connection_pool.rs
@@ -1,6 +1,6 @@
 //! One upstream and its pool of idle connections.
 use crate::body::request_body::AttemptBody;
-use crate::net::client_stream::ClientStream;
+use crate::net::shared_stream::SharedStream;
 use hyper::client::conn::http1;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -20,7 +20,7 @@
     /// Sends one request at a time.
     pub sender: http1::SendRequest<AttemptBody>,
     /// The socket below it.
-    pub socket: ClientStream,
+    pub socket: SharedStream,
     /// The upstream's generation for which it was opened.
     generation: u64,
     /// Its task, which reads and writes.
@@ -39,7 +39,7 @@
     /// An open connection: `task` serves it, `permit` is its share of the process's descriptors.
     pub fn new(
         sender: http1::SendRequest<AttemptBody>,
-        socket: ClientStream,
+        socket: SharedStream,
         generation: u64,
         task: AbortHandle,
         permit: OwnedSemaphorePermit,
--- a/balancer/src/outbound/connector.rs
+++ b/balancer/src/outbound/connector.rs
@@ -1,6 +1,6 @@
 //! Connections to upstreams: an idle one from the pool, or a new one.
-use crate::net::client_stream::{ClientStream, MAX_HEAD_BYTES};
 use crate::net::descriptor_budget::{is_resource_shortage, DescriptorBudget};
+use crate::net::shared_stream::{SharedStream, MAX_HEAD_BYTES};
 use crate::outbound::connection_pool::{Connection, PooledConnection, Upstream};
 use balancer_core::AttemptOutcome;
 use hyper::client::conn::http1;
@@ -159,7 +159,7 @@
             .ok_or(AttemptOutcome::NotSent)?;
         let generation = upstream.generation();
         let stream = open_stream(upstream, deadline).await?;
-        let socket = ClientStream::new(stream, self.requests_written.clone());
+        let socket = SharedStream::new(stream, self.requests_written.clone());
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .handshake(TokioIo::new(socket.clone()))
--- a/balancer/src/outbound/message.rs
+++ b/balancer/src/outbound/message.rs
@@ -2,7 +2,7 @@
 use crate::body::body_error::BodyError;
 use crate::body::request_body::{AttemptBody, RequestBody};
 use crate::body::response_body::ResponseContent;
-use crate::net::client_stream::Peer;
+use crate::net::shared_stream::Peer;
 use balancer_core::Millis;
 use hyper::header::{HeaderMap, HeaderValue};
 use hyper::{Method, Request, StatusCode, Uri};
