--- a/balancer-core/src/policy.rs
+++ b/balancer-core/src/policy.rs
@@ -41,7 +41,7 @@
 /// Token of the timer that ends a pause of polling.
 const POLL_TIMER: u32 = 1;
 /// Smallest random fraction of the first cycle, so that replicas that start together do not stay in step.
-const MIN_FIRST_CYCLE: f64 = 0.5;
+const MIN_FIRST_CYCLE_FRACTION: f64 = 0.5;
 
 /// One instance of the decision logic.
 pub struct Balancer {
@@ -144,7 +144,8 @@
 
     /// Sets the first timer, and polls the endpoint list if it is not pushed.
     fn start(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let fraction = MIN_FIRST_CYCLE + (1.0 - MIN_FIRST_CYCLE) * self.random.fraction();
+        let fraction =
+            MIN_FIRST_CYCLE_FRACTION + (1.0 - MIN_FIRST_CYCLE_FRACTION) * self.random.fraction();
         actions.push(Action::SetTimer {
             after: ADMISSION_CYCLE * fraction,
             token: ADMISSION_CYCLE_TIMER,
@@ -235,7 +236,7 @@
             .record_latency(self.endpoints.latency().mean());
         self.record_load(now);
         self.admission.end_cycle(now);
-        self.log_change_of_capacity(actions);
+        self.log_capacity_change(actions);
         let requests_per_cycle = self.admission.capacity().admitted_mean();
         self.endpoints.resize_subset(requests_per_cycle);
         actions.push(Action::SetTimer {
@@ -244,7 +245,7 @@
         });
     }
 
-    fn log_change_of_capacity(&mut self, actions: &mut Vec<Action>) {
+    fn log_capacity_change(&mut self, actions: &mut Vec<Action>) {
         let is_degraded = self.admission.capacity().is_degraded();
         if is_degraded == self.is_degraded {
             return;
--- a/balancer-core/src/policy/attempt.rs
+++ b/balancer-core/src/policy/attempt.rs
@@ -10,8 +10,8 @@
     pub(super) class: usize,
     /// Index of the endpoint.
     pub(super) endpoint: usize,
-    /// Idle step of the connection it uses; zero for a new connection.
-    pub(super) idle_step: usize,
+    /// Idle bucket of the connection it uses; zero for a new connection.
+    pub(super) idle_bucket: usize,
     /// When the whole request was sent; infinite until then.
     pub(super) sent_at: Millis,
     /// Whether it times out early, and is retried then.
--- a/balancer-core/src/policy/attempt_timeout.rs
+++ b/balancer-core/src/policy/attempt_timeout.rs
@@ -63,12 +63,14 @@
 
     /// Whether the response may be lost, and another endpoint or a new connection is likely to serve a retry.
     fn is_retry_better(&self, attempt: &Attempt, now: Millis) -> bool {
-        if self.endpoints.idle_losses().fraction(attempt.idle_step) > SUSPECT_LOSS {
+        if self.endpoints.idle_losses().fraction(attempt.idle_bucket) > SUSPECT_LOSS {
             return true;
         }
         let failure_rate = self.endpoints.endpoint_failure_rate(attempt.endpoint);
         failure_rate > SUSPECT_FAILURE_RATE
-            && self.endpoints.has_more_reliable(attempt.endpoint, now)
+            && self
+                .endpoints
+                .has_more_reliable_endpoint(attempt.endpoint, now)
     }
 
     /// Whether a retry of the newest attempt would be allowed now.
--- a/balancer-core/src/policy/attempts.rs
+++ b/balancer-core/src/policy/attempts.rs
@@ -3,7 +3,7 @@
 use crate::class::Idempotency;
 use crate::policy::attempt::{Attempt, RetryConstraint};
 use crate::policy::capacity::ADMISSION_CYCLE;
-use crate::policy::endpoints::{PickRequest, ZoneChoice};
+use crate::policy::endpoints::{PickCriteria, ZoneChoice};
 use crate::policy::latency::{latency_ratio, MAX_LATENCY_RATIO};
 use crate::policy::pending_request::PendingRequest;
 use crate::policy::Balancer;
@@ -39,13 +39,13 @@
         let Some(index) = self.pick_endpoint(now, id) else {
             return false;
         };
-        let idle_step = self.choose_connection(now, index, actions);
+        let idle_bucket = self.choose_connection(now, index, actions);
         let Some(pending) = self.pending.get_mut(&id) else {
             return false;
         };
         let endpoint = self.endpoints.endpoint(index);
         let upstream = endpoint.id;
-        let attempt = pending.start_attempt(index, endpoint, idle_step, now);
+        let attempt = pending.start_attempt(index, endpoint, idle_bucket, now);
         let number = attempt.number;
         self.endpoints.record_send(attempt, now);
         let after = self.start_timeout(now, id, number);
@@ -91,7 +91,7 @@
             RetryRule::Anywhere => None,
             RetryRule::Within(constraint) => Some(constraint),
         };
-        let usual = PickRequest {
+        let usual = PickCriteria {
             now,
             class: pending.class(),
             even_rate: self.even_rate(),
@@ -99,7 +99,7 @@
             is_last_resort: false,
             retry_constraint,
         };
-        let last_resort = PickRequest {
+        let last_resort = PickCriteria {
             previous: None,
             is_last_resort: true,
             ..usual
@@ -111,8 +111,9 @@
             (ZoneChoice::Preferred, last_resort),
             (ZoneChoice::Other, last_resort),
         ];
-        picks.iter().find_map(|(zone_choice, request)| {
-            self.endpoints.pick(*zone_choice, request, &mut self.random)
+        picks.iter().find_map(|(zone_choice, criteria)| {
+            self.endpoints
+                .pick(*zone_choice, criteria, &mut self.random)
         })
     }
 
@@ -152,16 +153,16 @@
         sent_per_cycle / ADMISSION_CYCLE / max_candidates
     }
 
-    /// Returns the idle step of the connection for a request; closes idle connections first if they are stale.
+    /// Returns the idle bucket of the connection for a request; closes idle connections first if they are stale.
     fn choose_connection(&mut self, now: Millis, index: usize, actions: &mut Vec<Action>) -> usize {
-        let idle_step = self.endpoints.idle_step(index, now);
-        let is_stale = self.endpoints.idle_losses().is_stale_within(idle_step);
+        let idle_bucket = self.endpoints.idle_bucket(index, now);
+        let is_stale = self.endpoints.idle_losses().is_stale_within(idle_bucket);
         if is_stale && self.random.fraction() > STALE_PROBE_FRACTION {
             let upstream = self.endpoints.endpoint(index).id;
             actions.push(Action::CloseIdleConnections(upstream));
             return 0;
         }
-        idle_step
+        idle_bucket
     }
 
     /// Records the end of an attempt. After the last one in flight, retries the request or gives its final
@@ -246,7 +247,7 @@
         }
         self.endpoints.remove_if_gone(attempt.endpoint);
         // Faults of a single endpoint or connection do not reduce the capacity of the tier.
-        let is_stale = self.endpoints.idle_losses().is_stale(attempt.idle_step);
+        let is_stale = self.endpoints.idle_losses().is_stale(attempt.idle_bucket);
         let ratio = match outcome {
             AttemptOutcome::Success => {
                 let objective = self.settings.classes[attempt.class].objective;
--- a/balancer-core/src/policy/endpoints.rs
+++ b/balancer-core/src/policy/endpoints.rs
@@ -9,7 +9,7 @@
 mod subset;
 mod updates;
 
-pub(super) use picker::PickRequest;
+pub(super) use picker::PickCriteria;
 pub(super) use subset::ZoneChoice;
 
 use crate::endpoint::{Availability, Endpoint, EndpointCounts, UpstreamId};
@@ -44,8 +44,8 @@
     free: Vec<usize>,
     subset: Subset,
     /// Endpoints that accept requests.
-    ready: usize,
-    max_ready: usize,
+    ready_count: usize,
+    max_ready_count: usize,
     /// Endpoints that operators suspended, listed or not.
     suspended: BTreeSet<UpstreamId>,
     /// When operators restored endpoints.
@@ -68,8 +68,8 @@
             by_id: BTreeMap::new(),
             free: Vec::new(),
             subset: Subset::default(),
-            ready: 0,
-            max_ready: 0,
+            ready_count: 0,
+            max_ready_count: 0,
             suspended: BTreeSet::new(),
             restored_at: BTreeMap::new(),
             start_times: StartTimes::default(),
@@ -88,12 +88,12 @@
     }
 
     pub(super) fn has_ready_endpoint(&self) -> bool {
-        self.ready > 0
+        self.ready_count > 0
     }
 
     /// Endpoints that accept requests, as a fraction of the most that did.
     pub(super) fn ready_fraction(&self) -> f64 {
-        self.ready as f64 / self.max_ready.max(1) as f64
+        self.ready_count as f64 / self.max_ready_count.max(1) as f64
     }
 
     /// Largest number of endpoints that this replica uses for a class, at least one.
@@ -127,9 +127,9 @@
         self.slots[index].relative_latency()
     }
 
-    /// Idle step of the connection that the next request to an endpoint gets; zero for a new connection.
-    pub(super) fn idle_step(&self, index: usize, now: Millis) -> usize {
-        self.slots[index].idle_step(self.settings.idle_close, now)
+    /// Idle bucket of the connection that the next request to an endpoint gets; zero for a new connection.
+    pub(super) fn idle_bucket(&self, index: usize, now: Millis) -> usize {
+        self.slots[index].idle_bucket(self.settings.idle_close, now)
     }
 
     pub(super) fn counts(&self, now: Millis) -> EndpointCounts {
@@ -177,7 +177,7 @@
     /// The body of a request in flight is complete: its endpoint is expected to respond from now on.
     pub(super) fn record_body_complete(&mut self, attempt: &mut Attempt, now: Millis) {
         attempt.is_awaited = true;
-        self.slots[attempt.endpoint].in_flight.await_unawaited(now);
+        self.slots[attempt.endpoint].in_flight.start_awaiting(now);
     }
 
     /// The response of an attempt has started: its endpoint is not expected to respond any more.
@@ -186,7 +186,7 @@
         in_flight.record_response(now);
         if attempt.is_awaited {
             attempt.is_awaited = false;
-            in_flight.add_unawaited();
+            in_flight.stop_awaiting();
         }
     }
 
@@ -223,8 +223,8 @@
                 endpoint: &self.slots[index].endpoint,
             })
             .collect();
-        self.ready = ring.len();
-        self.max_ready = self.max_ready.max(self.ready);
+        self.ready_count = ring.len();
+        self.max_ready_count = self.max_ready_count.max(self.ready_count);
         self.subset.choose(ring, &self.settings);
     }
 
--- a/balancer-core/src/policy/endpoints/health.rs
+++ b/balancer-core/src/policy/endpoints/health.rs
@@ -17,7 +17,7 @@
 /// An outlier is ejected after this many attempts.
 const MIN_ATTEMPTS: u32 = 3;
 /// One in this many endpoints may be ejected at once, so that the others can carry the load.
-const EJECTABLE_ONE_IN: usize = 3;
+const MAX_EJECTED_DIVISOR: usize = 3;
 /// Duration of the first ejection; each further one is longer by this.
 const EJECTION_STEP: Millis = 2000.0;
 const MAX_EJECTION: Millis = 16_000.0;
@@ -29,7 +29,7 @@
 /// The same at which it is overloaded.
 const OVERLOADED_FACTOR: f64 = 2.0;
 /// Shortest wait at which an endpoint is unresponsive or overloaded.
-const MIN_OVERDUE: Millis = 300.0;
+const MIN_OVERDUE_WAIT: Millis = 300.0;
 
 /// The failure history of one endpoint.
 #[derive(Default)]
@@ -91,7 +91,7 @@
     }
 
     /// Whether another endpoint that requests do not avoid fails less often.
-    pub(in crate::policy) fn has_more_reliable(&self, index: usize, now: Millis) -> bool {
+    pub(in crate::policy) fn has_more_reliable_endpoint(&self, index: usize, now: Millis) -> bool {
         let failure_rate = self.endpoint_failure_rate(index);
         self.by_id.values().any(|&other| {
             other != index
@@ -117,7 +117,7 @@
             .iter()
             .map(|&class| self.latency.class(class).mean())
             .fold(self.latency.mean(), f64::max);
-        in_flight.awaited() > 0 && in_flight.wait(now) > (factor * expected).max(MIN_OVERDUE)
+        in_flight.awaited() > 0 && in_flight.wait(now) > (factor * expected).max(MIN_OVERDUE_WAIT)
     }
 
     /// Records the end of an attempt. Returns whether it failed by the fault of this endpoint alone.
@@ -134,7 +134,7 @@
         let failed = outcome != AttemptOutcome::Success;
         let is_unresponsive = timed_out && self.is_unresponsive(index, now);
         self.idle_losses
-            .record(attempt.idle_step, outcome, duration);
+            .record(attempt.idle_bucket, outcome, duration);
         let endpoint = &mut self.slots[index];
         endpoint.record_end(attempt, outcome, now);
         if matches!(outcome, AttemptOutcome::Cancelled | AttemptOutcome::NotSent) {
@@ -161,7 +161,7 @@
         random: &mut Random,
     ) -> bool {
         self.failure_rate += TOTAL_FAILURE_GAIN * (f64::from(failed) - self.failure_rate);
-        let may_eject = self.ejected_count(now) < (self.ready / EJECTABLE_ONE_IN).max(1);
+        let may_eject = self.ejected_count(now) < (self.ready_count / MAX_EJECTED_DIVISOR).max(1);
         let health = &mut self.slots[index].health;
         health.record(failed, is_unresponsive);
         let is_outlier = health.is_outlier(self.failure_rate);
--- a/balancer-core/src/policy/endpoints/idle_connections.rs
+++ b/balancer-core/src/policy/endpoints/idle_connections.rs
@@ -3,8 +3,8 @@
 use crate::time::Millis;
 
 /// Idle time is counted in steps that double from this.
-const FIRST_IDLE_STEP: Millis = 125.0;
-const IDLE_STEPS: usize = 10;
+const FIRST_IDLE_BUCKET_BOUND: Millis = 125.0;
+const IDLE_BUCKETS: usize = 10;
 /// Weight of the newest attempt in the fraction of lost ones.
 const LOSS_GAIN: f64 = 0.1;
 /// The same for an immediate reset, which proves that the connection was stale.
@@ -32,19 +32,19 @@
         }
     }
 
-    /// Idle step of the connection that the next request gets; zero for a new connection.
-    pub(super) fn idle_step(&self, inflight: u32, idle_close: Millis, now: Millis) -> usize {
+    /// Idle bucket of the connection that the next request gets; zero for a new connection.
+    pub(super) fn idle_bucket(&self, inflight: u32, idle_close: Millis, now: Millis) -> usize {
         let idle = now - self.idle_since;
         if self.open <= inflight || idle >= idle_close {
             return 0;
         }
-        let step = ((idle / FIRST_IDLE_STEP).max(0.5).log2() + 2.0) as usize;
-        step.min(IDLE_STEPS - 1)
+        let bucket = ((idle / FIRST_IDLE_BUCKET_BOUND).max(0.5).log2() + 2.0) as usize;
+        bucket.min(IDLE_BUCKETS - 1)
     }
 
     /// A request is sent; `inflight` is the number of earlier requests in flight.
-    pub(super) fn record_send(&mut self, idle_step: usize, inflight: u32, now: Millis) {
-        if idle_step == 0 {
+    pub(super) fn record_send(&mut self, idle_bucket: usize, inflight: u32, now: Millis) {
+        if idle_bucket == 0 {
             self.open = inflight;
         }
         let in_use = inflight + 1;
@@ -72,29 +72,29 @@
     }
 }
 
-/// Fraction of attempts that got no response, by the idle step of their connection.
+/// Fraction of attempts that got no response, by the idle bucket of their connection.
 #[derive(Default)]
 pub(crate) struct IdleLosses {
-    by_step: [f64; IDLE_STEPS],
+    by_bucket: [f64; IDLE_BUCKETS],
 }
 
 impl IdleLosses {
-    pub(crate) fn fraction(&self, step: usize) -> f64 {
-        self.by_step[step]
+    pub(crate) fn fraction(&self, bucket: usize) -> f64 {
+        self.by_bucket[bucket]
     }
 
-    /// Whether connections of this idle step are stale: an intermediary closed them without notice.
-    pub(crate) fn is_stale(&self, step: usize) -> bool {
-        let loss = self.by_step[step];
-        loss > STALE_LOSS && loss > STALE_LOSS_RATIO * self.by_step[0]
+    /// Whether connections of this idle bucket are stale: an intermediary closed them without notice.
+    pub(crate) fn is_stale(&self, bucket: usize) -> bool {
+        let loss = self.by_bucket[bucket];
+        loss > STALE_LOSS && loss > STALE_LOSS_RATIO * self.by_bucket[0]
     }
 
-    /// Whether connections of this idle step or a shorter one are stale.
-    pub(crate) fn is_stale_within(&self, step: usize) -> bool {
-        (1..=step).any(|shorter| self.is_stale(shorter))
+    /// Whether connections of this idle bucket or a shorter one are stale.
+    pub(crate) fn is_stale_within(&self, bucket: usize) -> bool {
+        (1..=bucket).any(|shorter| self.is_stale(shorter))
     }
 
-    pub(crate) fn record(&mut self, step: usize, outcome: AttemptOutcome, duration: Millis) {
+    pub(crate) fn record(&mut self, bucket: usize, outcome: AttemptOutcome, duration: Millis) {
         let is_unrelated = matches!(
             outcome,
             AttemptOutcome::Cancelled | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
@@ -105,12 +105,12 @@
         // A later reset shows that the connection was usable.
         let is_immediate_reset = outcome == AttemptOutcome::Reset && duration < IMMEDIATE_RESET;
         let is_lost = is_immediate_reset || outcome == AttemptOutcome::Timeout;
-        let gain = if is_immediate_reset && step > 0 {
+        let gain = if is_immediate_reset && bucket > 0 {
             RESET_GAIN
         } else {
             LOSS_GAIN
         };
-        let loss = &mut self.by_step[step];
+        let loss = &mut self.by_bucket[bucket];
         *loss += gain * (f64::from(is_lost) - *loss);
     }
 }
--- a/balancer-core/src/policy/endpoints/in_flight.rs
+++ b/balancer-core/src/policy/endpoints/in_flight.rs
@@ -40,7 +40,7 @@
 
     pub(super) fn add(&mut self, class: usize, is_awaited: bool, now: Millis) {
         self.classes.push(class);
-        self.start_waiting(now);
+        self.reset_wait_if_none_awaited(now);
         self.count += 1;
         if !is_awaited {
             self.unawaited += 1;
@@ -60,7 +60,7 @@
     }
 
     /// A request in flight is awaited no longer.
-    pub(super) fn add_unawaited(&mut self) {
+    pub(super) fn stop_awaiting(&mut self) {
         self.unawaited += 1;
     }
 
@@ -70,12 +70,12 @@
     }
 
     /// An unawaited request is awaited from now on.
-    pub(super) fn await_unawaited(&mut self, now: Millis) {
-        self.start_waiting(now);
+    pub(super) fn start_awaiting(&mut self, now: Millis) {
+        self.reset_wait_if_none_awaited(now);
         self.remove_unawaited();
     }
 
-    fn start_waiting(&mut self, now: Millis) {
+    fn reset_wait_if_none_awaited(&mut self, now: Millis) {
         if self.awaited() == 0 {
             self.awaited_since = now;
         }
--- a/balancer-core/src/policy/endpoints/picker.rs
+++ b/balancer-core/src/policy/endpoints/picker.rs
@@ -14,7 +14,7 @@
 
 /// What an attempt needs.
 #[derive(Clone, Copy)]
-pub(crate) struct PickRequest {
+pub(crate) struct PickCriteria {
     pub(crate) now: Millis,
     pub(crate) class: usize,
     /// Requests per millisecond that this replica sends each endpoint with full capacity.
@@ -31,37 +31,37 @@
     pub(in crate::policy) fn pick(
         &mut self,
         zone_choice: ZoneChoice,
-        request: &PickRequest,
+        criteria: &PickCriteria,
         random: &mut Random,
     ) -> Option<usize> {
-        let count = self.subset.candidates(request.class, zone_choice).len();
+        let count = self.subset.candidates(criteria.class, zone_choice).len();
         if count == 0 {
             return None;
         }
         let start = random.index(count);
-        if request.now < self.slow_start_ends_at {
-            let unused = self.find_unused_in_slow_start(start, zone_choice, request);
+        if criteria.now < self.slow_start_ends_at {
+            let unused = self.find_unused_in_slow_start(start, zone_choice, criteria);
             if unused.is_some() {
                 return unused;
             }
         }
         let mut first = None;
         for _ in 0..DRAWS {
-            let index = self.candidate(request.class, zone_choice, random.index(count));
+            let index = self.candidate(criteria.class, zone_choice, random.index(count));
             let is_repeated = first == Some(index) && count > 1;
-            if is_repeated || !self.may_send(index, request) {
+            if is_repeated || !self.may_send(index, criteria) {
                 continue;
             }
             let Some(other) = first else {
                 first = Some(index);
                 continue;
             };
-            if self.is_less_busy(index, other, request.now) {
+            if self.is_less_busy(index, other, criteria.now) {
                 return Some(index);
             }
             return first;
         }
-        first.or_else(|| self.find_allowed(start + DRAWS, zone_choice, request))
+        first.or_else(|| self.find_allowed(start + DRAWS, zone_choice, criteria))
     }
 
     /// An endpoint in slow start without requests in flight. Its tokens expire before random draws would find
@@ -70,14 +70,14 @@
         &mut self,
         start: usize,
         zone_choice: ZoneChoice,
-        request: &PickRequest,
+        criteria: &PickCriteria,
     ) -> Option<usize> {
-        let count = self.subset.candidates(request.class, zone_choice).len();
+        let count = self.subset.candidates(criteria.class, zone_choice).len();
         for position in start..start + count {
-            let index = self.candidate(request.class, zone_choice, position);
+            let index = self.candidate(criteria.class, zone_choice, position);
             let is_unused = self.slots[index].in_flight.count() == 0
-                && self.capacity_fraction(index, request.now) < 1.0;
-            if is_unused && self.may_send(index, request) {
+                && self.capacity_fraction(index, criteria.now) < 1.0;
+            if is_unused && self.may_send(index, criteria) {
                 return Some(index);
             }
         }
@@ -89,12 +89,12 @@
         &mut self,
         start: usize,
         zone_choice: ZoneChoice,
-        request: &PickRequest,
+        criteria: &PickCriteria,
     ) -> Option<usize> {
-        let count = self.subset.candidates(request.class, zone_choice).len();
+        let count = self.subset.candidates(criteria.class, zone_choice).len();
         for position in start..start + count {
-            let index = self.candidate(request.class, zone_choice, position);
-            if self.may_send(index, request) {
+            let index = self.candidate(criteria.class, zone_choice, position);
+            if self.may_send(index, criteria) {
                 return Some(index);
             }
         }
@@ -108,29 +108,29 @@
     }
 
     /// Whether an endpoint may receive this attempt now. In slow start, this uses up the tokens that expire.
-    fn may_send(&mut self, index: usize, request: &PickRequest) -> bool {
-        if self.is_excluded(index, request) {
+    fn may_send(&mut self, index: usize, criteria: &PickCriteria) -> bool {
+        if self.is_excluded(index, criteria) {
             return false;
         }
-        let capacity_fraction = self.capacity_fraction(index, request.now);
+        let capacity_fraction = self.capacity_fraction(index, criteria.now);
         if capacity_fraction >= 1.0 {
             return true;
         }
-        let rate = send_rate(&self.settings, request.even_rate, capacity_fraction);
+        let rate = send_rate(&self.settings, criteria.even_rate, capacity_fraction);
         let window = self.settings.slow_start_overload_window;
         self.slots[index]
             .send_tokens
-            .refill(rate, window, request.now)
+            .refill(rate, window, criteria.now)
     }
 
-    fn is_excluded(&self, index: usize, request: &PickRequest) -> bool {
+    fn is_excluded(&self, index: usize, criteria: &PickCriteria) -> bool {
         let endpoint = &self.slots[index].endpoint;
-        let constraint = request.retry_constraint;
+        let constraint = criteria.retry_constraint;
         let discards_retry = constraint.is_none_or(|constraint| constraint.allows(endpoint));
-        request.previous == Some(index)
+        criteria.previous == Some(index)
             || !discards_retry
-            || self.is_overloaded(index, request.now)
-            || (!request.is_last_resort && self.is_avoided(index, request.now))
+            || self.is_overloaded(index, criteria.now)
+            || (!criteria.is_last_resort && self.is_avoided(index, criteria.now))
     }
 
     /// Compares by requests in flight, then by relative latency, then by the time of last use.
--- a/balancer-core/src/policy/endpoints/state.rs
+++ b/balancer-core/src/policy/endpoints/state.rs
@@ -92,15 +92,15 @@
         1.0 + (self.relative_latency - 1.0) * fade
     }
 
-    /// Idle step of the connection that the next request gets; zero for a new connection.
-    pub(super) fn idle_step(&self, idle_close: Millis, now: Millis) -> usize {
+    /// Idle bucket of the connection that the next request gets; zero for a new connection.
+    pub(super) fn idle_bucket(&self, idle_close: Millis, now: Millis) -> usize {
         self.connections
-            .idle_step(self.in_flight.count(), idle_close, now)
+            .idle_bucket(self.in_flight.count(), idle_close, now)
     }
 
     pub(super) fn record_send(&mut self, attempt: &Attempt, now: Millis) {
         self.connections
-            .record_send(attempt.idle_step, self.in_flight.count(), now);
+            .record_send(attempt.idle_bucket, self.in_flight.count(), now);
         self.in_flight.add(attempt.class, attempt.is_awaited, now);
         self.last_used_at = now;
         self.send_tokens.take();
--- a/balancer-core/src/policy/pending_request.rs
+++ b/balancer-core/src/policy/pending_request.rs
@@ -104,7 +104,7 @@
         &mut self,
         index: usize,
         endpoint: &Endpoint,
-        idle_step: usize,
+        idle_bucket: usize,
         now: Millis,
     ) -> &Attempt {
         let is_awaited = self.expires_at.is_finite();
@@ -122,7 +122,7 @@
             number,
             class: self.class,
             endpoint: index,
-            idle_step,
+            idle_bucket,
             sent_at: if is_awaited { now } else { f64::INFINITY },
             has_early_timeout: false,
             is_awaited,
--- a/balancer-core/src/policy/requests.rs
+++ b/balancer-core/src/policy/requests.rs
@@ -148,9 +148,9 @@
             let overdue = now - attempt.sent_at - expected.mean() - expected.margin();
             let idle_losses = self.endpoints.idle_losses_mut();
             if (0.0..ADMISSION_CYCLE).contains(&overdue) {
-                idle_losses.record(attempt.idle_step, AttemptOutcome::Timeout, overdue);
+                idle_losses.record(attempt.idle_bucket, AttemptOutcome::Timeout, overdue);
             }
-            if overdue >= 0.0 && idle_losses.is_stale(attempt.idle_step) {
+            if overdue >= 0.0 && idle_losses.is_stale(attempt.idle_bucket) {
                 lost_inflight += 1.0;
                 continue;
             }
