--- a/balancer-core/src/policy.rs
+++ b/balancer-core/src/policy.rs
@@ -1,8 +1,9 @@
-//! Every decision of the balancer.
+//! The decision logic of the balancer.
 //!
-//! A request is admitted if its tenant is within its limit or the learned capacity is not used up. Each
-//! attempt goes to the less busy of two random endpoints that may receive it. The other modules handle
-//! exceptions: slow start, outliers, overload, stale connections, retries and a stale endpoint list.
+//! A request is admitted if its tenant is within its limit or the learned capacity is not used up, unless too
+//! many requests are in flight. Each attempt goes to the less busy of two random endpoints that may receive it.
+//! The other modules handle special cases: slow start, outliers, overload, stale connections, retries and a
+//! stale endpoint list.
 mod admission;
 mod attempt;
 mod attempt_timeout;
@@ -38,9 +39,10 @@
 
 /// Token of the timer that ends an admission cycle.
 const ADMISSION_CYCLE_TIMER: u32 = 0;
-/// Token of the timer that ends a pause of polling.
+/// Token of the timer that starts the next poll after a failed one.
 const POLL_TIMER: u32 = 1;
-/// Smallest random fraction of the first cycle, so that replicas that start together do not stay in step.
+/// Smallest length of the first cycle, as a fraction of a complete one. The length is random, so that replicas
+/// that start together do not end their cycles at the same time.
 const MIN_FIRST_CYCLE_FRACTION: f64 = 0.5;
 
 /// One instance of the decision logic.
@@ -88,12 +90,13 @@
         self.endpoints.is_suspended(id)
     }
 
-    /// Number of listed endpoints and of avoided ones.
+    /// Numbers of listed endpoints and of those that requests avoid at `now`.
     pub fn endpoint_counts(&self, now: Millis) -> EndpointCounts {
         self.endpoints.counts(now)
     }
 
-    /// Handles one event and appends the resulting actions. `now` must not decrease.
+    /// Handles one event and appends the resulting actions. `now` must not decrease from call to
+    /// call; a value that is not finite counts as zero.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         let now = if now.is_finite() { now } else { 0.0 };
         if !self.is_started {
--- a/balancer-core/src/policy/endpoints.rs
+++ b/balancer-core/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that this replica knows.
+//! The endpoints that this replica knows, and what it has learned about them.
 mod health;
 mod idle_connections;
 mod in_flight;
@@ -25,26 +25,28 @@
 use subset::{RingEntry, Subset};
 
 /// Endpoints that accept requests and are neither ejected nor overloaded, and their requests in flight.
-/// Requests that other endpoints still have to respond to do not limit admission.
+/// Requests in flight to other endpoints do not limit admission.
 #[derive(Default)]
 pub(super) struct AdmissibleLoad {
-    /// The endpoints, those in slow start by their fraction of full capacity.
+    /// Number of endpoints; one in slow start counts as its fraction of full capacity.
     pub(super) endpoints: f64,
+    /// Requests in flight that they are expected to respond to.
     pub(super) inflight: f64,
-    /// Requests in flight to endpoints in this replica's zone.
+    /// The part of `inflight` to endpoints in this replica's zone.
     pub(super) local_inflight: f64,
 }
 
 /// The table of endpoints, and what this replica learned about all of them.
 pub(super) struct Endpoints {
     settings: Arc<Settings>,
-    /// The state of each endpoint, by index; entries in `free` are unused.
+    /// The state of each endpoint, by index; those at the indices in `free` are unused.
     slots: Vec<EndpointState>,
     by_id: BTreeMap<UpstreamId, usize>,
     free: Vec<usize>,
     subset: Subset,
-    /// Endpoints that accept requests.
+    /// Number of endpoints that accept requests.
     ready_count: usize,
+    /// Largest `ready_count` so far.
     max_ready_count: usize,
     /// Endpoints that operators suspended, listed or not.
     suspended: BTreeSet<UpstreamId>,
@@ -53,7 +55,7 @@
     start_times: StartTimes,
     /// When the last endpoint leaves slow start.
     slow_start_ends_at: Millis,
-    /// Failure rate of all endpoints.
+    /// Smoothed fraction of failed attempts over all endpoints.
     failure_rate: f64,
     latency: LatencyModel,
     idle_losses: IdleLosses,
@@ -91,7 +93,7 @@
         self.ready_count > 0
     }
 
-    /// Endpoints that accept requests, as a fraction of the most that did.
+    /// Number of endpoints that accept requests, as a fraction of the largest number so far.
     pub(super) fn ready_fraction(&self) -> f64 {
         self.ready_count as f64 / self.max_ready_count.max(1) as f64
     }
@@ -101,7 +103,7 @@
         self.subset.max_candidates()
     }
 
-    /// The part of this replica's quota that endpoints in its zone carry.
+    /// The part of this replica's quota that endpoints in its zone serve.
     pub(super) fn local_fraction(&self) -> f64 {
         self.subset.local_fraction()
     }
@@ -174,13 +176,13 @@
         self.slots[attempt.endpoint].record_send(attempt, now);
     }
 
-    /// The body of a request in flight is complete: its endpoint is expected to respond from now on.
+    /// Records that the body of a request in flight is complete: its endpoint is now expected to respond.
     pub(super) fn record_body_complete(&mut self, attempt: &mut Attempt, now: Millis) {
         attempt.is_awaited = true;
         self.slots[attempt.endpoint].in_flight.start_awaiting(now);
     }
 
-    /// The response of an attempt has started: its endpoint is not expected to respond any more.
+    /// Records that the response of an attempt has started: it is no longer expected.
     pub(super) fn record_response_started(&mut self, attempt: &mut Attempt, now: Millis) {
         let in_flight = &mut self.slots[attempt.endpoint].in_flight;
         in_flight.record_response(now);
@@ -190,14 +192,15 @@
         }
     }
 
-    /// The end of an attempt, before its outcome is recorded.
+    /// Records that an attempt ended; must be called before its outcome is recorded.
     pub(super) fn record_attempt_ended(&mut self, attempt: &Attempt) {
         if !attempt.is_awaited {
             self.slots[attempt.endpoint].in_flight.remove_unawaited();
         }
     }
 
-    /// An endpoint rejected a request while the endpoint list was stale: avoid it until discovery responds.
+    /// Marks an endpoint that rejected a request while the endpoint list was stale: it is avoided until
+    /// discovery responds.
     pub(super) fn mark_may_be_draining(&mut self, index: usize) {
         self.slots[index].may_be_draining = true;
     }
@@ -234,7 +237,7 @@
         endpoint.availability == Availability::Ready && !self.is_suspended(endpoint.id)
     }
 
-    /// The fraction of its full capacity that an endpoint has at least, during its slow start.
+    /// Smallest fraction of its full capacity that an endpoint has now; less than one during its slow start.
     fn capacity_fraction(&self, index: usize, now: Millis) -> f64 {
         let state = &self.slots[index];
         let restored_at = self.restored_at.get(&state.endpoint.id);
--- a/balancer-core/src/policy/endpoints/health.rs
+++ b/balancer-core/src/policy/endpoints/health.rs
@@ -9,26 +9,28 @@
 const FAILURE_GAIN: f64 = 0.25;
 /// Weight of the newest attempt in the failure rate of all endpoints.
 const TOTAL_FAILURE_GAIN: f64 = 0.02;
-/// An outlier's failure rate exceeds that of all endpoints by this.
+/// An outlier's failure rate exceeds that of all endpoints by more than this.
 const OUTLIER_EXCESS: f64 = 0.4;
-/// An outlier's failure rate is more than this multiple of that of all endpoints: where all fail now and then,
-/// ejecting some only overloads the others.
+/// An outlier's failure rate is more than this multiple of that of all endpoints: where all endpoints fail
+/// occasionally, ejecting some only overloads the others.
 const OUTLIER_RATIO: f64 = 2.0;
-/// An outlier is ejected after this many attempts.
+/// Fewest attempts after which an outlier is ejected, unless it is unresponsive.
 const MIN_ATTEMPTS: u32 = 3;
-/// One in this many endpoints may be ejected at once, so that the others can carry the load.
+/// At most one in this many ready endpoints is ejected at a time, so that the others can carry the load; one is
+/// always allowed.
 const MAX_EJECTED_DIVISOR: usize = 3;
-/// Duration of the first ejection; each further one is longer by this.
+/// Duration of the first ejection, before jitter; each further one is longer by this.
 const EJECTION_STEP: Millis = 2000.0;
 const MAX_EJECTION: Millis = 16_000.0;
-/// Smallest and largest random factor of an ejection's duration.
+/// Smallest random factor of an ejection's duration.
 const MIN_EJECTION_JITTER: f64 = 0.75;
+/// Difference between the largest random factor and the smallest.
 const EJECTION_JITTER_RANGE: f64 = 0.5;
-/// Multiple of the expected latency without a response at which an endpoint is unresponsive.
+/// An endpoint is unresponsive if it has sent no response for more than this multiple of the expected latency.
 const UNRESPONSIVE_FACTOR: f64 = 6.0;
-/// The same at which it is overloaded.
+/// The same for an overloaded endpoint.
 const OVERLOADED_FACTOR: f64 = 2.0;
-/// Shortest wait at which an endpoint is unresponsive or overloaded.
+/// Shortest time without a response after which an endpoint is unresponsive or overloaded.
 const MIN_OVERDUE_WAIT: Millis = 300.0;
 
 /// The failure history of one endpoint.
@@ -84,13 +86,13 @@
         self.is_overdue(index, UNRESPONSIVE_FACTOR, now)
     }
 
-    /// Whether an endpoint responds so late that it must be overloaded. Applies to the first tier only: below
-    /// it, rejections waste the work of the tiers above.
+    /// Whether an endpoint responds so late that it must be overloaded. Applies to the first tier only: in the
+    /// tiers below, rejections waste the work of the tiers above.
     pub(super) fn is_overloaded(&self, index: usize, now: Millis) -> bool {
         self.settings.tier == 0 && self.is_overdue(index, OVERLOADED_FACTOR, now)
     }
 
-    /// Whether another endpoint that requests do not avoid fails less often.
+    /// Whether there is another endpoint that fails less often and that requests do not avoid.
     pub(in crate::policy) fn has_more_reliable_endpoint(&self, index: usize, now: Millis) -> bool {
         let failure_rate = self.endpoint_failure_rate(index);
         self.by_id.values().any(|&other| {
@@ -101,7 +103,7 @@
         })
     }
 
-    /// Whether requests avoid an endpoint if there are others.
+    /// Whether requests avoid an endpoint as long as another can receive them.
     pub(super) fn is_avoided(&self, index: usize, now: Millis) -> bool {
         let endpoint = &self.slots[index];
         endpoint.health.is_ejected(now)
@@ -120,7 +122,8 @@
         in_flight.awaited() > 0 && in_flight.wait(now) > (factor * expected).max(MIN_OVERDUE_WAIT)
     }
 
-    /// Records the end of an attempt. Returns whether it failed by the fault of this endpoint alone.
+    /// Records the outcome of an attempt. Returns whether the endpoint is an outlier, so that a failure is its
+    /// own and not the tier's.
     pub(in crate::policy) fn record_outcome(
         &mut self,
         attempt: &Attempt,
--- a/balancer-core/src/policy/endpoints/idle_connections.rs
+++ b/balancer-core/src/policy/endpoints/idle_connections.rs
@@ -1,24 +1,26 @@
-//! Idle connections: which ones a request may get, and after which idle time connections are stale.
+//! Idle connections: how long the connection of the next request was idle, and after which idle time
+//! connections are stale.
 use crate::request::AttemptOutcome;
 use crate::time::Millis;
 
-/// Idle time is counted in steps that double from this.
+/// Connections are grouped into buckets by their idle time. Bucket 0 holds new connections; this is the upper
+/// bound of bucket 1, and each further bound is double the one before. The last bucket has no upper bound.
 const FIRST_IDLE_BUCKET_BOUND: Millis = 125.0;
 const IDLE_BUCKETS: usize = 10;
-/// Weight of the newest attempt in the fraction of lost ones.
+/// Weight of the newest attempt in a bucket's fraction of lost attempts.
 const LOSS_GAIN: f64 = 0.1;
 /// The same for an immediate reset, which proves that the connection was stale.
 const RESET_GAIN: f64 = 0.5;
-/// A reset within this time is an immediate one.
+/// A reset within this time of the send is an immediate one.
 const IMMEDIATE_RESET: Millis = 10.0;
-/// Fraction of lost attempts from which connections are stale.
+/// Connections are stale only if they lose more than this fraction of their attempts.
 const STALE_LOSS: f64 = 0.2;
-/// Connections are stale only if they lose this multiple of the attempts that new connections lose.
+/// Connections are stale only if they lose more than this multiple of the fraction that new connections lose.
 const STALE_LOSS_RATIO: f64 = 2.0;
 
 /// The connections to one endpoint, estimated from the requests sent.
 pub(super) struct IdleConnections {
-    /// Connections that should be open, in use or idle.
+    /// Number of connections that should be open, in use or idle.
     open: u32,
     /// Since when one of them may have been idle.
     idle_since: Millis,
@@ -42,7 +44,7 @@
         bucket.min(IDLE_BUCKETS - 1)
     }
 
-    /// A request is sent; `inflight` is the number of earlier requests in flight.
+    /// Records that a request is sent; `inflight` is the number of earlier requests in flight.
     pub(super) fn record_send(&mut self, idle_bucket: usize, inflight: u32, now: Millis) {
         if idle_bucket == 0 {
             self.open = inflight;
@@ -54,7 +56,7 @@
         }
     }
 
-    /// A request ended; `inflight` is the number of requests in flight including it.
+    /// Records that a request ended; `inflight` is the number of requests in flight including it.
     pub(super) fn record_end(&mut self, outcome: AttemptOutcome, inflight: u32, now: Millis) {
         if inflight >= self.open {
             self.idle_since = now;
@@ -72,7 +74,7 @@
     }
 }
 
-/// Fraction of attempts that got no response, by the idle bucket of their connection.
+/// Smoothed fraction of lost attempts, which got no response, by the idle bucket of their connection.
 #[derive(Default)]
 pub(crate) struct IdleLosses {
     by_bucket: [f64; IDLE_BUCKETS],
@@ -102,7 +104,7 @@
         if is_unrelated {
             return;
         }
-        // A later reset shows that the connection was usable.
+        // A reset after that time shows that the connection was usable.
         let is_immediate_reset = outcome == AttemptOutcome::Reset && duration < IMMEDIATE_RESET;
         let is_lost = is_immediate_reset || outcome == AttemptOutcome::Timeout;
         let gain = if is_immediate_reset && bucket > 0 {
--- a/balancer-core/src/policy/endpoints/in_flight.rs
+++ b/balancer-core/src/policy/endpoints/in_flight.rs
@@ -5,10 +5,12 @@
 #[derive(Default)]
 pub(super) struct InFlight {
     count: u32,
-    /// Requests whose body is incomplete or whose response has started.
+    /// Number of requests that the endpoint is not expected to respond to: their body is incomplete, or their
+    /// response has started.
     unawaited: u32,
     /// The class of each request.
     classes: Vec<usize>,
+    /// When the endpoint last responded, or when it was first expected to after that.
     awaited_since: Millis,
 }
 
@@ -24,7 +26,7 @@
         self.count
     }
 
-    /// Requests that the endpoint is expected to respond to now.
+    /// Number of requests that the endpoint is expected to respond to now.
     pub(super) fn awaited(&self) -> u32 {
         self.count.saturating_sub(self.unawaited)
     }
@@ -59,17 +61,17 @@
         self.awaited_since = now;
     }
 
-    /// A request in flight is awaited no longer.
+    /// Records that the endpoint is no longer expected to respond to one of the requests.
     pub(super) fn stop_awaiting(&mut self) {
         self.unawaited += 1;
     }
 
-    /// An unawaited request is about to be removed.
+    /// Records that a request without an expected response is about to be removed.
     pub(super) fn remove_unawaited(&mut self) {
         self.unawaited = self.unawaited.saturating_sub(1);
     }
 
-    /// An unawaited request is awaited from now on.
+    /// Records that the endpoint is expected to respond to one more of the requests from now on.
     pub(super) fn start_awaiting(&mut self, now: Millis) {
         self.reset_wait_if_none_awaited(now);
         self.remove_unawaited();
--- a/balancer-core/src/policy/endpoints/picker.rs
+++ b/balancer-core/src/policy/endpoints/picker.rs
@@ -1,4 +1,4 @@
-//! The pick of an endpoint for an attempt.
+//! Picks the endpoint of an attempt.
 use crate::policy::attempt::RetryConstraint;
 use crate::policy::endpoints::slow_start::send_rate;
 use crate::policy::endpoints::subset::ZoneChoice;
@@ -7,12 +7,13 @@
 use crate::time::Millis;
 use std::cmp::Ordering;
 
-/// Random draws before a search of all candidates.
+/// Number of random draws before all candidates are searched in order.
 const DRAWS: usize = 6;
-/// Ratio of relative latencies that decides between two endpoints with as many requests in flight.
+/// Ratio of relative latencies above which the faster of two endpoints with equally many requests in flight is
+/// picked.
 const SLOWER_RATIO: f64 = 1.25;
 
-/// What an attempt needs.
+/// What an attempt requires of its endpoint.
 #[derive(Clone, Copy)]
 pub(crate) struct PickCriteria {
     pub(crate) now: Millis,
@@ -21,7 +22,7 @@
     pub(crate) even_rate: f64,
     /// The endpoint of the previous attempt, which is not picked again.
     pub(crate) previous: Option<usize>,
-    /// Whether ejected and unresponsive endpoints are acceptable; overloaded ones are not.
+    /// Whether endpoints that requests avoid are acceptable, except for overloaded ones.
     pub(crate) is_last_resort: bool,
     pub(crate) retry_constraint: Option<RetryConstraint>,
 }
@@ -64,8 +65,8 @@
         first.or_else(|| self.find_allowed(start + DRAWS, zone_choice, criteria))
     }
 
-    /// An endpoint in slow start without requests in flight. Its tokens expire before random draws would find
-    /// it where traffic is low.
+    /// Finds an endpoint in slow start without requests in flight. Where traffic is low, its tokens expire
+    /// before random draws find it.
     fn find_unused_in_slow_start(
         &mut self,
         start: usize,
@@ -84,7 +85,7 @@
         None
     }
 
-    /// The first candidate from `start` on that may receive the attempt.
+    /// Finds the first candidate from position `start` on that may receive the attempt.
     fn find_allowed(
         &mut self,
         start: usize,
@@ -101,13 +102,14 @@
         None
     }
 
-    /// The candidate at a position, counted round and round.
+    /// The candidate at a position; positions wrap around at the end of the list.
     fn candidate(&self, class: usize, zone_choice: ZoneChoice, position: usize) -> usize {
         let candidates = self.subset.candidates(class, zone_choice);
         candidates[position % candidates.len()]
     }
 
-    /// Whether an endpoint may receive this attempt now. In slow start, this uses up the tokens that expire.
+    /// Whether an endpoint may receive this attempt now. In slow start, this adds to the endpoint's
+    /// send tokens and discards expired ones.
     fn may_send(&mut self, index: usize, criteria: &PickCriteria) -> bool {
         if self.is_excluded(index, criteria) {
             return false;
--- a/balancer-core/src/policy/endpoints/slow_start.rs
+++ b/balancer-core/src/policy/endpoints/slow_start.rs
@@ -1,12 +1,12 @@
-//! Slow start: how much an endpoint can serve after its start, and the send tokens that enforce it.
+//! Slow start: how much an endpoint can serve after its start, and the send tokens that limit its requests.
 use crate::settings::Settings;
 use crate::time::Millis;
 
-/// Fraction of the allowed requests that is sent; the rest absorbs chance and heavy requests.
+/// Fraction of the allowed requests that is sent; the rest is a margin for random variation and heavy requests.
 const SLOW_START_MARGIN: f64 = 0.5;
 
-/// The fraction of its full capacity that an endpoint has at least, when its slow start began at `started_at`;
-/// zero: long ago.
+/// Smallest fraction of its full capacity that an endpoint has now, if its slow start began at `started_at`. A
+/// `started_at` of zero means long ago.
 pub(super) fn capacity_fraction(settings: &Settings, started_at: Millis, now: Millis) -> f64 {
     let age = now - started_at;
     if started_at <= 0.0 || age >= settings.slow_start_duration {
@@ -17,8 +17,8 @@
     (initial + gained).min(1.0)
 }
 
-/// Requests per millisecond that may be sent to an endpoint in slow start, where `full_rate` is the rate for
-/// one that is not.
+/// Requests per millisecond that may be sent to an endpoint in slow start; `full_rate` is the rate for an
+/// endpoint with full capacity.
 pub(super) fn send_rate(settings: &Settings, full_rate: f64, capacity_fraction: f64) -> f64 {
     let allowed = SLOW_START_MARGIN * settings.slow_start_overload_factor * capacity_fraction;
     full_rate * allowed.min(1.0)
--- a/balancer-core/src/policy/endpoints/start_times.rs
+++ b/balancer-core/src/policy/endpoints/start_times.rs
@@ -1,17 +1,20 @@
-//! When endpoints started, on this replica's clock. Discovery reports by its own clock, which may differ.
+//! When endpoints started, on this replica's clock. Discovery reports start times on its own clock, which may
+//! differ.
 use crate::endpoint::{Endpoint, UpstreamId};
 use crate::time::Millis;
 use std::collections::BTreeMap;
 
-/// Longest time from a start to the list that first reports it, while this replica follows the list. An
-/// earlier start shows that the clocks differ. Slow start's margin covers a difference of this size.
+/// Longest time between a start and the list that first reports it, once this replica has received a list. A
+/// longer time shows that the clocks differ. Slow start's margin covers a difference of this size.
 const MAX_REPORT_DELAY: Millis = 3000.0;
-/// Start times of endpoints that are gone are kept for this long: one that returns unchanged has not
-/// restarted.
+/// Start times of endpoints that are gone are kept for this long: an endpoint that returns with the same start
+/// time has not restarted.
 const RETENTION: Millis = 600_000.0;
 
 struct Start {
+    /// The start time on discovery's clock.
     reported_at: Millis,
+    /// The start time on this replica's clock.
     started_at: Millis,
     last_listed_at: Millis,
 }
@@ -20,7 +23,7 @@
 #[derive(Default)]
 pub(super) struct StartTimes {
     by_id: BTreeMap<UpstreamId, Start>,
-    /// Whether a list was recorded, so that new entries in the next one are new starts.
+    /// Whether a list was recorded: new start times in later ones are of recent starts.
     has_list: bool,
 }
 
@@ -49,7 +52,7 @@
             return 0.0;
         }
         if reported_at > now {
-            // The endpoint runs, so it has started.
+            // A listed endpoint is running, so it cannot have started later than now.
             return now;
         }
         if self.has_list {
@@ -58,7 +61,7 @@
         reported_at
     }
 
-    /// Completes the update of a complete list or of a delta.
+    /// Ends an update by a complete list or a delta, and forgets endpoints that were not listed for long.
     pub(super) fn end_update(&mut self, now: Millis, is_listed: impl Fn(&UpstreamId) -> bool) {
         self.has_list = true;
         self.by_id
--- a/balancer-core/src/policy/endpoints/state.rs
+++ b/balancer-core/src/policy/endpoints/state.rs
@@ -13,7 +13,8 @@
 const RELATIVE_LATENCY_GAIN: f64 = 0.2;
 /// A failed attempt counts as at least this multiple of the expected latency.
 const FAILURE_LATENCY_MULTIPLE: f64 = 2.0;
-/// Relative latency is forgotten over this time, so that an endpoint that was slow is used again.
+/// Time constant with which relative latency returns to one while an endpoint is not used, so that one that was
+/// slow is used again.
 const RELATIVE_LATENCY_RETENTION: Millis = 5000.0;
 /// Smallest expected latency that responses are compared with.
 const MIN_EXPECTED_LATENCY: Millis = 1.0;
@@ -47,7 +48,7 @@
             in_flight: InFlight::new(now),
             connections: IdleConnections::new(now),
             health: EndpointHealth::default(),
-            // A random start, so that many replicas do not send their first request at once.
+            // A random initial count, so that many replicas do not send their first request at once.
             send_tokens: SendTokens::new(random.fraction(), now),
             last_used_at: 0.0,
             relative_latency: 1.0,
@@ -55,7 +56,8 @@
         }
     }
 
-    /// The process restarted under the same id: slow start begins, and only requests in flight are kept.
+    /// Resets the state after the process restarted under the same id: slow start begins, and only the record
+    /// of requests in flight is kept.
     pub(super) fn restart(
         &mut self,
         endpoint: Endpoint,
@@ -69,7 +71,7 @@
         self.in_flight = in_flight;
     }
 
-    /// The process was restarted at an unknown time, and the endpoint list does not say so yet.
+    /// Resets the state after a restart at an unknown time that the endpoint list does not report yet.
     pub(super) fn restart_unlisted(&mut self, now: Millis, random: &mut Random) {
         self.restart(self.endpoint.clone(), self.started_at, now, random);
     }
--- a/balancer-core/src/policy/endpoints/subset.rs
+++ b/balancer-core/src/policy/endpoints/subset.rs
@@ -6,15 +6,17 @@
 use crate::time::Millis;
 use std::collections::BTreeSet;
 
-/// Requests that each endpoint of the subset should receive per idle period, so that its connections stay
-/// open.
+/// Requests that each endpoint of the subset should receive per `idle_close` period, so that its connections
+/// stay open.
 const REQUESTS_PER_IDLE_PERIOD: f64 = 4.0;
-/// Endpoints of the subset per request in flight, so that random picks find an endpoint without requests.
+/// Endpoints of the subset per request in flight, so that random picks find an endpoint without requests in
+/// flight.
 const ENDPOINTS_PER_INFLIGHT: f64 = 2.0;
 /// Smallest subset, so that enough endpoints remain when a few fail.
 const MIN_SUBSET: usize = 8;
 const MAX_SUBSET: f64 = 1e6;
-/// Below this price, a zone crossing costs less than uneven load: zones are ignored.
+/// Below this price, as a fraction of a request's value, a zone crossing costs less than uneven load: zones are
+/// ignored.
 const CHEAP_CROSSING_PRICE: f64 = 0.008;
 
 /// An endpoint that accepts requests, with its index in the table.
@@ -36,9 +38,9 @@
 /// Which endpoints of the subset to pick from.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ZoneChoice {
-    /// Endpoints in the own zone; all endpoints if zones are ignored.
+    /// Endpoints in this replica's zone; all endpoints if zones are ignored.
     Preferred,
-    /// The other endpoints.
+    /// Endpoints in other zones; none if zones are ignored.
     Other,
 }
 
@@ -54,7 +56,8 @@
     /// Wanted number of endpoints per class and zone choice.
     size: usize,
     by_class: Vec<Candidates>,
-    /// This zone's part of the endpoints, as a multiple of an even part among zones.
+    /// Number of endpoints in this replica's zone, as a multiple of an even division among the zones that have
+    /// replicas.
     local_fraction: f64,
 }
 
@@ -79,8 +82,8 @@
         self.local_fraction
     }
 
-    /// Adapts the size to the traffic that keeps connections open, and returns whether it changed. Small
-    /// changes are not worth new connections.
+    /// Adapts the size so that the traffic keeps the connections open, and returns whether it changed. The size
+    /// stays if the change is small: that is not worth new connections.
     pub(super) fn resize(
         &mut self,
         requests_per_cycle: f64,
@@ -162,7 +165,7 @@
         .collect()
 }
 
-/// A stable position on the ring: the bits of the id, mixed.
+/// A stable position on the ring: a hash of the id (the finalizer of SplitMix64).
 fn ring_position(id: UpstreamId) -> u64 {
     let mixed = (id.0 ^ (id.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/balancer-core/src/policy/endpoints/updates.rs
+++ b/balancer-core/src/policy/endpoints/updates.rs
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Discovery confirmed the list: no listed endpoint is draining without notice.
+    /// Records that discovery confirmed the list: no endpoint that it lists as ready is draining.
     pub(in crate::policy) fn confirm(&mut self) {
         for state in &mut self.slots {
             state.may_be_draining = false;
@@ -100,7 +100,7 @@
         self.choose_subset();
     }
 
-    /// Ends a suspension; the endpoint's slow start begins at `restored_at`, or now if that is later: the
+    /// Ends a suspension; the endpoint's slow start begins at `restored_at`, but not in the future: the
     /// operator's request may come from another process with a different clock.
     pub(in crate::policy) fn restore(
         &mut self,
