--- a/balancer-core/src/policy/admission.rs
+++ b/balancer-core/src/policy/admission.rs
@@ -6,7 +6,7 @@
 use crate::time::Millis;
 
 /// Fraction of a tenant's default limit that is never lent.
-const RESERVATION: f64 = 0.1;
+const RESERVED_FRACTION: f64 = 0.1;
 /// Unused limit that a tenant may save, in cycles; evens out chance arrivals of small counts.
 const BURST_CYCLES: f64 = 6.0;
 /// Shortest part of a cycle from which capacity is learned.
@@ -182,7 +182,12 @@
             .map(|tenant| tenant.expected_demand())
             .collect();
         let weights: Vec<f64> = active.iter().map(|tenant| tenant.weight).collect();
-        let limits = tenant_limits(self.capacity.per_cycle(), &demands, &weights, RESERVATION);
+        let limits = tenant_limits(
+            self.capacity.per_cycle(),
+            &demands,
+            &weights,
+            RESERVED_FRACTION,
+        );
         for (tenant, limit) in active.iter_mut().zip(limits) {
             tenant.start_cycle(limit, elapsed_cycles);
         }
--- a/balancer-core/src/policy/attempt_timeout.rs
+++ b/balancer-core/src/policy/attempt_timeout.rs
@@ -32,18 +32,18 @@
         attempt: &Attempt,
         now: Millis,
     ) -> AttemptTimeout {
-        let at_end = AttemptTimeout {
+        let at_expiry = AttemptTimeout {
             after: pending.expires_at() - now,
             is_early: false,
         };
         if pending.is_body_incomplete() {
             return AttemptTimeout {
                 after: 0.0,
-                ..at_end
+                ..at_expiry
             };
         }
         if !self.is_retry_better(attempt, now) || !self.may_retry(pending) {
-            return at_end;
+            return at_expiry;
         }
         let expected = self.endpoints.latency().class(pending.class());
         let mean = expected.mean();
@@ -53,7 +53,7 @@
         let early = early.max(MIN_EARLY_TIMEOUT);
         let is_retry_in_time = now + early + mean < pending.expires_at();
         if !is_retry_in_time {
-            return at_end;
+            return at_expiry;
         }
         AttemptTimeout {
             after: early,
--- a/balancer-core/src/policy/attempts.rs
+++ b/balancer-core/src/policy/attempts.rs
@@ -239,7 +239,7 @@
         duration: Millis,
         now: Millis,
     ) {
-        let is_own_fault =
+        let is_endpoint_fault =
             self.endpoints
                 .record_outcome(attempt, outcome, duration, now, &mut self.random);
         if outcome == AttemptOutcome::Rejected && self.polling.is_stale(&self.settings, now) {
@@ -258,7 +258,7 @@
                 ratio
             }
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return,
-            _ if is_own_fault || is_stale => return,
+            _ if is_endpoint_fault || is_stale => return,
             _ => MAX_LATENCY_RATIO,
         };
         self.admission.record_response(ratio);
--- a/balancer-core/src/policy/capacity.rs
+++ b/balancer-core/src/policy/capacity.rs
@@ -31,7 +31,7 @@
 const PEAK_RETENTION: f64 = 0.95;
 
 /// Fraction of responses within objective below which the minimum capacity drops below the stated quotas.
-const WANTED_SUCCESS: f64 = 0.7;
+const WANTED_SUCCESS_FRACTION: f64 = 0.7;
 /// Smallest minimum capacity, as a fraction of the stated quotas.
 const MIN_CAPACITY_FRACTION: f64 = 0.3;
 
@@ -54,7 +54,7 @@
 /// Growth per cycle of the unloaded latency.
 const UNLOADED_GROWTH: f64 = 0.02;
 /// Fraction of responses within objective required for that growth.
-const UNLOADED_SUCCESS: f64 = 0.92;
+const UNLOADED_SUCCESS_FRACTION: f64 = 0.92;
 
 /// Limits of requests in flight.
 pub(super) struct InflightLimits {
@@ -80,7 +80,7 @@
     /// Multiple of `quota` that this replica may use.
     quota_multiple: f64,
     /// Smoothed fraction of responses within objective.
-    success: f64,
+    success_fraction: f64,
     /// Endpoints that accept requests, those in slow start by their fraction of full capacity.
     endpoints: f64,
     max_endpoints: f64,
@@ -92,9 +92,9 @@
     /// Latency that is on time for the mean objective.
     on_time_latency: Millis,
     /// Whether no requests queue.
-    is_unqueued: bool,
+    has_no_queue: bool,
     /// Whether this is the first tier and quotas are stated.
-    is_first_tier: bool,
+    has_first_tier_quotas: bool,
     /// The replicas that share the first tier; one in other tiers.
     replicas: f64,
 }
@@ -109,7 +109,7 @@
             INITIAL_MULTIPLE_BELOW_FIRST_TIER
         };
         let stated = multiple * replica_quota_per_s * ADMISSION_CYCLE / MS_PER_SECOND;
-        let is_first_tier = settings.tier == 0 && stated > 0.0;
+        let has_first_tier_quotas = settings.tier == 0 && stated > 0.0;
         let quota = replica_quota_per_s * ADMISSION_CYCLE / MS_PER_SECOND;
         Capacity {
             per_cycle: if stated > 0.0 {
@@ -119,7 +119,7 @@
             },
             quota: quota.max(MIN_QUOTA_PER_CYCLE),
             quota_multiple: 1.0,
-            success: 1.0,
+            success_fraction: 1.0,
             endpoints: 0.0,
             max_endpoints: 0.0,
             admitted_mean: stated,
@@ -127,9 +127,9 @@
             responses: ResponseSample::default(),
             unloaded_latency: initial_mean_latency(settings),
             on_time_latency: ON_TIME_FRACTION * mean_objective(settings),
-            is_unqueued: false,
-            is_first_tier,
-            replicas: if is_first_tier { replicas } else { 1.0 },
+            has_no_queue: false,
+            has_first_tier_quotas,
+            replicas: if has_first_tier_quotas { replicas } else { 1.0 },
         }
     }
 
@@ -144,7 +144,7 @@
 
     /// Whether so many responses are late or failed that capacity may drop below the stated quotas.
     pub(super) fn is_degraded(&self) -> bool {
-        self.success < WANTED_SUCCESS
+        self.success_fraction < WANTED_SUCCESS_FRACTION
     }
 
     /// Limits of requests in flight. More requests than capacity needs at the unloaded latency form a queue,
@@ -162,7 +162,7 @@
     /// Requests in flight at the allowed rate and this latency.
     fn inflight_limit(&self, latency: Millis) -> f64 {
         let stated = self.quota * self.endpoint_fraction() * self.quota_multiple;
-        let rate = if self.is_first_tier {
+        let rate = if self.has_first_tier_quotas {
             self.per_cycle.min(stated)
         } else {
             self.per_cycle
@@ -183,13 +183,13 @@
         let even_inflight = self.quota * self.endpoint_fraction() * local_fraction
             / ADMISSION_CYCLE
             * self.unloaded_latency;
-        self.is_first_tier && local_inflight >= even_inflight.max(MIN_INFLIGHT)
+        self.has_first_tier_quotas && local_inflight >= even_inflight.max(MIN_INFLIGHT)
     }
 
     /// Requests per cycle that this replica sends to all endpoints: the mean of the admitted ones, but no more
     /// than the stated quotas.
     pub(super) fn sent_per_cycle(&self, ready_fraction: f64) -> f64 {
-        let stated = if self.is_first_tier {
+        let stated = if self.has_first_tier_quotas {
             self.quota * ready_fraction
         } else {
             f64::INFINITY
@@ -200,8 +200,8 @@
     /// Updates the unloaded latency, which is the smallest mean latency of the recent past. It does not grow
     /// in an overload: higher limits would keep endpoints overloaded.
     pub(super) fn record_latency(&mut self, latency: Millis) {
-        let succeeds = self.success >= UNLOADED_SUCCESS;
-        self.is_unqueued =
+        let succeeds = self.success_fraction >= UNLOADED_SUCCESS_FRACTION;
+        self.has_no_queue =
             succeeds && latency <= self.unloaded_latency * HARD_LATENCY_MULTIPLE_SHARED;
         let is_overloaded = !succeeds || latency > self.unloaded_latency * SOFT_LATENCY_MULTIPLE;
         if is_overloaded {
@@ -254,7 +254,7 @@
     }
 
     fn record_rejection_within_limit(&mut self, admitted: f64) {
-        if self.is_unqueued && self.quota_multiple < self.replicas {
+        if self.has_no_queue && self.quota_multiple < self.replicas {
             // Clients are spread unevenly over replicas: this one has more than its quota, and endpoints have
             // spare capacity.
             self.quota_multiple = (self.quota_multiple * QUOTA_MULTIPLE_STEP).min(self.replicas);
@@ -269,8 +269,8 @@
     fn adapt(&mut self, admitted: f64) {
         let responses = std::mem::take(&mut self.responses);
         let mean = responses.latency_ratio_sum / responses.count;
-        let success = responses.within_objective / responses.count;
-        self.success += CYCLE_GAIN * (success - self.success);
+        let success_fraction = responses.within_objective / responses.count;
+        self.success_fraction += CYCLE_GAIN * (success_fraction - self.success_fraction);
         if mean > STEADY_LATENCY_RATIO {
             let reduction = CAPACITY_REDUCTION * (mean - STEADY_LATENCY_RATIO);
             let kept = 1.0 - reduction.min(MAX_CAPACITY_REDUCTION);
@@ -289,7 +289,8 @@
 
     /// The minimum capacity: the stated quotas, less where many responses are late or endpoints are missing.
     fn minimum(&self) -> f64 {
-        let fraction = (self.success / WANTED_SUCCESS).clamp(MIN_CAPACITY_FRACTION, 1.0);
+        let fraction =
+            (self.success_fraction / WANTED_SUCCESS_FRACTION).clamp(MIN_CAPACITY_FRACTION, 1.0);
         self.quota * self.endpoint_fraction() * fraction
     }
 }
--- a/balancer-core/src/policy/pending_request.rs
+++ b/balancer-core/src/policy/pending_request.rs
@@ -12,7 +12,7 @@
     class: usize,
     /// When a response loses its value; infinite while the body is incomplete.
     expires_at: Millis,
-    sends: u32,
+    used_attempts: u32,
     attempts: Vec<Attempt>,
     first_run: Option<FirstRun>,
     /// The endpoint of the newest attempt.
@@ -26,7 +26,7 @@
         PendingRequest {
             class,
             expires_at,
-            sends: 0,
+            used_attempts: 0,
             attempts: Vec::new(),
             first_run: None,
             previous_endpoint: None,
@@ -91,12 +91,12 @@
     }
 
     pub(super) fn has_remaining_attempts(&self, max_attempts: u32) -> bool {
-        self.sends < max_attempts
+        self.used_attempts < max_attempts
     }
 
     /// Prevents further attempts.
     pub(super) fn forbid_retries(&mut self, max_attempts: u32) {
-        self.sends = max_attempts;
+        self.used_attempts = max_attempts;
     }
 
     /// Adds an attempt to the endpoint at `index`.
@@ -108,8 +108,8 @@
         now: Millis,
     ) -> &Attempt {
         let is_awaited = self.expires_at.is_finite();
-        let number = self.sends;
-        self.sends += 1;
+        let number = self.used_attempts;
+        self.used_attempts += 1;
         self.previous_endpoint = Some(index);
         self.first_run.get_or_insert(FirstRun {
             attempt: number,
--- a/balancer-core/src/policy/retry_budget.rs
+++ b/balancer-core/src/policy/retry_budget.rs
@@ -10,7 +10,7 @@
 /// Further retries allowed per response that is on time.
 const RETRIES_PER_ON_TIME_RESPONSE: f64 = 1.0;
 /// Largest number of unused retries of each kind that is kept.
-const MAX_RETRIES: f64 = 10.0;
+const MAX_UNUSED_RETRIES: f64 = 10.0;
 
 /// What a retry was taken from.
 #[derive(Clone, Copy)]
@@ -29,7 +29,7 @@
 impl RetryBudget {
     pub(super) fn new() -> Self {
         RetryBudget {
-            from_requests: MAX_RETRIES,
+            from_requests: MAX_UNUSED_RETRIES,
             from_on_time_responses: 0.0,
         }
     }
@@ -82,6 +82,6 @@
             RetrySource::Requests => &mut self.from_requests,
             RetrySource::OnTimeResponses => &mut self.from_on_time_responses,
         };
-        *available = (*available + retries).min(MAX_RETRIES);
+        *available = (*available + retries).min(MAX_UNUSED_RETRIES);
     }
 }
--- a/balancer-core/src/policy/tenant_limits.rs
+++ b/balancer-core/src/policy/tenant_limits.rs
@@ -3,19 +3,19 @@
 /// The limit of each tenant for the next cycle, from its demand in the last one.
 ///
 /// Each tenant has a default limit by its weight. What a tenant does not use of it is lent to the others, except
-/// for the fraction `reservation`. Limits are not negative, and their sum is at most `capacity`, up to
+/// for the fraction `reserved_fraction`. Limits are not negative, and their sum is at most `capacity`, up to
 /// rounding.
 pub fn tenant_limits(
     capacity: f64,
     demands: &[f64],
     weights: &[f64],
-    reservation: f64,
+    reserved_fraction: f64,
 ) -> Vec<f64> {
     let defaults = default_limits(capacity, weights);
     let wanted: Vec<f64> = demands
         .iter()
         .zip(&defaults)
-        .map(|(&demand, &default)| demand.max(default * reservation))
+        .map(|(&demand, &default)| demand.max(default * reserved_fraction))
         .collect();
     let gaps: Vec<f64> = defaults
         .iter()
