--- a/balancer-core/src/policy/admission.rs
+++ b/balancer-core/src/policy/admission.rs
@@ -5,9 +5,9 @@
 use crate::settings::{Settings, Tenant};
 use crate::time::Millis;
 
-/// Fraction of a tenant's default limit that is never lent.
+/// Fraction of a tenant's default limit that is never lent to other tenants.
 const RESERVED_FRACTION: f64 = 0.1;
-/// Unused limit that a tenant may save, in cycles; evens out chance arrivals of small counts.
+/// Unused limit that a tenant may save, in cycles: the arrivals of a tenant with few requests vary by chance.
 const BURST_CYCLES: f64 = 6.0;
 /// Shortest part of a cycle from which capacity is learned.
 const MIN_LEARNING_CYCLES: f64 = 0.5;
@@ -20,7 +20,7 @@
     requests: f64,
     /// Smoothed requests per cycle, including rejected ones.
     demand: f64,
-    /// Admitted requests that count against the limit; negative for saved limit.
+    /// Number of admitted requests that count against the limit; negative if unused limit is saved.
     admitted: f64,
     limit: f64,
 }
@@ -33,8 +33,8 @@
         }
     }
 
-    /// Demand by which the limit is computed. Counts are small, and a limit at the mean would reject half the
-    /// cycles of a steady tenant, so one standard deviation is added.
+    /// Demand from which the limit is computed: the mean and one standard deviation. Counts are small, and a
+    /// limit at the mean would reject requests of a steady tenant in half of the cycles.
     fn expected_demand(&self) -> f64 {
         self.demand + self.demand.sqrt()
     }
@@ -59,11 +59,12 @@
     cycle_started_at: Millis,
     /// Requests admitted in this cycle.
     cycle_admitted: f64,
-    /// Admitted requests that count against capacity.
+    /// Number of admitted requests that count against capacity.
     admitted: f64,
     load: AdmissibleLoad,
-    /// Requests in flight whose connection is probably lost.
+    /// Number of requests in flight whose connection is probably lost.
     lost_inflight: f64,
+    /// Whether a tenant within its limit was rejected since capacity was last learned.
     rejected_within_limit: bool,
 }
 
@@ -152,7 +153,7 @@
 
     /// Ends a cycle: learns demand and capacity, and computes the limits of the next cycle.
     pub(super) fn end_cycle(&mut self, now: Millis) {
-        // A cycle that a new tenant ended early counts by the part of it that passed.
+        // A cycle that a new tenant ended early counts as the elapsed fraction of a complete one.
         let elapsed_cycles = ((now - self.cycle_started_at) / ADMISSION_CYCLE).clamp(0.0, 1.0);
         self.cycle_started_at = now;
         let gain = elapsed_cycles * CYCLE_GAIN;
--- a/balancer-core/src/policy/attempt.rs
+++ b/balancer-core/src/policy/attempt.rs
@@ -8,13 +8,13 @@
     /// Number in the order of sends, from zero.
     pub(super) number: u32,
     pub(super) class: usize,
-    /// Index of the endpoint.
+    /// Index of the endpoint in the table.
     pub(super) endpoint: usize,
     /// Idle bucket of the connection it uses; zero for a new connection.
     pub(super) idle_bucket: usize,
-    /// When the whole request was sent; infinite until then.
+    /// When the request was completely sent; infinite until then.
     pub(super) sent_at: Millis,
-    /// Whether it times out early, and is retried then.
+    /// Whether its timeout is before its request expires, so that it can be retried then.
     pub(super) has_early_timeout: bool,
     /// Whether the endpoint is expected to respond now.
     pub(super) is_awaited: bool,
@@ -29,7 +29,7 @@
     pub(super) group: u16,
 }
 
-/// Restricts a retry to endpoints that discard it if the first attempt ran.
+/// Restricts a retry to endpoints that discard it as a repeat if the first attempt ran.
 #[derive(Clone, Copy)]
 pub(super) struct RetryConstraint {
     pub(super) scope: DedupScope,
--- a/balancer-core/src/policy/attempt_timeout.rs
+++ b/balancer-core/src/policy/attempt_timeout.rs
@@ -5,26 +5,26 @@
 use crate::policy::Balancer;
 use crate::time::Millis;
 
-/// Failure rate of an endpoint from which attempts time out early, so that a retry is in time.
+/// Failure rate of an endpoint above which attempts time out early, so that a retry is in time.
 const SUSPECT_FAILURE_RATE: f64 = 0.2;
-/// The same for the fraction of attempts lost on connections that were idle as long.
+/// The same for the fraction of attempts that are lost on connections that were idle for as long.
 const SUSPECT_LOSS: f64 = SUSPECT_FAILURE_RATE / 4.0;
 /// Smallest early timeout: what timers, schedulers and a new connection may take on a busy machine.
 const MIN_EARLY_TIMEOUT: Millis = 100.0;
-/// Largest relative latency of an endpoint that extends its early timeouts.
+/// Largest factor by which the relative latency of an endpoint extends its early timeouts.
 const MAX_TIMEOUT_FACTOR: f64 = 3.0;
 
 /// The timeout of an attempt.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptTimeout {
-    /// Zero: none.
+    /// Time after the send; zero: no timeout.
     pub(super) after: Millis,
-    /// Whether it ends the attempt before its request expires, so that a retry is in time.
+    /// Whether it ends the attempt before the request expires, so that a retry is in time.
     pub(super) is_early: bool,
 }
 
 impl Balancer {
-    /// The timeout of an attempt: the end of its request, or earlier if responses were lost and a retry is
+    /// The timeout of an attempt: when the request expires, or earlier if responses were lost and a retry is
     /// allowed, would be in time and is likely to be served sooner.
     pub(super) fn attempt_timeout(
         &self,
--- a/balancer-core/src/policy/attempts.rs
+++ b/balancer-core/src/policy/attempts.rs
@@ -10,8 +10,9 @@
 use crate::request::{AttemptOutcome, RequestId};
 use crate::time::Millis;
 
-/// Fraction of requests that still use connections that seem stale, to find out whether they are.
+/// Fraction of requests that still use a connection that seems stale, to find out whether it is.
 const STALE_PROBE_FRACTION: f64 = 0.02;
+
 /// How an attempt ended, as the host reports it.
 pub(super) struct AttemptEnd {
     pub(super) request: RequestId,
@@ -29,7 +30,7 @@
 }
 
 impl Balancer {
-    /// Sends an attempt, and returns whether an endpoint could be found.
+    /// Sends an attempt if an endpoint can be found, and returns whether it was sent.
     pub(super) fn send_attempt(
         &mut self,
         now: Millis,
@@ -57,7 +58,8 @@
         true
     }
 
-    /// Returns the timeout of a started attempt; zero: none. A retry follows an early one.
+    /// Returns the timeout of a started attempt (zero: none), and marks the attempt if that is early: a retry
+    /// follows then.
     fn start_timeout(&mut self, now: Millis, id: RequestId, number: u32) -> Millis {
         let Some(pending) = self.pending.get(&id) else {
             return 0.0;
@@ -117,7 +119,7 @@
         })
     }
 
-    /// The zones to pick from, in order.
+    /// Which endpoints to pick from, in order of preference.
     fn zone_choices(&self) -> [ZoneChoice; 2] {
         let local_fraction = self.endpoints.local_fraction();
         if self.admission.exceeds_local_quota(local_fraction) {
@@ -181,7 +183,7 @@
         };
         self.endpoints.record_attempt_ended(&attempt);
         let is_last = !pending.has_attempts();
-        // Upstreams that also shed requests they have started prove nothing by a rejection.
+        // If upstreams also shed requests that they have started, a rejection does not prove that it never ran.
         let may_have_run =
             end.outcome == AttemptOutcome::Rejected && self.settings.rejects_after_start;
         if end.outcome.never_ran() && !may_have_run && is_last {
@@ -231,7 +233,7 @@
         is_sent
     }
 
-    /// Records what an outcome shows of the endpoint, its connections and the tier's capacity.
+    /// Records what an outcome shows about the endpoint, its connections and the tier's capacity.
     fn record_attempt_outcome(
         &mut self,
         attempt: &Attempt,
--- a/balancer-core/src/policy/capacity.rs
+++ b/balancer-core/src/policy/capacity.rs
@@ -3,13 +3,14 @@
 use crate::settings::Settings;
 use crate::time::Millis;
 
-/// Period at which limits and capacity are computed anew.
+/// Period at which limits and capacity are recomputed.
 pub(super) const ADMISSION_CYCLE: Millis = 1000.0;
 /// Weight of a complete cycle in means over cycles: one replica sees few requests of a tenant per cycle.
 pub(super) const CYCLE_GAIN: f64 = 0.3;
 const MS_PER_SECOND: Millis = 1000.0;
 
-/// Mean latency ratio at which capacity stays: heavy requests and slow endpoints cause that much anyway.
+/// Mean latency ratio at which capacity does not change: heavy requests and slow endpoints cause that much in
+/// any case.
 const STEADY_LATENCY_RATIO: f64 = 0.08;
 /// Initial capacity below the first tier, as a multiple of the stated quotas: a rejection there wastes the
 /// work of the tiers above.
@@ -35,12 +36,12 @@
 /// Smallest minimum capacity, as a fraction of the stated quotas.
 const MIN_CAPACITY_FRACTION: f64 = 0.3;
 
-/// Requests in flight allowed beyond those of capacity: a replica cannot send fractions of a request.
+/// Requests in flight allowed beyond those that capacity needs: a replica cannot send fractions of a request.
 const SPARE_INFLIGHT: f64 = 1.0;
-/// Requests in flight always allowed: a replica with little traffic receives them in pairs by chance.
+/// Requests in flight that are always allowed: a replica with little traffic receives some in pairs by chance.
 const MIN_INFLIGHT: f64 = 2.0;
-/// Latency, as a multiple of the unloaded one, that the soft limit allows for. More means a queue, and
-/// overloaded endpoints stay slow for long.
+/// Latency, as a multiple of the unloaded one, that the soft limit allows for. A higher latency shows a queue,
+/// and overloaded endpoints stay slow for long.
 const SOFT_LATENCY_MULTIPLE: f64 = 1.6;
 /// The same for the soft limit where many replicas share the first tier.
 const SOFT_LATENCY_MULTIPLE_SHARED: f64 = 1.0;
@@ -49,7 +50,8 @@
 /// The same for the hard limit where many replicas share the first tier.
 const HARD_LATENCY_MULTIPLE_SHARED: f64 = 1.3;
 
-/// Change per cycle of the multiple of its even quota that one of many replicas may use.
+/// Factor by which `quota_multiple`, the multiple of its even quota that one of many replicas may use, changes
+/// per cycle.
 const QUOTA_MULTIPLE_STEP: f64 = 1.5;
 /// Growth per cycle of the unloaded latency.
 const UNLOADED_GROWTH: f64 = 0.02;
@@ -64,7 +66,7 @@
     pub(super) hard: f64,
 }
 
-/// The responses of one cycle.
+/// The responses since capacity was last adapted to them.
 #[derive(Default)]
 struct ResponseSample {
     count: f64,
@@ -77,25 +79,25 @@
     per_cycle: f64,
     /// The stated quotas of all tenants, divided evenly among replicas.
     quota: f64,
-    /// Multiple of `quota` that this replica may use.
+    /// Multiple of `quota` that this replica may use, at least one.
     quota_multiple: f64,
     /// Smoothed fraction of responses within objective.
     success_fraction: f64,
-    /// Endpoints that accept requests, those in slow start by their fraction of full capacity.
+    /// Number of endpoints that accept requests; one in slow start counts as its fraction of full capacity.
     endpoints: f64,
     max_endpoints: f64,
     admitted_mean: f64,
     admitted_peak: f64,
     responses: ResponseSample,
-    /// Mean latency of responses that did not queue.
+    /// Mean latency of responses to requests that did not queue.
     unloaded_latency: Millis,
     /// Latency that is on time for the mean objective.
     on_time_latency: Millis,
-    /// Whether no requests queue.
+    /// Whether latency showed no queue when it was last recorded.
     has_no_queue: bool,
-    /// Whether this is the first tier and quotas are stated.
+    /// Whether the next tier is the first one and quotas are stated.
     has_first_tier_quotas: bool,
-    /// The replicas that share the first tier; one in other tiers.
+    /// Number of replicas that share the first tier with stated quotas; otherwise one.
     replicas: f64,
 }
 
@@ -137,7 +139,7 @@
         self.per_cycle
     }
 
-    /// Mean of requests admitted per cycle.
+    /// Smoothed number of requests admitted per cycle.
     pub(super) fn admitted_mean(&self) -> f64 {
         self.admitted_mean
     }
@@ -147,8 +149,8 @@
         self.success_fraction < WANTED_SUCCESS_FRACTION
     }
 
-    /// Limits of requests in flight. More requests than capacity needs at the unloaded latency form a queue,
-    /// long before a late response shows it.
+    /// Limits of requests in flight. If there are more than capacity needs at the unloaded latency, the others
+    /// queue, long before a late response shows it.
     pub(super) fn inflight_limits(&self) -> InflightLimits {
         let soft_multiple = self.blend(SOFT_LATENCY_MULTIPLE, SOFT_LATENCY_MULTIPLE_SHARED);
         let hard_alone = (self.unloaded_latency * HARD_LATENCY_MULTIPLE).max(self.on_time_latency);
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Requests in flight at the allowed rate and this latency.
+    /// Number of requests in flight at the allowed rate and this latency.
     fn inflight_limit(&self, latency: Millis) -> f64 {
         let stated = self.quota * self.endpoint_fraction() * self.quota_multiple;
         let rate = if self.has_first_tier_quotas {
@@ -172,13 +174,13 @@
     }
 
     /// Blends the value for a single replica with that for many. One replica spreads its requests evenly over
-    /// endpoints; many replicas load them by chance, and each may use its full limit.
+    /// endpoints; many replicas load them unevenly by chance, and each may use its full limit.
     fn blend(&self, alone: f64, shared: f64) -> f64 {
         shared + (alone - shared) / self.replicas
     }
 
     /// Whether requests should leave this replica's zone, because its endpoints there have as many in flight
-    /// as its quota needs. `local_fraction` is the fraction of the quota that the zone carries.
+    /// as its quota needs. `local_fraction` is the part of the quota that endpoints in the zone serve.
     pub(super) fn exceeds_local_quota(&self, local_inflight: f64, local_fraction: f64) -> bool {
         let even_inflight = self.quota * self.endpoint_fraction() * local_fraction
             / ADMISSION_CYCLE
@@ -197,8 +199,9 @@
         stated.min(self.admitted_mean)
     }
 
-    /// Updates the unloaded latency, which is the smallest mean latency of the recent past. It does not grow
-    /// in an overload: higher limits would keep endpoints overloaded.
+    /// Updates the unloaded latency, which is the smallest mean latency of the recent past, and reduces the
+    /// multiple of the quota in an overload. The unloaded latency grows only while enough responses are within
+    /// objective: in an overload, higher limits would keep endpoints overloaded.
     pub(super) fn record_latency(&mut self, latency: Millis) {
         let succeeds = self.success_fraction >= UNLOADED_SUCCESS_FRACTION;
         self.has_no_queue =
@@ -213,7 +216,7 @@
         self.unloaded_latency = self.unloaded_latency.min(latency);
     }
 
-    /// Changes capacity at once with the number of endpoints that accept requests.
+    /// Changes capacity at once in proportion to the number of endpoints that accept requests.
     pub(super) fn record_endpoints(&mut self, endpoints: f64) {
         if endpoints > 0.0 {
             if self.endpoints > 0.0 {
@@ -260,12 +263,12 @@
             self.quota_multiple = (self.quota_multiple * QUOTA_MULTIPLE_STEP).min(self.replicas);
             self.per_cycle = self.per_cycle.max(self.admitted_peak) * QUOTA_MULTIPLE_STEP;
         } else {
-            // Limits exceed what the tier carries: reduce them, so that they decide which tenant is rejected.
+            // Limits exceed what the tier can serve: reduce them, so that they decide which tenant is rejected.
             self.per_cycle = self.per_cycle.min(admitted);
         }
     }
 
-    /// Changes capacity by the latency of the cycle's responses.
+    /// Changes capacity according to the latency of the responses since the last change.
     fn adapt(&mut self, admitted: f64) {
         let responses = std::mem::take(&mut self.responses);
         let mean = responses.latency_ratio_sum / responses.count;
@@ -281,13 +284,13 @@
         }
     }
 
-    /// Endpoints that accept requests, as a fraction of the most that did; one before any did.
+    /// Endpoints that accept requests, as a fraction of the largest number so far; 1 before any did.
     fn endpoint_fraction(&self) -> f64 {
         // `min` ignores the NaN of zero by zero.
         (self.endpoints / self.max_endpoints).min(1.0)
     }
 
-    /// The minimum capacity: the stated quotas, less where many responses are late or endpoints are missing.
+    /// The minimum capacity: the stated quotas, reduced if many responses are late or endpoints are missing.
     fn minimum(&self) -> f64 {
         let fraction =
             (self.success_fraction / WANTED_SUCCESS_FRACTION).clamp(MIN_CAPACITY_FRACTION, 1.0);
--- a/balancer-core/src/policy/endpoint_polling.rs
+++ b/balancer-core/src/policy/endpoint_polling.rs
@@ -1,34 +1,36 @@
 //! Polling of the endpoint list: when a failed call is repeated, and whether the list is stale.
 //!
 //! A change counts as notified [`NOTIFICATION_DEADLINE`] after discovery had it and could be reached, whether this
-//! replica knows it or not. A failed call does not show when discovery returns: at worst right after the call started.
-//! So each call starts within [`max_call_interval`] of the start of the one before, however long that one took and
-//! however many have failed, and what is left of the deadline covers a wait in discovery's queue. Within the interval
-//! a call that was rejected is repeated at random: the fewer replicas of a fleet call at once, the fewer are rejected.
+//! replica knows it or not. A failed call does not show when discovery becomes reachable again; in the worst case,
+//! that is right after the call started. So each call starts within [`max_call_interval`] of the start of the previous
+//! one, however long that one took and however many have failed. The rest of the deadline covers a wait in discovery's
+//! queue. A rejected call is repeated at a random time within the interval: the fewer replicas of a fleet call at
+//! once, the fewer are rejected.
 use crate::policy::random::Random;
 use crate::settings::Settings;
 use crate::time::Millis;
 
-/// Backoff after a first failed call; doubles with each further one.
+/// Backoff after the first failed call, before jitter; doubles with each further one.
 const FAILURE_BACKOFF: Millis = 400.0;
 /// Largest backoff after failed calls, as a divisor of `poll_acknowledge_timeout`.
 const MAX_FAILURE_BACKOFF_DIVISOR: f64 = 3.0;
 /// Smallest random fraction of a backoff after failed calls.
 const MIN_FAILURE_JITTER: f64 = 0.5;
-/// Limit of the doubling, so that it cannot overflow.
+/// Largest number of doublings, so that they cannot overflow.
 const MAX_DOUBLINGS: u32 = 10;
 /// A change counts as notified at the latest this long after discovery had it and could be reached.
 const NOTIFICATION_DEADLINE: Millis = 6000.0;
 /// The same as a multiple of `poll_acknowledge_timeout`, where that is less.
 const NOTIFICATION_DEADLINE_MULTIPLE: f64 = 4.0;
-/// Time in which discovery serves a call or rejects it: it lets calls wait in its queue for 2 s.
+/// Longest time in which discovery serves or rejects a call: it lets calls wait in its queue for 2 s.
 const MAX_RESPONSE_TIME: Millis = 2100.0;
-/// Calls that are rejected at once are not repeated more often than this, whatever the settings say.
+/// Smallest [`max_call_interval`], whatever the settings say: it limits how often calls that are rejected at once
+/// are repeated.
 const MIN_CALL_INTERVAL: Millis = 1000.0;
-/// Shortest time in which a rejected call is repeated, before jitter.
+/// Shortest pause after a rejected call, before jitter.
 const MIN_REJECTION_PAUSE: Millis = 300.0;
-/// Largest pause after a rejected call at an address that discovery has migrated to. Discovery soon counts this
-/// replica as notified.
+/// Largest pause after a rejected call at an address that discovery has migrated to. It is short because discovery
+/// soon counts this replica as notified.
 const MIGRATION_PAUSE: Millis = 2000.0;
 /// Smallest random fraction of a pause after rejected calls.
 const MIN_REJECTION_JITTER: f64 = 0.2;
@@ -54,7 +56,7 @@
 pub(super) struct EndpointPolling {
     /// Consecutive calls that failed and were not rejected.
     consecutive_failures: u32,
-    /// When the call under way started. `None` for a call of a watch that stands.
+    /// When the pending call started; `None` for a call of an established watch.
     call_started_at: Option<Millis>,
     /// When discovery last confirmed the list.
     confirmed_at: Option<Millis>,
@@ -79,8 +81,8 @@
         self.migrated_at = Some(now);
     }
 
-    /// Records a failed call and returns the pause before the next one. It stays short while no endpoint is
-    /// ready.
+    /// Records a failed call and returns the pause before the next one. A rejection counts as any other failure
+    /// while no endpoint is ready, so that the pause stays short.
     pub(super) fn record_failure(
         &mut self,
         failure: CallFailure,
@@ -125,7 +127,7 @@
         let interval = max_call_interval(settings);
         let earliest = now + MIN_REJECTION_PAUSE;
         let Some(call_started_at) = call_started_at else {
-            // Discovery had nothing to tell the watch until it rejected its call.
+            // Discovery had no change to report to the established watch until it rejected its call.
             return now + interval;
         };
         // A watch that failed may have missed changes since the list was confirmed.
--- a/balancer-core/src/policy/latency.rs
+++ b/balancer-core/src/policy/latency.rs
@@ -10,10 +10,11 @@
 const LATENCY_GAIN: f64 = 0.05;
 /// Weight of the newest response in the classes' fractions of all responses.
 const MIX_GAIN: f64 = 0.02;
-/// Latency expected before any response, as a fraction of the objective, and its deviation.
+/// The objective divided by this is the mean latency expected before any response.
 const INITIAL_MEAN_DIVISOR: f64 = 4.0;
+/// The objective divided by this is the deviation expected before any response.
 const INITIAL_DEVIATION_DIVISOR: f64 = 8.0;
-/// Mean deviations above the mean latency at which a response is overdue.
+/// Number of mean deviations above the mean latency from which a response is overdue.
 const OVERDUE_DEVIATIONS: f64 = 4.0;
 
 /// Expected latency of one class.
@@ -83,7 +84,7 @@
     }
 }
 
-/// How late a response is: 0 while it is on time, 1 at its objective.
+/// How late a response is: 0 while it is on time, 1 at its objective, at most [`MAX_LATENCY_RATIO`].
 pub(super) fn latency_ratio(duration: Millis, objective: Millis) -> f64 {
     let excess = duration / objective - ON_TIME_FRACTION;
     (excess / (1.0 - ON_TIME_FRACTION)).clamp(0.0, MAX_LATENCY_RATIO)
--- a/balancer-core/src/policy/pending_request.rs
+++ b/balancer-core/src/policy/pending_request.rs
@@ -12,8 +12,11 @@
     class: usize,
     /// When a response loses its value; infinite while the body is incomplete.
     expires_at: Millis,
+    /// Number of attempts sent; the maximum number once retries are forbidden.
     used_attempts: u32,
+    /// The attempts in flight.
     attempts: Vec<Attempt>,
+    /// The first attempt that may have run, if any.
     first_run: Option<FirstRun>,
     /// The endpoint of the newest attempt.
     previous_endpoint: Option<usize>,
@@ -138,14 +141,14 @@
         Some(self.attempts.swap_remove(position))
     }
 
-    /// The outcome of the last attempt in flight proves that it never ran.
+    /// Records that the last attempt in flight never ran, as its outcome proves.
     pub(super) fn record_never_ran(&mut self, number: u32) {
         self.first_run.take_if(|run| run.attempt == number);
     }
 }
 
-/// When a request whose client has this deadline expires. A late response without value would only
-/// use capacity in every tier above.
+/// When a request whose client has this deadline expires. A late response without value would only use capacity
+/// in every tier above.
 pub(super) fn expiry(class: &Class, deadline: Millis, now: Millis) -> Millis {
     let is_always_useful = deadline == f64::INFINITY || class.late_weight > 0.0;
     let useful_end = if is_always_useful {
--- a/balancer-core/src/policy/requests.rs
+++ b/balancer-core/src/policy/requests.rs
@@ -1,4 +1,4 @@
-//! The life of a request: admission, events of its body and client, and the one final response.
+//! Handling of requests: admission, events of their bodies and clients, and the one final response.
 use crate::action::Action;
 use crate::class::{DedupScope, Idempotency};
 use crate::policy::capacity::ADMISSION_CYCLE;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Starts the time of a streamed request, and expects responses to its attempts from now on.
+    /// Sets when a streamed request expires, and expects responses to its attempts from now on.
     pub(super) fn handle_body_complete(&mut self, now: Millis, id: RequestId, deadline: Millis) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Prevents retries: the client receives this response.
+    /// Prevents retries, as the client receives the response that has started.
     pub(super) fn handle_response_started(&mut self, now: Millis, id: RequestId, number: u32) {
         let Some(pending) = self.pending.get_mut(&id) else {
             return;
@@ -136,8 +136,8 @@
         }
     }
 
-    /// Records requests that are late already: the responses of a cycle are mostly the fast ones, and a
-    /// timeout would show stale connections too late.
+    /// Records requests in flight that are late already: the responses of a cycle are mostly the fast ones, and
+    /// a timeout would show stale connections too late.
     pub(super) fn record_overdue_requests(&mut self, now: Millis) {
         let mut lost_inflight = 0.0;
         for pending in self.pending.values().filter(|pending| !pending.is_closed()) {
--- a/balancer-core/src/policy/retry_budget.rs
+++ b/balancer-core/src/policy/retry_budget.rs
@@ -12,7 +12,7 @@
 /// Largest number of unused retries of each kind that is kept.
 const MAX_UNUSED_RETRIES: f64 = 10.0;
 
-/// What a retry was taken from.
+/// What allowed a retry.
 #[derive(Clone, Copy)]
 pub(super) enum RetrySource {
     /// The fraction of all requests.
@@ -47,8 +47,8 @@
         self.from_requests >= 1.0
     }
 
-    /// Takes the retry of an attempt that timed out early, which was allowed when it was sent. Debts are repaid
-    /// before the next early timeout is allowed.
+    /// Takes the retry of an attempt that timed out early, which was allowed when the attempt was sent. The
+    /// budget may become negative; no early timeout is allowed until it has at least one retry again.
     pub(super) fn take_for_early_timeout(&mut self) -> RetrySource {
         self.from_requests -= 1.0;
         RetrySource::Requests
--- a/balancer-core/src/policy/tenant_limits.rs
+++ b/balancer-core/src/policy/tenant_limits.rs
@@ -2,8 +2,8 @@
 
 /// The limit of each tenant for the next cycle, from its demand in the last one.
 ///
-/// Each tenant has a default limit by its weight. What a tenant does not use of it is lent to the others, except
-/// for the fraction `reserved_fraction`. Limits are not negative, and their sum is at most `capacity`, up to
+/// Each tenant has a default limit by its weight. What a tenant does not use of it is lent to the others,
+/// except for `reserved_fraction` of it. Limits are not negative, and their sum is at most `capacity`, up to
 /// rounding.
 pub fn tenant_limits(
     capacity: f64,
