--- a/balancer-core/src/class.rs
+++ b/balancer-core/src/class.rs
@@ -26,16 +26,16 @@
     Idempotent,
     /// Carries an idempotency key: upstreams within `scope` discard repeats for `window` after the first send.
     IdempotencyKey {
-        /// The upstreams that share their memory of keys.
+        /// The upstreams that share their record of keys.
         scope: DedupScope,
-        /// How long they remember a key, counted from the send of the first attempt that may have run.
+        /// How long they keep a key, counted from the send of the first attempt that may have run.
         window: Millis,
     },
     /// Must never run twice.
     NonIdempotent,
 }
 
-/// Which upstreams share their memory of idempotency keys.
+/// Which upstreams share their record of idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     /// All upstreams of the tier.
--- a/balancer-core/src/endpoint.rs
+++ b/balancer-core/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Endpoints, and the events of discovery that bring them.
+//! Endpoints, and the events by which discovery reports them.
 use crate::time::Millis;
 
 /// Identifies an upstream; opaque, and the same value at every balancer.
@@ -26,7 +26,7 @@
     pub zone: u16,
     /// Its machine kind.
     pub kind: u8,
-    /// The group whose upstreams share their memory of idempotency keys.
+    /// The group whose upstreams share their record of idempotency keys.
     pub group: u16,
     /// Whether it accepts new requests.
     pub availability: Availability,
@@ -34,7 +34,7 @@
     pub started_at: Millis,
 }
 
-/// Number of endpoints that a balancer knows.
+/// Numbers of endpoints that a balancer knows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EndpointCounts {
     /// Listed endpoints: ready or draining.
@@ -43,7 +43,7 @@
     pub avoided: usize,
 }
 
-/// A change of the endpoint list, or the result of a call that should have brought it.
+/// A change of the endpoint list, or the result of a call to discovery that brought no change.
 #[derive(Clone, Debug, PartialEq)]
 pub enum EndpointEvent {
     /// The complete list; endpoints that it lacks are gone.
--- a/balancer-core/src/settings.rs
+++ b/balancer-core/src/settings.rs
@@ -18,7 +18,7 @@
 /// All settings of one instance. [`Settings::default`] gives documented defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Number of this instance among the balancers of its tier, from zero.
+    /// Position of this instance among the balancers of its tier, from zero.
     pub index: u32,
     /// Number of balancers in the tier. At least one.
     pub balancers: u32,
--- a/balancer-core/src/settings/validation.rs
+++ b/balancer-core/src/settings/validation.rs
@@ -3,13 +3,13 @@
 use crate::settings::{Settings, Tenant};
 use std::fmt;
 
-/// Upper limit of every number: products of two such numbers stay finite.
+/// Upper limit of every number: products of two such numbers stay finite. The texts below name it.
 const MAX_NUMBER: f64 = 1e15;
 
-const TIME_ABOVE_ZERO: &str = "a time above 0";
-const TIME: &str = "a time of at least 0";
-const NUMBER: &str = "a number of at least 0";
-const RATE: &str = "a rate of at least 0";
+const TIME_ABOVE_ZERO: &str = "a time in ms above 0 and at most 1e15";
+const TIME: &str = "a time in ms from 0 to 1e15";
+const NUMBER: &str = "a number from 0 to 1e15";
+const RATE: &str = "a rate per second from 0 to 1e15";
 const ABSENT_OR_NOT_EMPTY: &str = "absent or not empty";
 
 /// Why [`Settings`] are invalid.
@@ -33,7 +33,11 @@
     /// Checks every field; the error names the first invalid one.
     pub fn validate(&self) -> Result<(), SettingsError> {
         require(self.balancers >= 1, "balancers", "at least 1")?;
-        require(!self.classes.is_empty(), "classes", "at least one")?;
+        require(
+            !self.classes.is_empty(),
+            "classes",
+            "a list of at least one class",
+        )?;
         require(self.max_attempts >= 1, "max_attempts", "at least 1")?;
         for class in &self.classes {
             validate_class(class)?;
--- a/balancer-core/src/time.rs
+++ b/balancer-core/src/time.rs
@@ -1,6 +1,6 @@
 //! The unit of time.
 
-/// Milliseconds: a point in time on the host's clock, or a span.
+/// Milliseconds: a point in time on the host's clock, or a duration.
 ///
-/// Points and spans share one clock that never goes back. The balancer does not read a clock itself.
+/// All points in time are on one monotonic clock. The balancer does not read a clock itself.
 pub type Millis = f64;
