--- a/balancer-core/src/policy.rs
+++ b/balancer-core/src/policy.rs
@@ -1,8 +1,9 @@
-//! Every decision of the balancer.
+//! The decision logic of the balancer.
 //!
-//! A request is admitted if its tenant is within its limit or the learned capacity is not used up. Each
-//! attempt goes to the less busy of two random endpoints that may receive it. The other modules handle
-//! exceptions: slow start, outliers, overload, stale connections, retries and a stale endpoint list.
+//! A request is admitted if its tenant is within its limit or the learned capacity is not used up, unless too
+//! many requests are in flight. Each attempt goes to the less busy of two random endpoints that may receive it.
+//! The other modules handle special cases: slow start, outliers, overload, stale connections, retries and a
+//! stale endpoint list.
 mod admission;
 mod attempt;
 mod attempt_timeout;
@@ -38,10 +39,11 @@
 
 /// Token of the timer that ends an admission cycle.
 const ADMISSION_CYCLE_TIMER: u32 = 0;
-/// Token of the timer that ends a pause of polling.
+/// Token of the timer that starts the next poll after a failed one.
 const POLL_TIMER: u32 = 1;
-/// Smallest random fraction of the first cycle, so that replicas that start together do not stay in step.
-const MIN_FIRST_CYCLE: f64 = 0.5;
+/// Smallest length of the first cycle, as a fraction of a complete one. The length is random, so that replicas
+/// that start together do not end their cycles at the same time.
+const MIN_FIRST_CYCLE_FRACTION: f64 = 0.5;
 
 /// One instance of the decision logic.
 pub struct Balancer {
@@ -88,12 +90,13 @@
         self.endpoints.is_suspended(id)
     }
 
-    /// Number of listed endpoints and of avoided ones.
+    /// Numbers of listed endpoints and of those that requests avoid at `now`.
     pub fn endpoint_counts(&self, now: Millis) -> EndpointCounts {
         self.endpoints.counts(now)
     }
 
-    /// Handles one event and appends the resulting actions. `now` must not decrease.
+    /// Handles one event and appends the resulting actions. `now` must not decrease from call to
+    /// call; a value that is not finite counts as zero.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         let now = if now.is_finite() { now } else { 0.0 };
         if !self.is_started {
@@ -144,7 +147,8 @@
 
     /// Sets the first timer, and polls the endpoint list if it is not pushed.
     fn start(&mut self, now: Millis, actions: &mut Vec<Action>) {
-        let fraction = MIN_FIRST_CYCLE + (1.0 - MIN_FIRST_CYCLE) * self.random.fraction();
+        let fraction =
+            MIN_FIRST_CYCLE_FRACTION + (1.0 - MIN_FIRST_CYCLE_FRACTION) * self.random.fraction();
         actions.push(Action::SetTimer {
             after: ADMISSION_CYCLE * fraction,
             token: ADMISSION_CYCLE_TIMER,
@@ -235,7 +239,7 @@
             .record_latency(self.endpoints.latency().mean());
         self.record_load(now);
         self.admission.end_cycle(now);
-        self.log_change_of_capacity(actions);
+        self.log_capacity_change(actions);
         let requests_per_cycle = self.admission.capacity().admitted_mean();
         self.endpoints.resize_subset(requests_per_cycle);
         actions.push(Action::SetTimer {
@@ -244,7 +248,7 @@
         });
     }
 
-    fn log_change_of_capacity(&mut self, actions: &mut Vec<Action>) {
+    fn log_capacity_change(&mut self, actions: &mut Vec<Action>) {
         let is_degraded = self.admission.capacity().is_degraded();
         if is_degraded == self.is_degraded {
             return;
--- a/balancer-core/src/policy/attempts.rs
+++ b/balancer-core/src/policy/attempts.rs
@@ -3,15 +3,16 @@
 use crate::class::Idempotency;
 use crate::policy::attempt::{Attempt, RetryConstraint};
 use crate::policy::capacity::ADMISSION_CYCLE;
-use crate::policy::endpoints::{PickRequest, ZoneChoice};
+use crate::policy::endpoints::{PickCriteria, ZoneChoice};
 use crate::policy::latency::{latency_ratio, MAX_LATENCY_RATIO};
 use crate::policy::pending_request::PendingRequest;
 use crate::policy::Balancer;
 use crate::request::{AttemptOutcome, RequestId};
 use crate::time::Millis;
 
-/// Fraction of requests that still use connections that seem stale, to find out whether they are.
+/// Fraction of requests that still use a connection that seems stale, to find out whether it is.
 const STALE_PROBE_FRACTION: f64 = 0.02;
+
 /// How an attempt ended, as the host reports it.
 pub(super) struct AttemptEnd {
     pub(super) request: RequestId,
@@ -29,7 +30,7 @@
 }
 
 impl Balancer {
-    /// Sends an attempt, and returns whether an endpoint could be found.
+    /// Sends an attempt if an endpoint can be found, and returns whether it was sent.
     pub(super) fn send_attempt(
         &mut self,
         now: Millis,
@@ -39,13 +40,13 @@
         let Some(index) = self.pick_endpoint(now, id) else {
             return false;
         };
-        let idle_step = self.choose_connection(now, index, actions);
+        let idle_bucket = self.choose_connection(now, index, actions);
         let Some(pending) = self.pending.get_mut(&id) else {
             return false;
         };
         let endpoint = self.endpoints.endpoint(index);
         let upstream = endpoint.id;
-        let attempt = pending.start_attempt(index, endpoint, idle_step, now);
+        let attempt = pending.start_attempt(index, endpoint, idle_bucket, now);
         let number = attempt.number;
         self.endpoints.record_send(attempt, now);
         let after = self.start_timeout(now, id, number);
@@ -57,7 +58,8 @@
         true
     }
 
-    /// Returns the timeout of a started attempt; zero: none. A retry follows an early one.
+    /// Returns the timeout of a started attempt (zero: none), and marks the attempt if that is early: a retry
+    /// follows then.
     fn start_timeout(&mut self, now: Millis, id: RequestId, number: u32) -> Millis {
         let Some(pending) = self.pending.get(&id) else {
             return 0.0;
@@ -91,7 +93,7 @@
             RetryRule::Anywhere => None,
             RetryRule::Within(constraint) => Some(constraint),
         };
-        let usual = PickRequest {
+        let usual = PickCriteria {
             now,
             class: pending.class(),
             even_rate: self.even_rate(),
@@ -99,7 +101,7 @@
             is_last_resort: false,
             retry_constraint,
         };
-        let last_resort = PickRequest {
+        let last_resort = PickCriteria {
             previous: None,
             is_last_resort: true,
             ..usual
@@ -111,12 +113,13 @@
             (ZoneChoice::Preferred, last_resort),
             (ZoneChoice::Other, last_resort),
         ];
-        picks.iter().find_map(|(zone_choice, request)| {
-            self.endpoints.pick(*zone_choice, request, &mut self.random)
+        picks.iter().find_map(|(zone_choice, criteria)| {
+            self.endpoints
+                .pick(*zone_choice, criteria, &mut self.random)
         })
     }
 
-    /// The zones to pick from, in order.
+    /// Which endpoints to pick from, in order of preference.
     fn zone_choices(&self) -> [ZoneChoice; 2] {
         let local_fraction = self.endpoints.local_fraction();
         if self.admission.exceeds_local_quota(local_fraction) {
@@ -152,16 +155,16 @@
         sent_per_cycle / ADMISSION_CYCLE / max_candidates
     }
 
-    /// Returns the idle step of the connection for a request; closes idle connections first if they are stale.
+    /// Returns the idle bucket of the connection for a request; closes idle connections first if they are stale.
     fn choose_connection(&mut self, now: Millis, index: usize, actions: &mut Vec<Action>) -> usize {
-        let idle_step = self.endpoints.idle_step(index, now);
-        let is_stale = self.endpoints.idle_losses().is_stale_within(idle_step);
+        let idle_bucket = self.endpoints.idle_bucket(index, now);
+        let is_stale = self.endpoints.idle_losses().is_stale_within(idle_bucket);
         if is_stale && self.random.fraction() > STALE_PROBE_FRACTION {
             let upstream = self.endpoints.endpoint(index).id;
             actions.push(Action::CloseIdleConnections(upstream));
             return 0;
         }
-        idle_step
+        idle_bucket
     }
 
     /// Records the end of an attempt. After the last one in flight, retries the request or gives its final
@@ -180,7 +183,7 @@
         };
         self.endpoints.record_attempt_ended(&attempt);
         let is_last = !pending.has_attempts();
-        // Upstreams that also shed requests they have started prove nothing by a rejection.
+        // If upstreams also shed requests that they have started, a rejection does not prove that it never ran.
         let may_have_run =
             end.outcome == AttemptOutcome::Rejected && self.settings.rejects_after_start;
         if end.outcome.never_ran() && !may_have_run && is_last {
@@ -230,7 +233,7 @@
         is_sent
     }
 
-    /// Records what an outcome shows of the endpoint, its connections and the tier's capacity.
+    /// Records what an outcome shows about the endpoint, its connections and the tier's capacity.
     fn record_attempt_outcome(
         &mut self,
         attempt: &Attempt,
@@ -238,7 +241,7 @@
         duration: Millis,
         now: Millis,
     ) {
-        let is_own_fault =
+        let is_endpoint_fault =
             self.endpoints
                 .record_outcome(attempt, outcome, duration, now, &mut self.random);
         if outcome == AttemptOutcome::Rejected && self.polling.is_stale(&self.settings, now) {
@@ -246,7 +249,7 @@
         }
         self.endpoints.remove_if_gone(attempt.endpoint);
         // Faults of a single endpoint or connection do not reduce the capacity of the tier.
-        let is_stale = self.endpoints.idle_losses().is_stale(attempt.idle_step);
+        let is_stale = self.endpoints.idle_losses().is_stale(attempt.idle_bucket);
         let ratio = match outcome {
             AttemptOutcome::Success => {
                 let objective = self.settings.classes[attempt.class].objective;
@@ -257,7 +260,7 @@
                 ratio
             }
             AttemptOutcome::Cancelled | AttemptOutcome::NotSent => return,
-            _ if is_own_fault || is_stale => return,
+            _ if is_endpoint_fault || is_stale => return,
             _ => MAX_LATENCY_RATIO,
         };
         self.admission.record_response(ratio);
--- a/balancer-core/src/policy/endpoints.rs
+++ b/balancer-core/src/policy/endpoints.rs
@@ -1,4 +1,4 @@
-//! The endpoints that this replica knows.
+//! The endpoints that this replica knows, and what it has learned about them.
 mod health;
 mod idle_connections;
 mod in_flight;
@@ -9,7 +9,7 @@
 mod subset;
 mod updates;
 
-pub(super) use picker::PickRequest;
+pub(super) use picker::PickCriteria;
 pub(super) use subset::ZoneChoice;
 
 use crate::endpoint::{Availability, Endpoint, EndpointCounts, UpstreamId};
@@ -25,27 +25,29 @@
 use subset::{RingEntry, Subset};
 
 /// Endpoints that accept requests and are neither ejected nor overloaded, and their requests in flight.
-/// Requests that other endpoints still have to respond to do not limit admission.
+/// Requests in flight to other endpoints do not limit admission.
 #[derive(Default)]
 pub(super) struct AdmissibleLoad {
-    /// The endpoints, those in slow start by their fraction of full capacity.
+    /// Number of endpoints; one in slow start counts as its fraction of full capacity.
     pub(super) endpoints: f64,
+    /// Requests in flight that they are expected to respond to.
     pub(super) inflight: f64,
-    /// Requests in flight to endpoints in this replica's zone.
+    /// The part of `inflight` to endpoints in this replica's zone.
     pub(super) local_inflight: f64,
 }
 
 /// The table of endpoints, and what this replica learned about all of them.
 pub(super) struct Endpoints {
     settings: Arc<Settings>,
-    /// The state of each endpoint, by index; entries in `free` are unused.
+    /// The state of each endpoint, by index; those at the indices in `free` are unused.
     slots: Vec<EndpointState>,
     by_id: BTreeMap<UpstreamId, usize>,
     free: Vec<usize>,
     subset: Subset,
-    /// Endpoints that accept requests.
-    ready: usize,
-    max_ready: usize,
+    /// Number of endpoints that accept requests.
+    ready_count: usize,
+    /// Largest `ready_count` so far.
+    max_ready_count: usize,
     /// Endpoints that operators suspended, listed or not.
     suspended: BTreeSet<UpstreamId>,
     /// When operators restored endpoints.
@@ -53,7 +55,7 @@
     start_times: StartTimes,
     /// When the last endpoint leaves slow start.
     slow_start_ends_at: Millis,
-    /// Failure rate of all endpoints.
+    /// Smoothed fraction of failed attempts over all endpoints.
     failure_rate: f64,
     latency: LatencyModel,
     idle_losses: IdleLosses,
@@ -68,8 +70,8 @@
             by_id: BTreeMap::new(),
             free: Vec::new(),
             subset: Subset::default(),
-            ready: 0,
-            max_ready: 0,
+            ready_count: 0,
+            max_ready_count: 0,
             suspended: BTreeSet::new(),
             restored_at: BTreeMap::new(),
             start_times: StartTimes::default(),
@@ -88,12 +90,12 @@
     }
 
     pub(super) fn has_ready_endpoint(&self) -> bool {
-        self.ready > 0
+        self.ready_count > 0
     }
 
-    /// Endpoints that accept requests, as a fraction of the most that did.
+    /// Number of endpoints that accept requests, as a fraction of the largest number so far.
     pub(super) fn ready_fraction(&self) -> f64 {
-        self.ready as f64 / self.max_ready.max(1) as f64
+        self.ready_count as f64 / self.max_ready_count.max(1) as f64
     }
 
     /// Largest number of endpoints that this replica uses for a class, at least one.
@@ -101,7 +103,7 @@
         self.subset.max_candidates()
     }
 
-    /// The part of this replica's quota that endpoints in its zone carry.
+    /// The part of this replica's quota that endpoints in its zone serve.
     pub(super) fn local_fraction(&self) -> f64 {
         self.subset.local_fraction()
     }
@@ -127,9 +129,9 @@
         self.slots[index].relative_latency()
     }
 
-    /// Idle step of the connection that the next request to an endpoint gets; zero for a new connection.
-    pub(super) fn idle_step(&self, index: usize, now: Millis) -> usize {
-        self.slots[index].idle_step(self.settings.idle_close, now)
+    /// Idle bucket of the connection that the next request to an endpoint gets; zero for a new connection.
+    pub(super) fn idle_bucket(&self, index: usize, now: Millis) -> usize {
+        self.slots[index].idle_bucket(self.settings.idle_close, now)
     }
 
     pub(super) fn counts(&self, now: Millis) -> EndpointCounts {
@@ -174,30 +176,31 @@
         self.slots[attempt.endpoint].record_send(attempt, now);
     }
 
-    /// The body of a request in flight is complete: its endpoint is expected to respond from now on.
+    /// Records that the body of a request in flight is complete: its endpoint is now expected to respond.
     pub(super) fn record_body_complete(&mut self, attempt: &mut Attempt, now: Millis) {
         attempt.is_awaited = true;
-        self.slots[attempt.endpoint].in_flight.await_unawaited(now);
+        self.slots[attempt.endpoint].in_flight.start_awaiting(now);
     }
 
-    /// The response of an attempt has started: its endpoint is not expected to respond any more.
+    /// Records that the response of an attempt has started: it is no longer expected.
     pub(super) fn record_response_started(&mut self, attempt: &mut Attempt, now: Millis) {
         let in_flight = &mut self.slots[attempt.endpoint].in_flight;
         in_flight.record_response(now);
         if attempt.is_awaited {
             attempt.is_awaited = false;
-            in_flight.add_unawaited();
+            in_flight.stop_awaiting();
         }
     }
 
-    /// The end of an attempt, before its outcome is recorded.
+    /// Records that an attempt ended; must be called before its outcome is recorded.
     pub(super) fn record_attempt_ended(&mut self, attempt: &Attempt) {
         if !attempt.is_awaited {
             self.slots[attempt.endpoint].in_flight.remove_unawaited();
         }
     }
 
-    /// An endpoint rejected a request while the endpoint list was stale: avoid it until discovery responds.
+    /// Marks an endpoint that rejected a request while the endpoint list was stale: it is avoided until
+    /// discovery responds.
     pub(super) fn mark_may_be_draining(&mut self, index: usize) {
         self.slots[index].may_be_draining = true;
     }
@@ -223,8 +226,8 @@
                 endpoint: &self.slots[index].endpoint,
             })
             .collect();
-        self.ready = ring.len();
-        self.max_ready = self.max_ready.max(self.ready);
+        self.ready_count = ring.len();
+        self.max_ready_count = self.max_ready_count.max(self.ready_count);
         self.subset.choose(ring, &self.settings);
     }
 
@@ -234,7 +237,7 @@
         endpoint.availability == Availability::Ready && !self.is_suspended(endpoint.id)
     }
 
-    /// The fraction of its full capacity that an endpoint has at least, during its slow start.
+    /// Smallest fraction of its full capacity that an endpoint has now; less than one during its slow start.
     fn capacity_fraction(&self, index: usize, now: Millis) -> f64 {
         let state = &self.slots[index];
         let restored_at = self.restored_at.get(&state.endpoint.id);
--- a/balancer-core/src/policy/endpoints/in_flight.rs
+++ b/balancer-core/src/policy/endpoints/in_flight.rs
@@ -5,10 +5,12 @@
 #[derive(Default)]
 pub(super) struct InFlight {
     count: u32,
-    /// Requests whose body is incomplete or whose response has started.
+    /// Number of requests that the endpoint is not expected to respond to: their body is incomplete, or their
+    /// response has started.
     unawaited: u32,
     /// The class of each request.
     classes: Vec<usize>,
+    /// When the endpoint last responded, or when it was first expected to after that.
     awaited_since: Millis,
 }
 
@@ -24,7 +26,7 @@
         self.count
     }
 
-    /// Requests that the endpoint is expected to respond to now.
+    /// Number of requests that the endpoint is expected to respond to now.
     pub(super) fn awaited(&self) -> u32 {
         self.count.saturating_sub(self.unawaited)
     }
@@ -40,7 +42,7 @@
 
     pub(super) fn add(&mut self, class: usize, is_awaited: bool, now: Millis) {
         self.classes.push(class);
-        self.start_waiting(now);
+        self.reset_wait_if_none_awaited(now);
         self.count += 1;
         if !is_awaited {
             self.unawaited += 1;
@@ -59,23 +61,23 @@
         self.awaited_since = now;
     }
 
-    /// A request in flight is awaited no longer.
-    pub(super) fn add_unawaited(&mut self) {
+    /// Records that the endpoint is no longer expected to respond to one of the requests.
+    pub(super) fn stop_awaiting(&mut self) {
         self.unawaited += 1;
     }
 
-    /// An unawaited request is about to be removed.
+    /// Records that a request without an expected response is about to be removed.
     pub(super) fn remove_unawaited(&mut self) {
         self.unawaited = self.unawaited.saturating_sub(1);
     }
 
-    /// An unawaited request is awaited from now on.
-    pub(super) fn await_unawaited(&mut self, now: Millis) {
-        self.start_waiting(now);
+    /// Records that the endpoint is expected to respond to one more of the requests from now on.
+    pub(super) fn start_awaiting(&mut self, now: Millis) {
+        self.reset_wait_if_none_awaited(now);
         self.remove_unawaited();
     }
 
-    fn start_waiting(&mut self, now: Millis) {
+    fn reset_wait_if_none_awaited(&mut self, now: Millis) {
         if self.awaited() == 0 {
             self.awaited_since = now;
         }
--- a/balancer-core/src/policy/endpoints/picker.rs
+++ b/balancer-core/src/policy/endpoints/picker.rs
@@ -1,4 +1,4 @@
-//! The pick of an endpoint for an attempt.
+//! Picks the endpoint of an attempt.
 use crate::policy::attempt::RetryConstraint;
 use crate::policy::endpoints::slow_start::send_rate;
 use crate::policy::endpoints::subset::ZoneChoice;
@@ -7,21 +7,22 @@
 use crate::time::Millis;
 use std::cmp::Ordering;
 
-/// Random draws before a search of all candidates.
+/// Number of random draws before all candidates are searched in order.
 const DRAWS: usize = 6;
-/// Ratio of relative latencies that decides between two endpoints with as many requests in flight.
+/// Ratio of relative latencies above which the faster of two endpoints with equally many requests in flight is
+/// picked.
 const SLOWER_RATIO: f64 = 1.25;
 
-/// What an attempt needs.
+/// What an attempt requires of its endpoint.
 #[derive(Clone, Copy)]
-pub(crate) struct PickRequest {
+pub(crate) struct PickCriteria {
     pub(crate) now: Millis,
     pub(crate) class: usize,
     /// Requests per millisecond that this replica sends each endpoint with full capacity.
     pub(crate) even_rate: f64,
     /// The endpoint of the previous attempt, which is not picked again.
     pub(crate) previous: Option<usize>,
-    /// Whether ejected and unresponsive endpoints are acceptable; overloaded ones are not.
+    /// Whether endpoints that requests avoid are acceptable, except for overloaded ones.
     pub(crate) is_last_resort: bool,
     pub(crate) retry_constraint: Option<RetryConstraint>,
 }
@@ -31,106 +32,107 @@
     pub(in crate::policy) fn pick(
         &mut self,
         zone_choice: ZoneChoice,
-        request: &PickRequest,
+        criteria: &PickCriteria,
         random: &mut Random,
     ) -> Option<usize> {
-        let count = self.subset.candidates(request.class, zone_choice).len();
+        let count = self.subset.candidates(criteria.class, zone_choice).len();
         if count == 0 {
             return None;
         }
         let start = random.index(count);
-        if request.now < self.slow_start_ends_at {
-            let unused = self.find_unused_in_slow_start(start, zone_choice, request);
+        if criteria.now < self.slow_start_ends_at {
+            let unused = self.find_unused_in_slow_start(start, zone_choice, criteria);
             if unused.is_some() {
                 return unused;
             }
         }
         let mut first = None;
         for _ in 0..DRAWS {
-            let index = self.candidate(request.class, zone_choice, random.index(count));
+            let index = self.candidate(criteria.class, zone_choice, random.index(count));
             let is_repeated = first == Some(index) && count > 1;
-            if is_repeated || !self.may_send(index, request) {
+            if is_repeated || !self.may_send(index, criteria) {
                 continue;
             }
             let Some(other) = first else {
                 first = Some(index);
                 continue;
             };
-            if self.is_less_busy(index, other, request.now) {
+            if self.is_less_busy(index, other, criteria.now) {
                 return Some(index);
             }
             return first;
         }
-        first.or_else(|| self.find_allowed(start + DRAWS, zone_choice, request))
+        first.or_else(|| self.find_allowed(start + DRAWS, zone_choice, criteria))
     }
 
-    /// An endpoint in slow start without requests in flight. Its tokens expire before random draws would find
-    /// it where traffic is low.
+    /// Finds an endpoint in slow start without requests in flight. Where traffic is low, its tokens expire
+    /// before random draws find it.
     fn find_unused_in_slow_start(
         &mut self,
         start: usize,
         zone_choice: ZoneChoice,
-        request: &PickRequest,
+        criteria: &PickCriteria,
     ) -> Option<usize> {
-        let count = self.subset.candidates(request.class, zone_choice).len();
+        let count = self.subset.candidates(criteria.class, zone_choice).len();
         for position in start..start + count {
-            let index = self.candidate(request.class, zone_choice, position);
+            let index = self.candidate(criteria.class, zone_choice, position);
             let is_unused = self.slots[index].in_flight.count() == 0
-                && self.capacity_fraction(index, request.now) < 1.0;
-            if is_unused && self.may_send(index, request) {
+                && self.capacity_fraction(index, criteria.now) < 1.0;
+            if is_unused && self.may_send(index, criteria) {
                 return Some(index);
             }
         }
         None
     }
 
-    /// The first candidate from `start` on that may receive the attempt.
+    /// Finds the first candidate from position `start` on that may receive the attempt.
     fn find_allowed(
         &mut self,
         start: usize,
         zone_choice: ZoneChoice,
-        request: &PickRequest,
+        criteria: &PickCriteria,
     ) -> Option<usize> {
-        let count = self.subset.candidates(request.class, zone_choice).len();
+        let count = self.subset.candidates(criteria.class, zone_choice).len();
         for position in start..start + count {
-            let index = self.candidate(request.class, zone_choice, position);
-            if self.may_send(index, request) {
+            let index = self.candidate(criteria.class, zone_choice, position);
+            if self.may_send(index, criteria) {
                 return Some(index);
             }
         }
         None
     }
 
-    /// The candidate at a position, counted round and round.
+    /// The candidate at a position; positions wrap around at the end of the list.
     fn candidate(&self, class: usize, zone_choice: ZoneChoice, position: usize) -> usize {
         let candidates = self.subset.candidates(class, zone_choice);
         candidates[position % candidates.len()]
     }
 
-    /// Whether an endpoint may receive this attempt now. In slow start, this uses up the tokens that expire.
-    fn may_send(&mut self, index: usize, request: &PickRequest) -> bool {
-        if self.is_excluded(index, request) {
+    /// Whether an endpoint may receive this attempt now. In slow start, this adds to the endpoint's
+    /// send tokens and discards expired ones.
+    fn may_send(&mut self, index: usize, criteria: &PickCriteria) -> bool {
+        if self.is_excluded(index, criteria) {
             return false;
         }
-        let capacity_fraction = self.capacity_fraction(index, request.now);
+        let capacity_fraction = self.capacity_fraction(index, criteria.now);
         if capacity_fraction >= 1.0 {
             return true;
         }
-        let rate = send_rate(&self.settings, request.even_rate, capacity_fraction);
+        let rate = send_rate(&self.settings, criteria.even_rate, capacity_fraction);
         let window = self.settings.slow_start_overload_window;
         self.slots[index]
             .send_tokens
-            .refill(rate, window, request.now)
+            .refill(rate, window, criteria.now)
     }
 
-    fn is_excluded(&self, index: usize, request: &PickRequest) -> bool {
+    fn is_excluded(&self, index: usize, criteria: &PickCriteria) -> bool {
         let endpoint = &self.slots[index].endpoint;
-        let constraint = request.retry_constraint;
+        let constraint = criteria.retry_constraint;
         let discards_retry = constraint.is_none_or(|constraint| constraint.allows(endpoint));
-        request.previous == Some(index)
+        criteria.previous == Some(index)
             || !discards_retry
-            || self.is_overloaded(index, request.now)
-            || (!request.is_last_resort && self.is_avoided(index, request.now))
+            || self.is_overloaded(index, criteria.now)
+            || (!criteria.is_last_resort && self.is_avoided(index, criteria.now))
     }
 
     /// Compares by requests in flight, then by relative latency, then by the time of last use.
--- a/balancer-core/src/policy/pending_request.rs
+++ b/balancer-core/src/policy/pending_request.rs
@@ -12,8 +12,11 @@
     class: usize,
     /// When a response loses its value; infinite while the body is incomplete.
     expires_at: Millis,
-    sends: u32,
+    /// Number of attempts sent; the maximum number once retries are forbidden.
+    used_attempts: u32,
+    /// The attempts in flight.
     attempts: Vec<Attempt>,
+    /// The first attempt that may have run, if any.
     first_run: Option<FirstRun>,
     /// The endpoint of the newest attempt.
     previous_endpoint: Option<usize>,
@@ -26,7 +29,7 @@
         PendingRequest {
             class,
             expires_at,
-            sends: 0,
+            used_attempts: 0,
             attempts: Vec::new(),
             first_run: None,
             previous_endpoint: None,
@@ -91,12 +94,12 @@
     }
 
     pub(super) fn has_remaining_attempts(&self, max_attempts: u32) -> bool {
-        self.sends < max_attempts
+        self.used_attempts < max_attempts
     }
 
     /// Prevents further attempts.
     pub(super) fn forbid_retries(&mut self, max_attempts: u32) {
-        self.sends = max_attempts;
+        self.used_attempts = max_attempts;
     }
 
     /// Adds an attempt to the endpoint at `index`.
@@ -104,12 +107,12 @@
         &mut self,
         index: usize,
         endpoint: &Endpoint,
-        idle_step: usize,
+        idle_bucket: usize,
         now: Millis,
     ) -> &Attempt {
         let is_awaited = self.expires_at.is_finite();
-        let number = self.sends;
-        self.sends += 1;
+        let number = self.used_attempts;
+        self.used_attempts += 1;
         self.previous_endpoint = Some(index);
         self.first_run.get_or_insert(FirstRun {
             attempt: number,
@@ -122,7 +125,7 @@
             number,
             class: self.class,
             endpoint: index,
-            idle_step,
+            idle_bucket,
             sent_at: if is_awaited { now } else { f64::INFINITY },
             has_early_timeout: false,
             is_awaited,
@@ -138,14 +141,14 @@
         Some(self.attempts.swap_remove(position))
     }
 
-    /// The outcome of the last attempt in flight proves that it never ran.
+    /// Records that the last attempt in flight never ran, as its outcome proves.
     pub(super) fn record_never_ran(&mut self, number: u32) {
         self.first_run.take_if(|run| run.attempt == number);
     }
 }
 
-/// When a request whose client has this deadline expires. A late response without value would only
-/// use capacity in every tier above.
+/// When a request whose client has this deadline expires. A late response without value would only use capacity
+/// in every tier above.
 pub(super) fn expiry(class: &Class, deadline: Millis, now: Millis) -> Millis {
     let is_always_useful = deadline == f64::INFINITY || class.late_weight > 0.0;
     let useful_end = if is_always_useful {
