--- a/balancer-core/tests/classes.rs
+++ b/balancer-core/tests/classes.rs
@@ -79,8 +79,8 @@
 /// and the heavy ones; requests of the last three seconds do not count, because they need time to succeed.
 fn run_mixed_traffic(
     harness: &mut TestHarness,
-    span: f64,
-    per_s: f64,
+    duration: f64,
+    requests_per_s: f64,
     latency: impl Fn(usize, usize) -> Option<f64>,
 ) -> [Served; 2] {
     let mut schedule = ResponseSchedule {
@@ -89,14 +89,14 @@
         attempts_by_request: BTreeMap::new(),
         attempts: 0,
     };
-    let until = harness.now + span;
+    let until = harness.now + duration;
     let first_id = harness.next_request_id();
     let mut next = harness.now;
     while harness.now < until {
         let id = harness.next_request_id();
         let class = if id.is_multiple_of(15) { HEAVY } else { LIGHT };
         harness.send_request(id, class, 0);
-        next += 1000.0 / per_s;
+        next += 1000.0 / requests_per_s;
         schedule.add_new_attempts(harness);
         while let Some(response) = schedule.pop_due(next) {
             harness.advance((response.at - harness.now).max(0.0));
--- a/balancer-core/tests/common/checker.rs
+++ b/balancer-core/tests/common/checker.rs
@@ -7,7 +7,7 @@
 
 impl TestHarness {
     /// Checks an action, and records its effect on requests and timers.
-    pub(super) fn check(&mut self, action: &Action) {
+    pub(super) fn check_action(&mut self, action: &Action) {
         match action {
             Action::Send {
                 request,
@@ -16,9 +16,9 @@
             } => self.check_send(*request, *upstream, *timeout),
             Action::Reject { request, .. } => {
                 self.check_rejection(*request);
-                self.complete(*request);
+                self.record_final_response(*request);
             }
-            Action::Fail { request } => self.complete(*request),
+            Action::Fail { request } => self.record_final_response(*request),
             Action::Cancel { request, attempt } => {
                 let sent = self.requests[request].attempts.len();
                 assert!(self.settings.cancel && (*attempt as usize) < sent);
@@ -50,7 +50,7 @@
             !record.has_attempt_in_flight(),
             "{request:?}: two attempts in flight"
         );
-        if let Some(first_run) = self.first_that_may_have_run(record) {
+        if let Some(first_run) = self.first_possible_run(record) {
             self.check_retry(request, class, endpoint, first_run);
         }
         assert!(timeout >= 0.0, "{request:?} has a negative timeout");
@@ -124,7 +124,7 @@
                 scope: DedupScope::All,
                 ..
             } => true,
-            _ => self.first_that_may_have_run(record).is_none(),
+            _ => self.first_possible_run(record).is_none(),
         };
         assert!(
             is_safe_to_retry,
@@ -132,13 +132,13 @@
         );
     }
 
-    fn complete(&mut self, request: RequestId) {
+    fn record_final_response(&mut self, request: RequestId) {
         let record = self.requests.get_mut(&request).expect("a known request");
         assert!(!record.is_completed, "{request:?} has two final responses");
         record.is_completed = true;
     }
 
-    fn first_that_may_have_run<'a>(&self, record: &'a RequestRecord) -> Option<&'a AttemptRecord> {
+    fn first_possible_run<'a>(&self, record: &'a RequestRecord) -> Option<&'a AttemptRecord> {
         record
             .attempts
             .iter()
--- a/balancer-core/tests/common/harness.rs
+++ b/balancer-core/tests/common/harness.rs
@@ -59,14 +59,14 @@
     }
 
     /// Number of the first attempt in flight.
-    pub fn first_in_flight(&self) -> Option<usize> {
+    pub fn first_attempt_in_flight(&self) -> Option<usize> {
         self.attempts
             .iter()
             .position(|attempt| attempt.outcome.is_none())
     }
 
     /// Number of the attempt in flight that times out first.
-    fn next_timeout(&self) -> Option<usize> {
+    fn next_attempt_to_time_out(&self) -> Option<usize> {
         (0..self.attempts.len())
             .filter(|&number| self.attempts[number].outcome.is_none())
             .min_by(|&a, &b| {
@@ -254,17 +254,17 @@
     /// ends and after how long (`None`: never).
     pub fn run_traffic(
         &mut self,
-        span: f64,
-        per_s: f64,
+        duration: f64,
+        requests_per_s: f64,
         tenants: &[usize],
         upstream: &dyn Fn(UpstreamId) -> Option<Response>,
     ) {
-        let until = self.now + span;
+        let until = self.now + duration;
         while self.now < until {
             let id = self.next_request_id();
             self.send_request(id, 0, tenants[id as usize % tenants.len()]);
             self.schedule_response(id, upstream);
-            let next = self.now + 1000.0 / per_s;
+            let next = self.now + 1000.0 / requests_per_s;
             while let Some(response) = self.pop_response_due(next) {
                 self.advance((response.at - self.now).max(0.0));
                 let record = self.request(response.request);
@@ -333,8 +333,8 @@
     }
 
     /// Advances the clock; timers expire and attempts time out on the way.
-    pub fn advance(&mut self, span: f64) {
-        let until = self.now + span;
+    pub fn advance(&mut self, duration: f64) {
+        let until = self.now + duration;
         while let Some((at, event)) = self.next_event().filter(|(at, _)| *at <= until) {
             self.now = at;
             match event {
@@ -355,7 +355,7 @@
 
     fn next_event(&self) -> Option<(f64, NextEvent)> {
         let timeouts = self.requests.iter().filter_map(|(&request, record)| {
-            let attempt = record.next_timeout()?;
+            let attempt = record.next_attempt_to_time_out()?;
             let at = record.attempts[attempt].times_out_at.max(self.now);
             Some((at, NextEvent::Timeout { request, attempt }))
         });
@@ -382,7 +382,7 @@
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
-            self.check(action);
+            self.check_action(action);
         }
         for (id, record) in &self.requests {
             assert!(
--- a/balancer-core/tests/random_events.rs
+++ b/balancer-core/tests/random_events.rs
@@ -166,7 +166,7 @@
     let in_flight: Vec<(u32, usize)> = harness
         .requests
         .iter()
-        .filter_map(|(id, record)| Some((id.0, record.first_in_flight()?)))
+        .filter_map(|(id, record)| Some((id.0, record.first_attempt_in_flight()?)))
         .collect();
     let position = rng.next_u32() as usize % in_flight.len().max(1);
     let Some(&(id, attempt)) = in_flight.get(position) else {
