--- a/balancer-core/tests/early_timeouts.rs
+++ b/balancer-core/tests/early_timeouts.rs
@@ -58,7 +58,7 @@
 /// Guards against rejecting a request with time left because its only endpoint took longer than
 /// usual: a retry has nowhere better to go.
 #[test]
-fn an_only_endpoint_has_the_whole_time_of_a_request() {
+fn attempt_at_the_only_endpoint_has_no_early_timeout() {
     let mut harness = TestHarness::with_endpoints(settings(5), 1);
     harness.run_traffic(10_000.0, 50.0, &[0], &success_after(1.0));
     let failing = harness.next_request_id();
@@ -72,7 +72,7 @@
 
 /// Guards against timeouts of a few milliseconds where responses usually take less.
 #[test]
-fn an_early_timeout_allows_for_a_busy_machine() {
+fn early_timeout_allows_for_a_busy_machine() {
     let mut harness = harness_with_failures(3, 5);
     let timeouts = timeouts_without_responses(&mut harness, 40);
     let early: Vec<_> = timeouts
--- a/balancer-core/tests/endpoint_choice.rs
+++ b/balancer-core/tests/endpoint_choice.rs
@@ -177,18 +177,18 @@
     harness.run_traffic(10_000.0, 300.0, &[0], &success_after(150.0));
     let mut last_sent_at = BTreeMap::new();
     let mut sent = 0;
-    let mut after_a_close = 0;
+    let mut on_new_connection = 0;
     let records = harness.requests.values();
     for attempt in records.flat_map(|record| &record.attempts) {
         let last = last_sent_at.insert(attempt.upstream, attempt.sent_at);
         if attempt.sent_at >= 5000.0 {
             sent += 1;
             let is_open = last.is_some_and(|last| attempt.sent_at - last < idle_close);
-            after_a_close += usize::from(!is_open);
+            on_new_connection += usize::from(!is_open);
         }
     }
     assert!(
-        sent > 1400 && after_a_close * 10 < sent,
-        "{after_a_close} of {sent} requests sent after their endpoint had none for so long"
+        sent > 1400 && on_new_connection * 10 < sent,
+        "{on_new_connection} of {sent} requests sent after their endpoint had none for so long"
     );
 }
--- a/balancer-core/tests/endpoint_polling.rs
+++ b/balancer-core/tests/endpoint_polling.rs
@@ -12,7 +12,7 @@
 }
 
 /// When the next timer expires, from now, and its token.
-fn timer(actions: &[Action]) -> Option<(f64, u32)> {
+fn first_timer(actions: &[Action]) -> Option<(f64, u32)> {
     actions.iter().find_map(|action| match action {
         Action::SetTimer { after, token } => Some((*after, *token)),
         _ => None,
@@ -26,7 +26,7 @@
     let mut backoffs = Vec::new();
     for _ in 0..12 {
         let actions = harness.handle(Event::Endpoints(EndpointEvent::DiscoveryFailed));
-        let (after, token) = timer(&actions).expect("a timer to poll again");
+        let (after, token) = first_timer(&actions).expect("a timer to poll again");
         harness.now += after;
         assert_eq!(harness.handle(Event::Timer(token)), [Action::PollEndpoints]);
         backoffs.push(after);
@@ -57,7 +57,7 @@
         let mut harness = TestHarness::new(settings.clone(), seed, endpoints(1));
         harness.handle(Event::Endpoints(EndpointEvent::DiscoveryRejected));
         let actions = harness.handle(Event::Endpoints(EndpointEvent::DiscoveryRejected));
-        let (after, _) = timer(&actions).expect("a timer to poll again");
+        let (after, _) = first_timer(&actions).expect("a timer to poll again");
         polls.push(after);
     }
     let busiest_second = (0..45)
--- a/balancer-core/tests/endpoint_polling_fleet.rs
+++ b/balancer-core/tests/endpoint_polling_fleet.rs
@@ -9,9 +9,9 @@
 /// A change counts as notified this long after discovery had it and could be reached, in milliseconds.
 const NOTIFICATION_DEADLINE: f64 = 6000.0;
 /// Discovery rejects calls that have waited this long.
-const MAX_QUEUE_WAIT: f64 = 2000.0;
+const QUEUE_TIMEOUT: f64 = 2000.0;
 /// Discovery rejects calls at once that would wait longer than this.
-const MAX_QUEUE_LENGTH: f64 = 2300.0;
+const MAX_EXPECTED_WAIT: f64 = 2300.0;
 /// When the fleet loses discovery, on a clock that counts since the Unix epoch.
 const LOST_AT: f64 = 1_796_311_872_713.0;
 
@@ -22,20 +22,20 @@
 }
 
 /// Discovery, which serves one call after the other. A call that waits for too long is served all the same.
-struct Queue {
+struct Discovery {
     service_time: f64,
     free_at: f64,
 }
 
-impl Queue {
+impl Discovery {
     fn call(&mut self, now: f64) -> CallEnd {
-        let turn = self.free_at.max(now);
-        if turn - now > MAX_QUEUE_LENGTH {
+        let service_starts_at = self.free_at.max(now);
+        if service_starts_at - now > MAX_EXPECTED_WAIT {
             return CallEnd::Rejected(now);
         }
-        self.free_at = turn + self.service_time;
-        if turn - now > MAX_QUEUE_WAIT {
-            return CallEnd::Rejected(now + MAX_QUEUE_WAIT);
+        self.free_at = service_starts_at + self.service_time;
+        if service_starts_at - now > QUEUE_TIMEOUT {
+            return CallEnd::Rejected(now + QUEUE_TIMEOUT);
         }
         CallEnd::Served(self.free_at)
     }
@@ -51,7 +51,7 @@
 
 impl Replica {
     /// A replica that had an answer 1.5 s ago and whose watch fails now.
-    fn that_loses_its_watch(index: u32, replicas: u32, seed: u64) -> Replica {
+    fn after_watch_failure(index: u32, replicas: u32, seed: u64) -> Replica {
         let settings = Settings {
             index,
             balancers: replicas,
@@ -69,11 +69,11 @@
             poll_timer: 0,
             is_call_pending: false,
         };
-        replica.wait_after(EndpointEvent::DiscoveryFailed);
+        replica.handle_failure(EndpointEvent::DiscoveryFailed);
         replica
     }
 
-    fn wait_after(&mut self, failure: EndpointEvent) {
+    fn handle_failure(&mut self, failure: EndpointEvent) {
         let actions = self.harness.handle(Event::Endpoints(failure));
         let timer = actions.iter().find_map(|action| match action {
             Action::SetTimer { after, token } => Some((*after, *token)),
@@ -86,15 +86,15 @@
     }
 
     /// Goes on to its next event. Returns when it was answered, if it was.
-    fn step(&mut self, queue: &mut Queue) -> Option<f64> {
+    fn step(&mut self, discovery: &mut Discovery) -> Option<f64> {
         self.harness.now = self.next_at;
         if self.is_call_pending {
-            self.wait_after(EndpointEvent::DiscoveryRejected);
+            self.handle_failure(EndpointEvent::DiscoveryRejected);
             return None;
         }
         let actions = self.harness.handle(Event::Timer(self.poll_timer));
         assert_eq!(actions, [Action::PollEndpoints]);
-        match queue.call(self.next_at) {
+        match discovery.call(self.next_at) {
             CallEnd::Served(at) => Some(at),
             CallEnd::Rejected(at) => {
                 self.next_at = at;
@@ -106,22 +106,22 @@
 }
 
 /// All watches of a fleet fail at the same time. Returns after which time the last replica is answered.
-fn last_answer(replicas: u32, fleet_service_time: f64, seed: u64) -> f64 {
-    let mut queue = Queue {
+fn wait_of_last_replica(replicas: u32, fleet_service_time: f64, seed: u64) -> f64 {
+    let mut discovery = Discovery {
         service_time: fleet_service_time / f64::from(replicas),
         free_at: LOST_AT,
     };
     let mut waiting: Vec<Replica> = (0..replicas)
         .map(|index| {
             let seed = seed * 10_000 + u64::from(index);
-            Replica::that_loses_its_watch(index, replicas, seed)
+            Replica::after_watch_failure(index, replicas, seed)
         })
         .collect();
     let mut last = LOST_AT;
     while let Some(next) = (0..waiting.len())
         .min_by(|&left, &right| waiting[left].next_at.total_cmp(&waiting[right].next_at))
     {
-        if let Some(answered_at) = waiting[next].step(&mut queue) {
+        if let Some(answered_at) = waiting[next].step(&mut discovery) {
             last = last.max(answered_at);
             waiting.swap_remove(next);
         }
@@ -130,9 +130,9 @@
 }
 
 /// The largest of the last answers of several fleets.
-fn latest_answer(replicas: u32, fleet_service_time: f64, fleets: u64) -> f64 {
+fn longest_wait(replicas: u32, fleet_service_time: f64, fleets: u64) -> f64 {
     (0..fleets)
-        .map(|seed| last_answer(replicas, fleet_service_time, seed))
+        .map(|seed| wait_of_last_replica(replicas, fleet_service_time, seed))
         .fold(0.0, f64::max)
 }
 
@@ -148,11 +148,8 @@
         (300, 3),
         (900, 1),
     ] {
-        let latest = latest_answer(replicas, 3500.0, fleets);
-        assert!(
-            latest <= NOTIFICATION_DEADLINE,
-            "{replicas} replicas: {latest}"
-        );
+        let wait = longest_wait(replicas, 3500.0, fleets);
+        assert!(wait <= NOTIFICATION_DEADLINE, "{replicas} replicas: {wait}");
     }
 }
 
@@ -160,10 +157,7 @@
 #[test]
 fn each_replica_of_a_large_fleet_is_answered_in_time_by_a_slow_discovery() {
     for (replicas, fleets) in [(60, 20), (300, 3), (900, 1)] {
-        let latest = latest_answer(replicas, 4500.0, fleets);
-        assert!(
-            latest <= NOTIFICATION_DEADLINE,
-            "{replicas} replicas: {latest}"
-        );
+        let wait = longest_wait(replicas, 4500.0, fleets);
+        assert!(wait <= NOTIFICATION_DEADLINE, "{replicas} replicas: {wait}");
     }
 }
--- a/balancer-core/tests/idle_connections.rs
+++ b/balancer-core/tests/idle_connections.rs
@@ -10,11 +10,7 @@
 
 /// Sends a request over connections that are closed without notice after 300 ms without use, and returns
 /// whether it got lost. Responses are immediate.
-fn is_lost_on_closed_connection(
-    harness: &mut TestHarness,
-    open: &mut OpenConnections,
-    id: u32,
-) -> bool {
+fn send_and_report_loss(harness: &mut TestHarness, open: &mut OpenConnections, id: u32) -> bool {
     let mut is_lost = false;
     for action in harness.send_request(id, 0, 0) {
         match action {
@@ -45,7 +41,7 @@
     let mut lost_in_first_half = 0;
     let mut lost_in_second_half = 0;
     for id in 0..2000 {
-        if is_lost_on_closed_connection(&mut harness, &mut open, id) {
+        if send_and_report_loss(&mut harness, &mut open, id) {
             if id < 1000 {
                 lost_in_first_half += 1;
             } else {
@@ -124,7 +120,7 @@
     let mut harness = TestHarness::with_endpoints(settings, 12);
     let mut open = OpenConnections::new();
     for id in 0..140 {
-        is_lost_on_closed_connection(&mut harness, &mut open, id);
+        send_and_report_loss(&mut harness, &mut open, id);
         harness.advance(40.0);
     }
     let sent = harness.sent_since(3000.0).requests;
--- a/balancer-core/tests/poll_schedule.rs
+++ b/balancer-core/tests/poll_schedule.rs
@@ -12,7 +12,7 @@
 /// How long a call waits in discovery's queue until discovery rejects it.
 const QUEUE_TIMEOUT: f64 = 2000.0;
 /// Discovery rejects a call at once if its queue is longer than this.
-const MAX_QUEUE_LENGTH: f64 = 2300.0;
+const MAX_EXPECTED_WAIT: f64 = 2300.0;
 /// When a replica gives up a call without response.
 const CALL_TIMEOUT: f64 = 2800.0;
 /// When a replica gives up a watch without response.
@@ -20,7 +20,7 @@
 /// How long discovery holds a call of a watch that there is nothing to tell.
 const LONG_POLL_TIMEOUT: f64 = 1500.0;
 /// How long a response takes that needs no turn.
-const IMMEDIATE: f64 = 5.0;
+const IMMEDIATE_RESPONSE_TIME: f64 = 5.0;
 /// Longest time in which discovery serves a call; it needs less where it serves large fleets.
 const MAX_SERVICE_TIME: f64 = 500.0;
 /// Longest time between the starts of two calls, such that the second is served within the deadline after a wait in
@@ -78,29 +78,29 @@
     RejectsLate,
     RejectsAtOnce,
     ResetsConnections,
-    Ignores,
+    NeverResponds,
 }
 
 const OUTAGES: [Outage; 4] = [
     Outage::RejectsLate,
     Outage::RejectsAtOnce,
     Outage::ResetsConnections,
-    Outage::Ignores,
+    Outage::NeverResponds,
 ];
 
 impl Outage {
     fn event(self) -> EndpointEvent {
         match self {
             Outage::RejectsLate | Outage::RejectsAtOnce => EndpointEvent::DiscoveryRejected,
-            Outage::ResetsConnections | Outage::Ignores => EndpointEvent::DiscoveryFailed,
+            Outage::ResetsConnections | Outage::NeverResponds => EndpointEvent::DiscoveryFailed,
         }
     }
 
     fn call_duration(self) -> f64 {
         match self {
             Outage::RejectsLate => QUEUE_TIMEOUT,
-            Outage::RejectsAtOnce | Outage::ResetsConnections => IMMEDIATE,
-            Outage::Ignores => CALL_TIMEOUT,
+            Outage::RejectsAtOnce | Outage::ResetsConnections => IMMEDIATE_RESPONSE_TIME,
+            Outage::NeverResponds => CALL_TIMEOUT,
         }
     }
 }
@@ -120,12 +120,15 @@
         if now < self.returns_at {
             return (now + self.outage.call_duration(), Some(self.outage.event()));
         }
-        let turn = self.free_at.max(now);
-        if turn - now > MAX_QUEUE_LENGTH {
-            return (now + IMMEDIATE, Some(EndpointEvent::DiscoveryRejected));
+        let service_starts_at = self.free_at.max(now);
+        if service_starts_at - now > MAX_EXPECTED_WAIT {
+            return (
+                now + IMMEDIATE_RESPONSE_TIME,
+                Some(EndpointEvent::DiscoveryRejected),
+            );
         }
-        self.free_at = turn + self.service_time;
-        if turn - now > QUEUE_TIMEOUT {
+        self.free_at = service_starts_at + self.service_time;
+        if service_starts_at - now > QUEUE_TIMEOUT {
             return (now + QUEUE_TIMEOUT, Some(EndpointEvent::DiscoveryRejected));
         }
         (self.free_at, None)
@@ -133,7 +136,7 @@
 }
 
 /// What happens next to a replica.
-enum Next {
+enum ReplicaEvent {
     Call,
     End(Option<EndpointEvent>),
 }
@@ -142,8 +145,8 @@
 struct Fleet {
     replicas: Vec<Replica>,
     /// By time in microseconds and order of scheduling.
-    agenda: BTreeMap<(u64, u64), (usize, Next)>,
-    scheduled: u64,
+    events: BTreeMap<(u64, u64), (usize, ReplicaEvent)>,
+    scheduled_count: u64,
 }
 
 impl Fleet {
@@ -151,8 +154,8 @@
         let settings = poll_settings(3000.0);
         let mut fleet = Fleet {
             replicas: Vec::new(),
-            agenda: BTreeMap::new(),
-            scheduled: 0,
+            events: BTreeMap::new(),
+            scheduled_count: 0,
         };
         for number in 0..size {
             // Watches are renewed at any time within the long poll.
@@ -161,36 +164,37 @@
             let replica = Replica::new(&settings, seed * 1000 + number as u64, confirmed_at);
             fleet.replicas.push(replica);
             let ends_at = match outage {
-                Outage::Ignores => confirmed_at + WATCH_TIMEOUT,
+                Outage::NeverResponds => confirmed_at + WATCH_TIMEOUT,
                 _ => down_at,
             };
-            fleet.schedule(ends_at, number, Next::End(Some(outage.event())));
+            fleet.schedule(ends_at, number, ReplicaEvent::End(Some(outage.event())));
         }
         fleet
     }
 
-    fn schedule(&mut self, at: f64, replica: usize, next: Next) {
-        self.scheduled += 1;
+    fn schedule(&mut self, at: f64, replica: usize, event: ReplicaEvent) {
+        self.scheduled_count += 1;
         let at_us = (at * 1000.0) as u64;
-        self.agenda.insert((at_us, self.scheduled), (replica, next));
+        self.events
+            .insert((at_us, self.scheduled_count), (replica, event));
     }
 
     /// When the last replica has a complete response.
     fn serve_all(&mut self, discovery: &mut Discovery) -> f64 {
         let mut last_served_at: f64 = 0.0;
-        while let Some(((at_us, _), (number, next))) = self.agenda.pop_first() {
+        while let Some(((at_us, _), (number, event))) = self.events.pop_first() {
             let now = at_us as f64 / 1000.0;
-            match next {
-                Next::Call => {
+            match event {
+                ReplicaEvent::Call => {
                     self.replicas[number].start_call(now);
                     let (ends_at, failure) = discovery.call(now);
-                    self.schedule(ends_at, number, Next::End(failure));
+                    self.schedule(ends_at, number, ReplicaEvent::End(failure));
                 }
-                Next::End(Some(failure)) => {
+                ReplicaEvent::End(Some(failure)) => {
                     let next_call_at = self.replicas[number].call_failed(now, failure);
-                    self.schedule(next_call_at, number, Next::Call);
+                    self.schedule(next_call_at, number, ReplicaEvent::Call);
                 }
-                Next::End(None) => last_served_at = last_served_at.max(now),
+                ReplicaEvent::End(None) => last_served_at = last_served_at.max(now),
             }
         }
         last_served_at
@@ -198,13 +202,19 @@
 }
 
 /// For how long after its return the last replica of a fleet waits for a complete response.
-fn longest_wait(size: usize, work: f64, outage: Outage, duration: f64, seed: u64) -> f64 {
+fn longest_wait(
+    size: usize,
+    fleet_service_time: f64,
+    outage: Outage,
+    outage_duration: f64,
+    seed: u64,
+) -> f64 {
     const DOWN_AT: f64 = 20_000.0;
-    let returns_at = DOWN_AT + duration;
+    let returns_at = DOWN_AT + outage_duration;
     let mut discovery = Discovery {
         outage,
         returns_at,
-        service_time: (work / size as f64).min(MAX_SERVICE_TIME),
+        service_time: (fleet_service_time / size as f64).min(MAX_SERVICE_TIME),
         free_at: returns_at,
     };
     let mut fleet = Fleet::new(size, outage, DOWN_AT, seed);
@@ -215,13 +225,13 @@
 /// time that a change gets.
 #[test]
 fn fleets_of_any_size_are_served_within_the_deadline_after_an_outage() {
-    const WORK: f64 = 4800.0;
+    const FLEET_SERVICE_TIME: f64 = 4800.0;
     let mut late = Vec::new();
     for size in [1, 6, 30, 273, 900] {
         for outage in OUTAGES {
             for seed in 0..4 {
-                let duration = 8000.0 + 370.0 * seed as f64;
-                let wait = longest_wait(size, WORK, outage, duration, seed);
+                let outage_duration = 8000.0 + 370.0 * seed as f64;
+                let wait = longest_wait(size, FLEET_SERVICE_TIME, outage, outage_duration, seed);
                 if wait > NOTIFICATION_DEADLINE {
                     late.push((size, outage, seed, wait));
                 }
@@ -236,13 +246,15 @@
 fn calls_start_within_the_interval_whatever_failed_before() {
     let failures = [
         (EndpointEvent::DiscoveryRejected, QUEUE_TIMEOUT),
-        (EndpointEvent::DiscoveryRejected, IMMEDIATE),
-        (EndpointEvent::DiscoveryFailed, IMMEDIATE),
+        (EndpointEvent::DiscoveryRejected, IMMEDIATE_RESPONSE_TIME),
+        (EndpointEvent::DiscoveryFailed, IMMEDIATE_RESPONSE_TIME),
         (EndpointEvent::DiscoveryFailed, CALL_TIMEOUT),
     ];
-    for (ask_within, max_interval) in [(3000.0, MAX_CALL_INTERVAL), (10_000.0, MAX_CALL_INTERVAL)] {
+    for (acknowledge_timeout, max_interval) in
+        [(3000.0, MAX_CALL_INTERVAL), (10_000.0, MAX_CALL_INTERVAL)]
+    {
         for seed in 0..200_u64 {
-            let mut replica = Replica::new(&poll_settings(ask_within), seed, 1000.0);
+            let mut replica = Replica::new(&poll_settings(acknowledge_timeout), seed, 1000.0);
             let mut now = replica.call_failed(2000.0, EndpointEvent::DiscoveryRejected);
             for call in 0..8 {
                 // Every order of the failures occurs, by the digits of the seed.
@@ -251,7 +263,7 @@
                 let next = replica.call_failed(now + duration, event.clone());
                 // Failures that are not rejections keep their own backoff, up to a third of the timeout.
                 let is_rejection = event == EndpointEvent::DiscoveryRejected;
-                if is_rejection || ask_within == 3000.0 {
+                if is_rejection || acknowledge_timeout == 3000.0 {
                     assert!(
                         next - now <= max_interval,
                         "seed {seed}, call {call}, {event:?}: {}",
@@ -267,13 +279,16 @@
 
 /// A settings' file may state a shorter time: after a failed call a replica counts as notified after four times that.
 #[test]
-fn calls_start_sooner_where_the_settings_state_a_shorter_time() {
+fn calls_start_sooner_with_a_shorter_acknowledge_timeout() {
     for seed in 0..200 {
         let mut replica = Replica::new(&poll_settings(1000.0), seed, 1000.0);
         let mut now = replica.call_failed(2000.0, EndpointEvent::DiscoveryRejected);
         for _ in 0..6 {
             replica.start_call(now);
-            let next = replica.call_failed(now + IMMEDIATE, EndpointEvent::DiscoveryRejected);
+            let next = replica.call_failed(
+                now + IMMEDIATE_RESPONSE_TIME,
+                EndpointEvent::DiscoveryRejected,
+            );
             assert!(next - now <= 1900.0, "seed {seed}: {}", next - now);
             now = next;
         }
@@ -282,14 +297,17 @@
 
 /// What a silent watch missed counts as notified 6 s after it fell silent, a rejected call in between or not.
 #[test]
-fn rejected_call_behind_a_silent_watch_is_repeated_in_time_for_what_the_watch_missed() {
+fn rejected_call_after_a_silent_watch_is_repeated_within_the_interval() {
     const SILENT_FROM: f64 = 1000.0;
     for seed in 0..200 {
         let mut replica = Replica::new(&poll_settings(3000.0), seed, SILENT_FROM);
         let watch_given_up_at = SILENT_FROM + WATCH_TIMEOUT;
         let now = replica.call_failed(watch_given_up_at, EndpointEvent::DiscoveryFailed);
         replica.start_call(now);
-        let next = replica.call_failed(now + IMMEDIATE, EndpointEvent::DiscoveryRejected);
+        let next = replica.call_failed(
+            now + IMMEDIATE_RESPONSE_TIME,
+            EndpointEvent::DiscoveryRejected,
+        );
         assert!(
             next - SILENT_FROM <= MAX_CALL_INTERVAL,
             "seed {seed}: {}",
--- a/balancer-core/tests/random_events.rs
+++ b/balancer-core/tests/random_events.rs
@@ -26,7 +26,7 @@
     from[rng.next_u32() as usize % from.len()]
 }
 
-fn endpoint_in_zone(id: u64) -> Endpoint {
+fn placed_endpoint(id: u64) -> Endpoint {
     Endpoint {
         zone: (id % 2) as u16,
         kind: (id % 3) as u8,
@@ -91,7 +91,7 @@
 fn run(seed: u64) -> Vec<Action> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let settings = settings(seed, &mut rng);
-    let list = (1..9).map(endpoint_in_zone).collect();
+    let list = (1..9).map(placed_endpoint).collect();
     let mut harness = TestHarness::new(settings, seed, list);
     let mut started_at = 0.0;
     for id in 0..1500u32 {
@@ -125,7 +125,7 @@
             change_random_endpoint(harness, rng, *started_at);
         }
         1 if request.is_multiple_of(7) => {
-            let list = (1..7).map(endpoint_in_zone).collect();
+            let list = (1..7).map(placed_endpoint).collect();
             harness.update_endpoints(EndpointEvent::Snapshot(list));
         }
         2 if harness.settings.poll_endpoints => {
@@ -155,7 +155,7 @@
         let changed = Endpoint {
             availability,
             started_at,
-            ..endpoint_in_zone(id)
+            ..placed_endpoint(id)
         };
         harness.update_endpoints(EndpointEvent::Delta(vec![changed]));
     }
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn random_events_keep_the_rules() {
+fn actions_follow_the_rules_under_random_events() {
     let mut sends = 0;
     for seed in 0..16 {
         sends += run(seed)
--- a/balancer-core/tests/retries.rs
+++ b/balancer-core/tests/retries.rs
@@ -138,9 +138,9 @@
         let failing_now_and_then = |_: UpstreamId| {
             attempts.set(attempts.get() + 1);
             // A mixed sequence, so that a request's attempts are independent of one another.
-            let fails = attempts.get().wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32;
+            let hash = attempts.get().wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32;
             Some(Response {
-                outcome: if fails.is_multiple_of(one_in) {
+                outcome: if hash.is_multiple_of(one_in) {
                     AttemptOutcome::Reset
                 } else {
                     AttemptOutcome::Success
--- a/balancer-core/tests/slow_start_fleet.rs
+++ b/balancer-core/tests/slow_start_fleet.rs
@@ -11,7 +11,7 @@
 const UPSTREAMS: u64 = 12;
 
 /// Replicas that share `quota_per_s` and have carried an even part of it for some seconds.
-fn fleet(replicas: u32, quota_per_s: f64) -> Vec<TestHarness> {
+fn fleet_with_quota(replicas: u32, quota_per_s: f64) -> Vec<TestHarness> {
     (0..replicas)
         .map(|index| {
             let settings = slow_start_settings(index, replicas, quota_per_s);
@@ -73,7 +73,7 @@
 #[test]
 fn clients_that_return_at_once_do_not_overload_an_endpoint_in_slow_start() {
     for (replicas, quota) in [(20, 60.0), (30, 60.0), (100, 120.0), (350, 240.0)] {
-        let mut fleet = fleet(replicas, quota);
+        let mut fleet = fleet_with_quota(replicas, quota);
         for harness in &mut fleet {
             restart_first_endpoint(harness);
         }
@@ -107,7 +107,7 @@
 fn low_steady_traffic_reaches_an_endpoint_in_slow_start() {
     let replicas = 30;
     let quota = 60.0;
-    let mut fleet = fleet(replicas, quota);
+    let mut fleet = fleet_with_quota(replicas, quota);
     for harness in &mut fleet {
         restart_first_endpoint(harness);
     }
@@ -126,7 +126,7 @@
 #[test]
 fn new_replicas_do_not_overload_a_list_that_is_all_in_slow_start() {
     for (replicas, quota) in [(30, 60.0), (350, 240.0)] {
-        let mut fleet = fleet(replicas, quota);
+        let mut fleet = fleet_with_quota(replicas, quota);
         let all_started_at = |time: f64| (1..=UPSTREAMS).map(|id| started_at(id, time)).collect();
         for harness in &mut fleet {
             let list = all_started_at(harness.now);
--- a/balancer-core/tests/unusual_input.rs
+++ b/balancer-core/tests/unusual_input.rs
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn unknown_classes_tenants_requests_and_timers_do_no_harm() {
+fn unknown_classes_tenants_requests_and_timers_are_tolerated() {
     let mut harness = TestHarness::new(Settings::default(), 1, vec![endpoint(1)]);
     let unknown_class = Request {
         id: RequestId(9),
@@ -185,7 +185,7 @@
 
 /// The balancer must not panic, whatever the host passes.
 #[test]
-fn unusual_numbers_for_times_do_no_harm() {
+fn unusual_time_values_are_tolerated() {
     let numbers = [
         f64::NAN,
         f64::INFINITY,
