--- a/balancer-core/tests/common/checker.rs
+++ b/balancer-core/tests/common/checker.rs
@@ -1,4 +1,4 @@
-//! The rules that every action must keep.
+//! The rules that every action of the balancer must follow.
 use super::harness::{AttemptRecord, RequestRecord, TestHarness};
 use balancer_core::{
     Action, AttemptOutcome, Availability, Class, DedupScope, Endpoint, Idempotency, RequestId,
@@ -24,7 +24,10 @@
                 assert!(self.settings.cancel && (*attempt as usize) < sent);
             }
             Action::SetTimer { after, token } => self.timers.push((self.now + after, *token)),
-            Action::PollEndpoints => assert!(self.settings.poll_endpoints, "the list is pushed"),
+            Action::PollEndpoints => assert!(
+                self.settings.poll_endpoints,
+                "polled the endpoint list, which is pushed"
+            ),
             Action::CloseIdleConnections(_) | Action::Log(_) => {}
         }
     }
@@ -44,18 +47,21 @@
         );
         assert!(
             record.attempts.len() < self.settings.max_attempts as usize,
-            "{request:?}: too many attempts"
+            "{request:?} has more attempts than the settings allow"
         );
         assert!(
             !record.has_attempt_in_flight(),
-            "{request:?}: two attempts in flight"
+            "{request:?} has two attempts in flight"
         );
         if let Some(first_run) = self.first_possible_run(record) {
             self.check_retry(request, class, endpoint, first_run);
         }
         assert!(timeout >= 0.0, "{request:?} has a negative timeout");
         let sent_at = self.now;
-        let record = self.requests.get_mut(&request).expect("a known request");
+        let record = self
+            .requests
+            .get_mut(&request)
+            .expect("request should be in the records");
         let times_out_at = if timeout > 0.0 {
             record.deadline.min(sent_at + timeout)
         } else {
@@ -73,7 +79,7 @@
         assert_eq!(
             endpoint.availability,
             Availability::Ready,
-            "{request:?} sent to {endpoint:?}"
+            "{request:?} sent to {endpoint:?}, which is not ready"
         );
         assert!(
             !self.suspended.contains(&endpoint.id),
@@ -82,12 +88,12 @@
         let zones = class.allowed_zones.as_ref();
         assert!(
             zones.is_none_or(|zones| zones.contains(&endpoint.zone)),
-            "{request:?} sent to the zone of {endpoint:?}"
+            "{request:?} sent to {endpoint:?}, in a zone that its class does not allow"
         );
         let kinds = class.allowed_kinds.as_ref();
         assert!(
             kinds.is_none_or(|kinds| kinds.contains(&endpoint.kind)),
-            "{request:?} sent to the kind of {endpoint:?}"
+            "{request:?} sent to {endpoint:?}, of a kind that its class does not allow"
         );
     }
 
@@ -100,12 +106,12 @@
     ) {
         match class.idempotency {
             Idempotency::Idempotent => {}
-            Idempotency::NonIdempotent => panic!("{request:?} may run twice"),
+            Idempotency::NonIdempotent => panic!("{request:?} retried although it may have run"),
             Idempotency::IdempotencyKey { scope, window } => {
                 let first = &self.listed[&first_run.upstream];
                 assert!(
                     self.now < first_run.sent_at + window,
-                    "{request:?} retried after the window"
+                    "{request:?} retried after its idempotency window"
                 );
                 assert!(match scope {
                     DedupScope::All => true,
@@ -133,7 +139,10 @@
     }
 
     fn record_final_response(&mut self, request: RequestId) {
-        let record = self.requests.get_mut(&request).expect("a known request");
+        let record = self
+            .requests
+            .get_mut(&request)
+            .expect("request should be in the records");
         assert!(!record.is_completed, "{request:?} has two final responses");
         record.is_completed = true;
     }
--- a/balancer-core/tests/common/fixtures.rs
+++ b/balancer-core/tests/common/fixtures.rs
@@ -42,7 +42,7 @@
     }
 }
 
-/// The same class, whose late responses have half of their value, so that requests last until their deadline.
+/// The same class, but late responses have half of their value, so that requests last until their deadline.
 pub fn class_with_late_value(idempotency: Idempotency) -> Class {
     Class {
         late_weight: 0.5,
@@ -50,7 +50,7 @@
     }
 }
 
-/// Tenants with these weights, which also divide the quota.
+/// Tenants with these weights; the quota of each is `quota_per_s` times its weight.
 pub fn tenants(weights: &[f64], quota_per_s: f64) -> Vec<Tenant> {
     weights
         .iter()
@@ -103,7 +103,7 @@
     }
 }
 
-/// Upstreams that succeed after this time.
+/// Upstreams whose responses succeed after `duration`.
 pub fn success_after(duration: f64) -> impl Fn(UpstreamId) -> Option<Response> {
     move |_| Some(Response::success(duration))
 }
@@ -113,7 +113,7 @@
     None
 }
 
-/// Upstreams that end attempts like this after this time.
+/// Upstreams that end each attempt with `outcome` after `duration`.
 pub fn outcome_after(
     outcome: AttemptOutcome,
     duration: f64,
--- a/balancer-core/tests/common/harness.rs
+++ b/balancer-core/tests/common/harness.rs
@@ -1,4 +1,4 @@
-//! A harness that drives one balancer, plays its clients and upstreams, and checks every action.
+//! A harness that drives one balancer, simulates its clients and upstreams, and checks every action.
 use super::fixtures::endpoints;
 use balancer_core::{
     Action, AttemptOutcome, Availability, Balancer, Endpoint, EndpointEvent, Event, Request,
@@ -77,7 +77,7 @@
     }
 }
 
-/// Requests sent since some time.
+/// Requests and attempts sent since a given time.
 pub struct SentSummary {
     /// Requests with at least one attempt.
     pub requests: usize,
@@ -95,7 +95,7 @@
         self.by_upstream.get(&upstream).copied().unwrap_or(0)
     }
 
-    /// Attempts to the upstreams whose number satisfies a condition.
+    /// Attempts to the upstreams whose id satisfies a condition.
     pub fn attempts_where(&self, condition: impl Fn(u64) -> bool) -> usize {
         self.by_upstream
             .iter()
@@ -118,7 +118,7 @@
     outcome: AttemptOutcome,
 }
 
-/// What happens next while time advances.
+/// The next event while the clock advances.
 #[derive(Clone, Copy)]
 enum NextEvent {
     Timeout { request: RequestId, attempt: usize },
@@ -141,7 +141,7 @@
 }
 
 impl TestHarness {
-    /// A harness with a cached list of endpoints.
+    /// A harness that starts with these endpoints as its cached list.
     pub fn new(settings: Settings, seed: u64, endpoints: Vec<Endpoint>) -> Self {
         let balancer = Balancer::new(settings.clone(), seed, 0.0).expect("valid settings");
         let mut harness = TestHarness {
@@ -159,7 +159,7 @@
         harness
     }
 
-    /// A harness with this many ready endpoints and the usual seed.
+    /// A harness with `count` ready endpoints and a fixed seed.
     pub fn with_endpoints(settings: Settings, count: u64) -> Self {
         TestHarness::new(settings, 4, endpoints(count))
     }
@@ -202,7 +202,7 @@
         &self.requests[&RequestId(id)]
     }
 
-    /// The number after that of the newest request.
+    /// The id after that of the newest request.
     pub fn next_request_id(&self) -> u32 {
         self.requests.last_key_value().map_or(0, |(id, _)| id.0 + 1)
     }
@@ -227,7 +227,10 @@
 
     pub fn end_attempt(&mut self, id: u32, attempt: usize, outcome: AttemptOutcome) -> Vec<Action> {
         let id = RequestId(id);
-        let record = self.requests.get_mut(&id).expect("a known request");
+        let record = self
+            .requests
+            .get_mut(&id)
+            .expect("request should be in the records");
         record.attempts[attempt].outcome = Some(outcome);
         record.is_completed |= outcome == AttemptOutcome::Success;
         let duration = self.now - record.attempts[attempt].sent_at;
@@ -245,13 +248,13 @@
         let id = RequestId(id);
         self.requests
             .get_mut(&id)
-            .expect("a known request")
+            .expect("request should be in the records")
             .is_completed = true;
         self.handle(Event::ClientDisconnected(id))
     }
 
-    /// Sends `per_s` requests per second for `span`, for each tenant in turn. `upstream` says how each attempt
-    /// ends and after how long (`None`: never).
+    /// Sends `requests_per_s` requests per second for `duration`, for each tenant in turn. `upstream` decides how
+    /// each attempt ends and after how long; `None`: it gets no response.
     pub fn run_traffic(
         &mut self,
         duration: f64,
@@ -332,7 +335,7 @@
             .count()
     }
 
-    /// Advances the clock; timers expire and attempts time out on the way.
+    /// Advances the clock; timers that are due expire, and attempts time out.
     pub fn advance(&mut self, duration: f64) {
         let until = self.now + duration;
         while let Some((at, event)) = self.next_event().filter(|(at, _)| *at <= until) {
@@ -344,7 +347,7 @@
                         .timers
                         .iter()
                         .position(|timer| *timer == (at, token))
-                        .expect("the timer is set");
+                        .expect("timer should be in the list");
                     self.timers.remove(position);
                     self.handle(Event::Timer(token));
                 }
--- a/balancer-core/tests/common/mod.rs
+++ b/balancer-core/tests/common/mod.rs
@@ -1,7 +1,7 @@
-//! Shared parts of the tests: a harness that drives one balancer, and fixtures.
-// A helper that fails ends its test, as an assertion does.
+//! Shared parts of the tests: a harness that drives one balancer, and fixtures. All times are in milliseconds.
+// A helper function that panics fails its test, as an assertion does.
 #![allow(clippy::expect_used)]
-#![allow(dead_code, unused_imports)] // each test file uses a part of it
+#![allow(dead_code, unused_imports)] // each test file uses only some of it
 mod checker;
 mod fixtures;
 mod harness;
--- a/balancer-core/tests/early_timeouts.rs
+++ b/balancer-core/tests/early_timeouts.rs
@@ -5,9 +5,9 @@
 use common::{class, success_after, Response, TestHarness};
 use std::cell::Cell;
 
-/// Time that requests have; much longer than an early timeout.
+/// Time that requests have, in milliseconds; much longer than an early timeout.
 const DEADLINE: f64 = 12_000.0;
-/// What timers, schedulers and a new connection may take on a busy machine.
+/// Time that timers, schedulers and a new connection may take on a busy machine, in milliseconds.
 const BUSY_MACHINE_DELAY: f64 = 100.0;
 
 fn settings(max_attempts: u32) -> Settings {
@@ -23,7 +23,7 @@
     }
 }
 
-/// A harness whose endpoints respond within a millisecond, and some of whose attempts fail.
+/// A harness whose endpoints end attempts after a millisecond; every third attempt fails if it goes to upstream 1.
 fn harness_with_failures(endpoints: u64, max_attempts: u32) -> TestHarness {
     let mut harness = TestHarness::with_endpoints(settings(max_attempts), endpoints);
     let count = Cell::new(0);
@@ -56,7 +56,7 @@
 }
 
 /// Guards against rejecting a request with time left because its only endpoint took longer than
-/// usual: a retry has nowhere better to go.
+/// usual: no other endpoint could serve a retry.
 #[test]
 fn attempt_at_the_only_endpoint_has_no_early_timeout() {
     let mut harness = TestHarness::with_endpoints(settings(5), 1);
@@ -66,7 +66,10 @@
     harness.end_attempt(failing, 0, AttemptOutcome::Error);
     harness.end_attempt(failing, 1, AttemptOutcome::Error);
     for timeout in timeouts_without_responses(&mut harness, 1) {
-        assert!(timeout > DEADLINE - 1.0, "{timeout} ms");
+        assert!(
+            timeout > DEADLINE - 1.0,
+            "the attempt times out early, after {timeout} ms"
+        );
     }
 }
 
@@ -79,14 +82,17 @@
         .iter()
         .filter(|&&timeout| timeout < DEADLINE / 2.0)
         .collect();
-    assert!(!early.is_empty(), "a suspect endpoint has early timeouts");
+    assert!(
+        !early.is_empty(),
+        "no attempt at the suspect endpoint has an early timeout"
+    );
     assert!(
         early.iter().all(|&&timeout| timeout >= BUSY_MACHINE_DELAY),
-        "{early:?}"
+        "some early timeout is too short, of these in ms: {early:?}"
     );
 }
 
-/// Guards against an early timeout that leaves a request with time without an attempt, as the retry
+/// Guards against an early timeout after which a request with time left has no attempt, because the retry
 /// budget was spent meanwhile.
 #[test]
 fn every_early_timeout_is_followed_by_a_retry() {
@@ -100,8 +106,11 @@
         if !record.was_sent() {
             continue;
         }
-        assert!(!record.is_completed, "request {id} has {DEADLINE} ms");
+        assert!(
+            !record.is_completed,
+            "request {id} ended before its deadline of {DEADLINE} ms"
+        );
         retried += usize::from(record.attempts.len() > 1);
     }
-    assert!(retried > 0, "some time out early");
+    assert!(retried > 0, "no request was retried after an early timeout");
 }
--- a/balancer-core/tests/endpoint_choice.rs
+++ b/balancer-core/tests/endpoint_choice.rs
@@ -8,7 +8,7 @@
 };
 use std::collections::BTreeMap;
 
-/// An endpoint of one of so many zones.
+/// An endpoint in one of `zones` zones.
 fn endpoint_in_zone(id: u64, zones: u64) -> Endpoint {
     Endpoint {
         zone: (id % zones) as u16,
@@ -28,7 +28,7 @@
     let sent = harness.sent_since(0.0);
     assert!(
         sent.by_upstream.keys().all(|id| id.0 % 2 == 0),
-        "crossings have a price: {:?}",
+        "requests crossed zones, which has a price: {:?}",
         sent.by_upstream
     );
     let other_zone = (1..=12)
@@ -40,7 +40,7 @@
     harness.run_traffic(2000.0, 40.0, &[0], &success_after(50.0));
     assert!(
         harness.sent_since(from).requests > 60,
-        "the other zone serves if the own zone has no endpoint"
+        "the other zone should serve if the own zone has no endpoint"
     );
 }
 
@@ -56,14 +56,14 @@
     let list = (1..=36).map(|id| endpoint_in_zone(id, 3)).collect();
     let mut harness = TestHarness::new(settings, 4, list);
     let in_own_zone = |sent: &SentSummary| sent.attempts_where(|id| id % 3 == 0);
-    // Less than an even part of the quotas, 100 per second.
+    // Less than this replica's even part of the quotas, which is 100 requests per second.
     harness.run_traffic(6000.0, 60.0, &[0], &success_after(120.0));
     let sent = harness.sent_since(2000.0);
     let own = in_own_zone(&sent);
     let all = sent.attempts();
     assert!(
         own * 20 >= all * 19,
-        "crossings have a price: {own} of {all} in the own zone"
+        "zone crossings have a price, but only {own} of {all} attempts stayed in the own zone"
     );
     let from = harness.now;
     harness.run_traffic(6000.0, 300.0, &[0], &success_after(120.0));
@@ -72,9 +72,9 @@
     let all = sent.attempts();
     assert!(
         (160..=320).contains(&own),
-        "{own} in the own zone in 2 s, of {all}"
+        "{own} of {all} attempts in 2 s stayed in the own zone"
     );
-    assert!(all > 540, "{all} of 600 sent");
+    assert!(all > 540, "only {all} of 600 requests sent");
 }
 
 /// Guards against slow endpoints that receive as much as fast ones from replicas with few requests in flight.
@@ -96,11 +96,11 @@
     );
     assert!(
         to_slow > 0,
-        "learned latency fades, and slow endpoints are used again"
+        "learned latency should fade, so that slow endpoints are used again"
     );
 }
 
-/// Guards against a comparison of zeros that always picks the same few endpoints.
+/// Without requests in flight, all endpoints are equally busy: guards against always picking the same few of them.
 #[test]
 fn replica_with_little_traffic_uses_all_endpoints() {
     let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 5);
@@ -108,13 +108,13 @@
     let sent = harness.sent_since(0.0);
     assert!(
         sent.by_upstream.len() == 5 && sent.max_attempts() * 3 < sent.requests,
-        "{:?}",
+        "an endpoint was not used, or too often: {:?}",
         sent.by_upstream
     );
 }
 
-/// Each replica uses a stable subset that its traffic keeps connected; otherwise connections grow as replicas
-/// times endpoints.
+/// Each replica uses a stable subset, whose connections its traffic keeps open. Otherwise the number of connections
+/// grows as replicas times endpoints.
 #[test]
 fn subset_follows_traffic_and_is_balanced_between_replicas() {
     let mut replicas_by_upstream = BTreeMap::new();
@@ -140,7 +140,7 @@
     let most = replicas_by_upstream.values().max().copied().unwrap_or(0);
     assert!(
         used == 40 && most <= 7,
-        "{most} replicas on one endpoint, {used} used"
+        "{most} replicas use the same endpoint, and {used} of 40 endpoints are used"
     );
 }
 
@@ -189,6 +189,6 @@
     }
     assert!(
         sent > 1400 && on_new_connection * 10 < sent,
-        "{on_new_connection} of {sent} requests sent after their endpoint had none for so long"
+        "{on_new_connection} of {sent} requests needed a new connection"
     );
 }
--- a/balancer-core/tests/health.rs
+++ b/balancer-core/tests/health.rs
@@ -1,4 +1,4 @@
-//! Outliers, and endpoints that are unresponsive.
+//! Ejection of outliers, and avoidance of unresponsive endpoints.
 mod common;
 
 use balancer_core::{AttemptOutcome, Endpoint, Idempotency, UpstreamId};
@@ -32,7 +32,7 @@
     );
     assert!(
         requests > 350,
-        "failures of one endpoint do not reduce capacity: {requests} of 420 sent"
+        "failures of one endpoint reduced capacity: {requests} of 420 sent"
     );
 }
 
@@ -49,12 +49,12 @@
     );
     assert!(
         sent.requests > 900,
-        "the others serve: {} of 960 sent",
+        "the others did not serve the rest: {} of 960 sent",
         sent.requests
     );
 }
 
-/// Guards against a zone with too many failing endpoints to eject each.
+/// Guards against requests to a zone in which more endpoints fail than may be ejected.
 #[test]
 fn unreachable_zone_is_avoided() {
     let endpoints = (1..=12)
@@ -85,7 +85,7 @@
     );
 }
 
-/// Guards against requests to an endpoint that does not respond, until the first timeout shows it.
+/// Guards against further requests to an endpoint that does not respond, until its first attempt times out.
 #[test]
 fn endpoint_with_an_overdue_response_is_avoided_before_the_first_timeout() {
     let settings = settings_with_late_value(Idempotency::NonIdempotent);
@@ -102,7 +102,7 @@
     assert_eq!(
         late_attempts.count(),
         0,
-        "a response is overdue by six times the expected latency by then"
+        "attempts sent to the endpoint after its response was overdue by six times the expected latency"
     );
 }
 
@@ -111,7 +111,7 @@
     let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 1);
     for id in 0..8 {
         harness.send_request(id, 0, 0);
-        assert!(harness.request(id).was_sent(), "request {id} is sent");
+        assert!(harness.request(id).was_sent(), "request {id} was not sent");
         harness.end_attempt(id, 0, AttemptOutcome::Reset);
         let attempts = &harness.request(id).attempts;
         let newest = attempts.len() - 1;
@@ -144,7 +144,7 @@
     let sent = harness.sent_since(from);
     assert!(
         sent.by_upstream.len() >= 3,
-        "one of four may be ejected: {} requests sent to {:?}",
+        "more than one of four endpoints ejected: {} requests sent to {:?}",
         sent.requests,
         sent.by_upstream
     );
@@ -207,11 +207,11 @@
             duration: 50.0,
         })
     };
-    // Until the failure rate of all endpoints is learned.
+    // Long enough to learn the failure rate of all endpoints.
     harness.run_traffic(10_000.0, 60.0, &[0], &upstream);
     for second in 0..60 {
         harness.run_traffic(1000.0, 60.0, &[0], &upstream);
         let counts = harness.balancer.endpoint_counts(harness.now);
-        assert_eq!(counts.avoided, 0, "after {second} s");
+        assert_eq!(counts.avoided, 0, "endpoints avoided after {second} s");
     }
 }
--- a/balancer-core/tests/inflight_limits.rs
+++ b/balancer-core/tests/inflight_limits.rs
@@ -18,7 +18,7 @@
     }
 }
 
-/// Guards against admission by responses alone, which notices a tier that stops responding only by timeouts.
+/// Guards against admission by responses alone: it notices a tier that stops responding only when attempts time out.
 #[test]
 fn limits_requests_in_flight_before_any_response_is_late() {
     let settings = settings_with_late_value(Idempotency::Idempotent);
@@ -44,12 +44,14 @@
         let mut harness = TestHarness::with_endpoints(settings, 4);
         harness.run_traffic(20_000.0, 60.0, &[0], &success_after(50.0));
         harness.advance(500.0);
-        // Short enough that endpoints do not count as overloaded: requests to those would not be counted.
+        // Shorter than the 300 ms without a response that make an endpoint count as overloaded: requests in flight to
+        // overloaded endpoints do not count against the limit.
         let from = harness.now;
         harness.run_traffic(290.0, 100.0, &[0], &no_response);
         harness.sent_since(from).requests
     };
-    // 60 per second for the 200 ms that are on time, and one spare. Lower tiers are not limited by quotas.
+    // 60 requests per second make 12 in flight in the 200 ms that are on time, and there is one spare. Quotas do not
+    // limit lower tiers.
     assert!(
         (12..=13).contains(&burst(0)),
         "{} requests in flight to the first tier",
@@ -99,7 +101,7 @@
     assert!(sent < 30, "{sent} requests in flight to an overloaded tier");
 }
 
-/// Guards against spare requests in flight that are multiplied by the number of replicas.
+/// Guards against a spare request in flight at each replica: the spares of many replicas add up.
 #[test]
 fn replicas_that_share_the_first_tier_have_no_spare_requests_in_flight() {
     let burst = |balancers: u32| {
@@ -110,8 +112,8 @@
         harness.run_traffic(290.0, 100.0, &[0], &no_response);
         harness.sent_since(from).requests
     };
-    // 60 per second for 50 ms make three in flight. A single replica has those of the 200 ms that are on
-    // time, and one spare.
+    // 60 requests per second make three in flight in 50 ms. A single replica may have those of the 200 ms that are
+    // on time, and one spare.
     assert!(
         (12..=13).contains(&burst(1)),
         "{} requests in flight from a single replica",
@@ -138,13 +140,13 @@
     };
     assert!(
         sent_at_latency(50.0).0 > 1850,
-        "{:?} of 1920 admitted at low latency",
+        "{:?} of 1920 and of the last 480 admitted at low latency",
         sent_at_latency(50.0)
     );
     // When latency rises, the replica returns to its even quota of 60 per second.
     assert!(
         sent_at_latency(190.0).1 < 240,
-        "{:?} of 480 admitted though latency rises",
+        "{:?} of 1920 and of the last 480 admitted though latency rises",
         sent_at_latency(190.0)
     );
 }
@@ -160,7 +162,7 @@
     let mut harness = TestHarness::with_endpoints(settings, 4);
     harness.run_traffic(60_000.0, 1.5, &[0], &success_after(700.0));
     let rejected = harness.count_actions(|action| matches!(action, Action::Reject { .. }));
-    assert_eq!(rejected, 0, "of 90 requests");
+    assert_eq!(rejected, 0, "requests rejected, of 90");
 }
 
 /// Guards against rejections of requests that other endpoints could serve.
@@ -198,11 +200,11 @@
         ..Settings::default()
     };
     let mut harness = TestHarness::with_endpoints(settings, 4);
-    // Two of the three requests per second of its even quota.
+    // Two requests per second; the replica's even quota is three.
     for first in (0..60).step_by(2) {
         for id in [first, first + 1] {
             harness.send_request(id, 0, 0);
-            assert!(harness.request(id).was_sent(), "request {id} is sent");
+            assert!(harness.request(id).was_sent(), "request {id} was not sent");
         }
         harness.advance(50.0);
         for id in [first, first + 1] {
--- a/balancer-core/tests/streaming.rs
+++ b/balancer-core/tests/streaming.rs
@@ -1,5 +1,5 @@
 //! Streamed requests and responses.
-// A helper that fails ends its test, as an assertion does.
+// A helper function that panics fails its test, as an assertion does.
 #![allow(clippy::expect_used)]
 mod common;
 
@@ -19,7 +19,7 @@
     balancer
 }
 
-/// Passes an event to the balancer, and returns its actions but for timers and log lines.
+/// Passes an event to the balancer, and returns its actions except timers and log lines.
 fn handle(balancer: &mut Balancer, now: f64, event: Event) -> Vec<Action> {
     let mut actions = Vec::new();
     balancer.handle(now, event, &mut actions);
@@ -42,7 +42,7 @@
     send_request(balancer, f64::INFINITY)
 }
 
-/// Guards against avoiding every endpoint that a slow client sends to.
+/// Guards against avoiding endpoints as unresponsive while a slow client still sends the body of its request.
 #[test]
 fn no_response_is_expected_while_the_request_body_is_incomplete() {
     let mut balancer = balancer(Idempotency::NonIdempotent);
@@ -60,7 +60,7 @@
     assert_eq!(
         balancer.endpoint_counts(90_000.0),
         counts(2, 1),
-        "a response is overdue after the body is complete"
+        "the response should be overdue once the body is complete"
     );
 }
 
@@ -107,12 +107,12 @@
         assert_eq!(
             matches!(actions[..], [Action::Send { .. }]),
             is_retried,
-            "{actions:?}"
+            "body discarded: {is_discarded}, {actions:?}"
         );
         assert_eq!(
             matches!(actions[..], [Action::Reject { .. }]),
             !is_retried,
-            "it never ran: {actions:?}"
+            "a request that never ran should be rejected if it is not retried: {actions:?}"
         );
     }
 }
--- a/balancer-core/tests/tenant_limits.rs
+++ b/balancer-core/tests/tenant_limits.rs
@@ -3,12 +3,12 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// The worked example states whole numbers, rounded loosely.
+/// Compares with a tolerance, because the worked example states loosely rounded whole numbers.
 fn assert_near(limits: &[f64], expected: &[f64]) {
     for (limit, value) in limits.iter().zip(expected) {
         assert!(
             (limit - value).abs() <= 0.75,
-            "limits {limits:?}, the example has {expected:?}"
+            "limits {limits:?}, but the worked example has {expected:?}"
         );
     }
 }
@@ -33,25 +33,25 @@
     assert_eq!(
         tenant_limits(12.0, &[50.0], &[1.0], 0.1),
         [12.0],
-        "a single tenant has all capacity and cannot borrow"
+        "a single tenant should have all capacity and cannot borrow"
     );
     assert_eq!(tenant_limits(12.0, &[0.0], &[1.0], 0.1), [12.0]);
     assert_eq!(
         tenant_limits(30.0, &[90.0, 40.0, 70.0], &[1.0; 3], 0.1),
         [10.0; 3],
-        "all over their defaults: the defaults"
+        "tenants that all exceed their default limits should get those"
     );
     assert_eq!(
         tenant_limits(10.0, &[5.0, 5.0], &[0.0, 0.0], 0.1),
         [5.0, 5.0],
-        "weights that sum to zero"
+        "weights that sum to zero should divide capacity evenly"
     );
     assert!(tenant_limits(10.0, &[], &[], 0.1).is_empty());
     let unequal = tenant_limits(100.0, &[500.0, 5.0], &[3.0, 1.0], 0.1);
     assert_eq!(
         unequal,
         [95.0, 5.0],
-        "weights set the defaults; unused capacity is lent"
+        "weights should set the default limits, and unused capacity should be lent"
     );
 }
 
@@ -71,12 +71,12 @@
             limits
                 .iter()
                 .all(|&limit| limit >= 0.0 && limit.is_finite()),
-            "{capacity} {demands:?} {weights:?}: {limits:?}"
+            "capacity {capacity}, demands {demands:?}, weights {weights:?}: limits {limits:?}"
         );
         let sum: f64 = limits.iter().sum();
         assert!(
             sum <= capacity * (1.0 + 1e-9) + 1e-9,
-            "{capacity} {demands:?} {weights:?}: {limits:?}"
+            "capacity {capacity}, demands {demands:?}, weights {weights:?}: limits {limits:?}"
         );
     }
 }
