--- a/balancer-core/tests/endpoint_polling.rs
+++ b/balancer-core/tests/endpoint_polling.rs
@@ -11,7 +11,7 @@
     }
 }
 
-/// When the next timer expires, from now, and its token.
+/// The time until the first timer that is set expires, in milliseconds, and its token.
 fn first_timer(actions: &[Action]) -> Option<(f64, u32)> {
     actions.iter().find_map(|action| match action {
         Action::SetTimer { after, token } => Some((*after, *token)),
@@ -26,25 +26,25 @@
     let mut backoffs = Vec::new();
     for _ in 0..12 {
         let actions = harness.handle(Event::Endpoints(EndpointEvent::DiscoveryFailed));
-        let (after, token) = first_timer(&actions).expect("a timer to poll again");
+        let (after, token) = first_timer(&actions).expect("a timer to poll again should be set");
         harness.now += after;
         assert_eq!(harness.handle(Event::Timer(token)), [Action::PollEndpoints]);
         backoffs.push(after);
     }
     assert!(
         backoffs[11] > 4.0 * backoffs[0],
-        "backoffs grow: {backoffs:?}"
+        "backoffs do not grow enough: {backoffs:?}"
     );
     assert!(
         backoffs
             .iter()
             .all(|&backoff| backoff < settings.poll_acknowledge_timeout / 2.0),
-        "the replica never counts as notified: {backoffs:?}"
+        "a backoff takes half of the acknowledge timeout or more: {backoffs:?}"
     );
 }
 
-/// Hundreds of replicas lost discovery at once, and it rejected their calls. If they call again as soon as after
-/// other failures, its queue stays full of calls that time out.
+/// Hundreds of replicas lose discovery at once, and it rejects their calls. If they called again as soon as after
+/// other failures, its queue would stay full of calls that time out.
 #[test]
 fn replicas_rejected_by_discovery_together_poll_again_spread_over_seconds() {
     const REPLICAS: usize = 300;
@@ -57,7 +57,7 @@
         let mut harness = TestHarness::new(settings.clone(), seed, endpoints(1));
         harness.handle(Event::Endpoints(EndpointEvent::DiscoveryRejected));
         let actions = harness.handle(Event::Endpoints(EndpointEvent::DiscoveryRejected));
-        let (after, _) = first_timer(&actions).expect("a timer to poll again");
+        let (after, _) = first_timer(&actions).expect("a timer to poll again should be set");
         polls.push(after);
     }
     let busiest_second = (0..45)
@@ -70,11 +70,14 @@
         })
         .max();
     assert!(
-        busiest_second.expect("a second") < REPLICAS * 2 / 5,
-        "{polls:?}"
+        busiest_second.expect("there should be a busiest second") < REPLICAS * 2 / 5,
+        "too many replicas poll again in one second, after (ms): {polls:?}"
     );
     // Each call is early enough to be served before the replica counts as notified.
-    assert!(polls.iter().all(|&at| at <= 4500.0), "{polls:?}");
+    assert!(
+        polls.iter().all(|&at| at <= 4500.0),
+        "some poll too late, after (ms): {polls:?}"
+    );
     // A replica without endpoints must become ready soon.
     let mut harness = TestHarness::new(settings, 1, Vec::new());
     for _ in 0..10 {
@@ -107,18 +110,18 @@
     assert_eq!(
         avoided_after_rejection(&mut harness, 1),
         0,
-        "while the list is current, a rejection means a full queue"
+        "a rejection while the list is current should mean a full queue"
     );
     harness.now += 4000.0;
     assert_eq!(
         avoided_after_rejection(&mut harness, 2),
         1,
-        "now it may be draining"
+        "an endpoint that rejects while the list is stale may be draining, and should be avoided"
     );
     harness.update_endpoints(EndpointEvent::Unchanged);
     assert_eq!(
         harness.balancer.endpoint_counts(harness.now),
         counts(2, 0),
-        "discovery says that it is not"
+        "discovery confirmed that the endpoint is not draining"
     );
 }
--- a/balancer-core/tests/endpoint_polling_fleet.rs
+++ b/balancer-core/tests/endpoint_polling_fleet.rs
@@ -1,27 +1,29 @@
-//! Polling with many replicas: discovery serves a fleet from one queue, and each replica is to be answered in time.
-// A helper that fails ends its test, as an assertion does.
+//! Polling with many replicas: discovery serves a fleet from one queue, and must answer each replica before the
+//! replica counts as notified. All times are in milliseconds.
+// A helper function that panics fails its test, as an assertion does.
 #![allow(clippy::expect_used)]
 mod common;
 
 use balancer_core::{Action, EndpointEvent, Event, Settings};
 use common::{endpoints, TestHarness};
 
-/// A change counts as notified this long after discovery had it and could be reached, in milliseconds.
+/// A change counts as notified this long after discovery had it and could be reached.
 const NOTIFICATION_DEADLINE: f64 = 6000.0;
 /// Discovery rejects calls that have waited this long.
 const QUEUE_TIMEOUT: f64 = 2000.0;
 /// Discovery rejects calls at once that would wait longer than this.
 const MAX_EXPECTED_WAIT: f64 = 2300.0;
-/// When the fleet loses discovery, on a clock that counts since the Unix epoch.
+/// When the fleet loses discovery, counted since the Unix epoch.
 const LOST_AT: f64 = 1_796_311_872_713.0;
 
-/// What becomes of a call, and when.
+/// How a call ends, and when.
 enum CallEnd {
     Served(f64),
     Rejected(f64),
 }
 
-/// Discovery, which serves one call after the other. A call that waits for too long is served all the same.
+/// Discovery, which serves one call after another. It spends the service time also on calls that it has rejected
+/// after a long wait.
 struct Discovery {
     service_time: f64,
     free_at: f64,
@@ -41,16 +43,17 @@
     }
 }
 
-/// A replica, and its next call or the rejection of one.
+/// A replica that polls discovery.
 struct Replica {
     harness: TestHarness,
+    /// When its next call starts, or its pending call is rejected.
     next_at: f64,
     poll_timer: u32,
     is_call_pending: bool,
 }
 
 impl Replica {
-    /// A replica that had an answer 1.5 s ago and whose watch fails now.
+    /// A replica that discovery answered 1.5 s ago and whose watch fails now.
     fn after_watch_failure(index: u32, replicas: u32, seed: u64) -> Replica {
         let settings = Settings {
             index,
@@ -79,13 +82,14 @@
             Action::SetTimer { after, token } => Some((*after, *token)),
             _ => None,
         });
-        let (after, token) = timer.expect("a timer to poll again");
+        let (after, token) = timer.expect("a timer to poll again should be set");
         self.next_at = self.harness.now + after;
         self.poll_timer = token;
         self.is_call_pending = false;
     }
 
-    /// Goes on to its next event. Returns when it was answered, if it was.
+    /// Starts the next call, or ends the pending one with its rejection. Returns when discovery answers the call, if it
+    /// does.
     fn step(&mut self, discovery: &mut Discovery) -> Option<f64> {
         self.harness.now = self.next_at;
         if self.is_call_pending {
@@ -105,7 +109,8 @@
     }
 }
 
-/// All watches of a fleet fail at the same time. Returns after which time the last replica is answered.
+/// How long the last replica of a fleet waits for an answer after all watches failed at the same time.
+/// `fleet_service_time` is how long discovery takes to serve one call of each replica.
 fn wait_of_last_replica(replicas: u32, fleet_service_time: f64, seed: u64) -> f64 {
     let mut discovery = Discovery {
         service_time: fleet_service_time / f64::from(replicas),
@@ -129,7 +134,7 @@
     last - LOST_AT
 }
 
-/// The largest of the last answers of several fleets.
+/// The longest wait of the last replica among several fleets.
 fn longest_wait(replicas: u32, fleet_service_time: f64, fleets: u64) -> f64 {
     (0..fleets)
         .map(|seed| wait_of_last_replica(replicas, fleet_service_time, seed))
@@ -149,15 +154,21 @@
         (900, 1),
     ] {
         let wait = longest_wait(replicas, 3500.0, fleets);
-        assert!(wait <= NOTIFICATION_DEADLINE, "{replicas} replicas: {wait}");
+        assert!(
+            wait <= NOTIFICATION_DEADLINE,
+            "the last of {replicas} replicas is answered after {wait} ms"
+        );
     }
 }
 
-/// Discovery has hardly more time than it needs.
+/// Discovery needs 4.5 s to serve one call of each replica, and has hardly more time.
 #[test]
 fn each_replica_of_a_large_fleet_is_answered_in_time_by_a_slow_discovery() {
     for (replicas, fleets) in [(60, 20), (300, 3), (900, 1)] {
         let wait = longest_wait(replicas, 4500.0, fleets);
-        assert!(wait <= NOTIFICATION_DEADLINE, "{replicas} replicas: {wait}");
+        assert!(
+            wait <= NOTIFICATION_DEADLINE,
+            "the last of {replicas} replicas is answered after {wait} ms"
+        );
     }
 }
--- a/balancer-core/tests/poll_schedule.rs
+++ b/balancer-core/tests/poll_schedule.rs
@@ -1,6 +1,6 @@
-//! The schedule of calls for the endpoint list: a change counts as notified 6 s after discovery had it and could be
-//! reached, so that the next complete response has to come within that time, whatever preceded it and however many
-//! replicas discovery serves from its queue.
+//! The schedule of calls for the endpoint list. A change counts as notified 6 s after discovery had it and could be
+//! reached. The next complete response has to arrive within that time, whatever preceded it and however many replicas
+//! discovery serves from its queue. All times are in milliseconds, unless stated otherwise.
 mod common;
 
 use balancer_core::{Action, EndpointEvent, Event, Settings};
@@ -9,22 +9,22 @@
 
 /// A change counts as notified at the latest this long after discovery had it and could be reached.
 const NOTIFICATION_DEADLINE: f64 = 6000.0;
-/// How long a call waits in discovery's queue until discovery rejects it.
+/// Discovery rejects a call that has waited in its queue for this long.
 const QUEUE_TIMEOUT: f64 = 2000.0;
-/// Discovery rejects a call at once if its queue is longer than this.
+/// Discovery rejects a call at once that would wait longer than this.
 const MAX_EXPECTED_WAIT: f64 = 2300.0;
-/// When a replica gives up a call without response.
+/// A replica gives up a call that has no response after this time.
 const CALL_TIMEOUT: f64 = 2800.0;
-/// When a replica gives up a watch without response.
+/// A replica gives up a watch that has no response after this time.
 const WATCH_TIMEOUT: f64 = 2500.0;
-/// How long discovery holds a call of a watch that there is nothing to tell.
+/// Discovery holds a watch's call for this long if nothing changes.
 const LONG_POLL_TIMEOUT: f64 = 1500.0;
-/// How long a response takes that needs no turn.
+/// How long a response takes that does not wait in the queue.
 const IMMEDIATE_RESPONSE_TIME: f64 = 5.0;
 /// Longest time in which discovery serves a call; it needs less where it serves large fleets.
 const MAX_SERVICE_TIME: f64 = 500.0;
-/// Longest time between the starts of two calls, such that the second is served within the deadline after a wait in
-/// the queue, even if discovery returned just after the start of the first.
+/// Longest time between the starts of two calls at which the second is still served within the deadline after a wait
+/// in the queue, even if discovery returned just after the start of the first.
 const MAX_CALL_INTERVAL: f64 = 3900.0;
 
 fn poll_settings(poll_acknowledge_timeout: f64) -> Settings {
@@ -38,12 +38,12 @@
 /// A replica that polls discovery.
 struct Replica {
     harness: TestHarness,
-    /// Token of the timer that ends its pause.
+    /// Token of the timer that ends its pause between calls.
     token: u32,
 }
 
 impl Replica {
-    /// A replica whose list discovery confirmed at `confirmed_at`.
+    /// A replica whose endpoint list discovery confirmed at `confirmed_at`.
     fn new(settings: &Settings, seed: u64, confirmed_at: f64) -> Replica {
         let mut harness = TestHarness::new(settings.clone(), seed, endpoints(1));
         harness.now = harness.now.max(confirmed_at);
@@ -51,7 +51,7 @@
         Replica { harness, token: 0 }
     }
 
-    /// A call ends without a list. Returns when the next one starts.
+    /// Ends a call without a list. Returns when the next one starts.
     fn call_failed(&mut self, now: f64, event: EndpointEvent) -> f64 {
         self.harness.now = now;
         let actions = self.harness.handle(Event::Endpoints(event));
@@ -59,12 +59,13 @@
             Action::SetTimer { after, token } => Some((*after, *token)),
             _ => None,
         });
-        let (after, token) = timer.unwrap_or_else(|| panic!("no timer to poll again: {actions:?}"));
+        let (after, token) =
+            timer.unwrap_or_else(|| panic!("no timer to poll again was set: {actions:?}"));
         self.token = token;
         now + after
     }
 
-    /// The pause is over: the next call starts.
+    /// Ends the pause and starts the next call.
     fn start_call(&mut self, now: f64) {
         self.harness.now = now;
         let actions = self.harness.handle(Event::Timer(self.token));
@@ -105,8 +106,8 @@
     }
 }
 
-/// Discovery that serves one call after the other once it has returned. It serves calls in vain that it has rejected
-/// after their wait.
+/// Discovery, which serves one call after another once it has returned. It spends the service time also on calls that
+/// it has rejected after their wait.
 struct Discovery {
     outage: Outage,
     returns_at: f64,
@@ -135,13 +136,15 @@
     }
 }
 
-/// What happens next to a replica.
+/// The next event of a replica.
 enum ReplicaEvent {
+    /// A call starts.
     Call,
+    /// A call ends: with this failure, or served.
     End(Option<EndpointEvent>),
 }
 
-/// A fleet that lost discovery while its watches stood.
+/// A fleet that lost discovery while its watches were open.
 struct Fleet {
     replicas: Vec<Replica>,
     /// By time in microseconds and order of scheduling.
@@ -158,7 +161,7 @@
             scheduled_count: 0,
         };
         for number in 0..size {
-            // Watches are renewed at any time within the long poll.
+            // The replicas renewed their watches at different times within the long poll.
             let phase = (number as f64 * 0.618_034).fract();
             let confirmed_at = down_at - LONG_POLL_TIMEOUT * phase;
             let replica = Replica::new(&settings, seed * 1000 + number as u64, confirmed_at);
@@ -201,7 +204,8 @@
     }
 }
 
-/// For how long after its return the last replica of a fleet waits for a complete response.
+/// How long after the return of discovery the last replica of a fleet has a complete response.
+/// `fleet_service_time` is how long discovery takes to serve one call of each replica.
 fn longest_wait(
     size: usize,
     fleet_service_time: f64,
@@ -221,8 +225,8 @@
     fleet.serve_all(&mut discovery) - returns_at
 }
 
-/// Discovery needs 4.8 s for one call of each replica, or half a second each where these are few: four fifths of the
-/// time that a change gets.
+/// Discovery needs 4.8 s to serve one call of each replica, four fifths of the deadline. In small fleets it needs less:
+/// at most half a second for each call.
 #[test]
 fn fleets_of_any_size_are_served_within_the_deadline_after_an_outage() {
     const FLEET_SERVICE_TIME: f64 = 4800.0;
@@ -238,10 +242,14 @@
             }
         }
     }
-    assert!(late.is_empty(), "{} late: {late:#?}", late.len());
+    assert!(
+        late.is_empty(),
+        "{} fleets were served late (replicas, outage, seed, wait in ms): {late:#?}",
+        late.len()
+    );
 }
 
-/// Discovery may return just after the start of a call that it rejects late, or that is never answered.
+/// Discovery may return just after the start of a call that it rejects late or never answers.
 #[test]
 fn calls_start_within_the_interval_whatever_failed_before() {
     let failures = [
@@ -257,27 +265,32 @@
             let mut replica = Replica::new(&poll_settings(acknowledge_timeout), seed, 1000.0);
             let mut now = replica.call_failed(2000.0, EndpointEvent::DiscoveryRejected);
             for call in 0..8 {
-                // Every order of the failures occurs, by the digits of the seed.
+                // The base-four digits of the seed choose the failures, so that they occur in many orders.
                 let (event, duration) = failures[(seed >> (2 * (call % 4))) as usize % 4].clone();
                 replica.start_call(now);
                 let next = replica.call_failed(now + duration, event.clone());
-                // Failures that are not rejections keep their own backoff, up to a third of the timeout.
+                // Failures that are not rejections have their own backoff, up to a third of the acknowledge timeout.
+                // If that is 10 s, the backoff may exceed the interval.
                 let is_rejection = event == EndpointEvent::DiscoveryRejected;
                 if is_rejection || acknowledge_timeout == 3000.0 {
                     assert!(
                         next - now <= max_interval,
-                        "seed {seed}, call {call}, {event:?}: {}",
+                        "seed {seed}, call {call}, {event:?}: the next call starts {} ms after this one",
                         next - now
                     );
                 }
-                assert!(next > now + duration, "seed {seed}: calls do not overlap");
+                assert!(
+                    next > now + duration,
+                    "seed {seed}: the next call starts before this one ends"
+                );
                 now = next;
             }
         }
     }
 }
 
-/// A settings' file may state a shorter time: after a failed call a replica counts as notified after four times that.
+/// Settings may state a shorter acknowledge timeout: after a failed call, a replica counts as notified after four times
+/// that.
 #[test]
 fn calls_start_sooner_with_a_shorter_acknowledge_timeout() {
     for seed in 0..200 {
@@ -289,13 +302,18 @@
                 now + IMMEDIATE_RESPONSE_TIME,
                 EndpointEvent::DiscoveryRejected,
             );
-            assert!(next - now <= 1900.0, "seed {seed}: {}", next - now);
+            assert!(
+                next - now <= 1900.0,
+                "seed {seed}: calls start {} ms apart",
+                next - now
+            );
             now = next;
         }
     }
 }
 
-/// What a silent watch missed counts as notified 6 s after it fell silent, a rejected call in between or not.
+/// A change that a silent watch missed counts as notified 6 s after the watch fell silent, whether or not a call was
+/// rejected in between.
 #[test]
 fn rejected_call_after_a_silent_watch_is_repeated_within_the_interval() {
     const SILENT_FROM: f64 = 1000.0;
@@ -310,7 +328,7 @@
         );
         assert!(
             next - SILENT_FROM <= MAX_CALL_INTERVAL,
-            "seed {seed}: {}",
+            "seed {seed}: the next call starts {} ms after the watch fell silent",
             next - SILENT_FROM
         );
     }
--- a/balancer-core/tests/slow_start.rs
+++ b/balancer-core/tests/slow_start.rs
@@ -7,9 +7,10 @@
     TestHarness, SLOW_START_DURATION,
 };
 
+/// When harnesses start, in milliseconds; far from zero.
 const START: f64 = 10_000_000.0;
 
-/// A harness without endpoints at a time far from zero.
+/// A harness without endpoints, whose clock shows `START`.
 fn harness_at_start() -> TestHarness {
     let mut harness = TestHarness::new(slow_start_settings(0, 1, 150.0), 1, Vec::new());
     harness.now = START;
@@ -30,7 +31,8 @@
     harness.sent_since(from).attempts_to(1)
 }
 
-/// Attempts to upstream 1 after its restart, by a replica whose clock is ahead by this much.
+/// Attempts to upstream 1 in the two seconds after its restart, by a replica whose clock is ahead by this many
+/// milliseconds.
 fn sent_after_restart(clock_ahead: f64) -> usize {
     let mut harness = harness_at_start();
     harness.update_endpoints(EndpointEvent::CachedSnapshot(endpoints(4)));
@@ -40,7 +42,7 @@
     sent_to_first_endpoint(harness)
 }
 
-/// The same if the replica's first list reports the start.
+/// The same if the first list that the replica gets reports the start.
 fn sent_after_first_list(clock_ahead: f64) -> usize {
     let mut harness = harness_at_start();
     let mut list = endpoints(4);
@@ -57,10 +59,13 @@
         let sent = sent_after_restart(clock_ahead);
         assert!(
             sent <= usual * 2,
-            "{sent} requests with a clock {clock_ahead} ms ahead, otherwise {usual}"
+            "{sent} requests with a clock {clock_ahead} ms ahead, {usual} with an exact clock"
         );
     }
-    assert!((5..40).contains(&usual), "{usual}");
+    assert!(
+        (5..40).contains(&usual),
+        "{usual} requests with an exact clock"
+    );
 }
 
 /// Guards against a clock that is behind and keeps endpoints in slow start until it reaches their start.
@@ -82,8 +87,8 @@
     assert!(sent_after_first_list(-3_600_000.0) <= 2 * sent_after_first_list(0.0));
 }
 
-/// Guards against an endpoint in slow start that receives a part of the quotas, where these are far above the
-/// traffic.
+/// Guards against sending an endpoint in slow start a part of the quotas rather than of the traffic, where the quotas
+/// are far above the traffic.
 #[test]
 fn endpoint_in_slow_start_gets_at_most_an_even_part_of_the_traffic() {
     let mut settings = slow_start_settings(0, 1, 400.0);
@@ -99,13 +104,13 @@
         let sent = harness.sent_since(from).attempts_to(1);
         assert!(
             sent <= 45,
-            "{sent} in second {second}, where an even part is 37"
+            "{sent} requests in second {second}; an even part is 37"
         );
     }
 }
 
-/// Guards against rejections that reduce what endpoints in slow start receive, so that the overloaded others
-/// stay overloaded.
+/// Guards against rejections that reduce what endpoints in slow start receive, so that the other endpoints stay
+/// overloaded.
 #[test]
 fn rejections_do_not_reduce_what_endpoints_in_slow_start_receive() {
     let sent_after_overload = |overload_duration: f64| {
--- a/balancer-core/tests/slow_start_fleet.rs
+++ b/balancer-core/tests/slow_start_fleet.rs
@@ -10,7 +10,7 @@
 
 const UPSTREAMS: u64 = 12;
 
-/// Replicas that share `quota_per_s` and have carried an even part of it for some seconds.
+/// Replicas that share `quota_per_s` and have each sent an even part of it for five seconds.
 fn fleet_with_quota(replicas: u32, quota_per_s: f64) -> Vec<TestHarness> {
     (0..replicas)
         .map(|index| {
@@ -27,12 +27,12 @@
 /// Requests to an endpoint in slow start that the settings allow in one window.
 struct Allowance {
     requests: f64,
-    /// What chance may add.
+    /// Requests that chance may add.
     by_chance: f64,
 }
 
 impl Allowance {
-    /// The allowance this long after the start, where each endpoint carries an even part of the quotas at full
+    /// The allowance `age` milliseconds after the start, where each endpoint carries an even part of the quotas at full
     /// capacity.
     fn new(quota_per_s: f64, age: f64) -> Self {
         let gained = (1.0 - SLOW_START_INITIAL_FRACTION) * age / SLOW_START_DURATION;
@@ -90,14 +90,14 @@
             largest_fraction = largest_fraction.max(sent / allowance.total());
             assert!(
                 sent <= allowance.total(),
-                "{replicas} replicas sent {sent}, allowed {} and {} by chance",
+                "{replicas} replicas sent {sent} requests; allowed are {}, and {} by chance",
                 allowance.requests,
                 allowance.by_chance
             );
         }
         assert!(
             largest_fraction > 0.1,
-            "{replicas} replicas: the endpoint receives requests ({largest_fraction})"
+            "{replicas} replicas: the endpoint received only {largest_fraction} of its allowance"
         );
     }
 }
@@ -116,9 +116,9 @@
         let per_s = quota / f64::from(replicas);
         harness.run_traffic(10_000.0, per_s, &[0], &success_after(20.0));
     }
-    // An even part of ten seconds is 50.
+    // An even part of the traffic of ten seconds is 50 requests.
     let sent = attempts_to_first_endpoint(&fleet, from);
-    assert!((12..=60).contains(&sent), "{sent}");
+    assert!((12..=60).contains(&sent), "{sent} requests to the endpoint");
 }
 
 /// All endpoints are in slow start, as after the return of a zone, and each replica is replaced in the middle of
@@ -152,18 +152,18 @@
         let most = sent_by_upstream.values().max().copied().unwrap_or(0) as f64;
         assert!(
             most <= allowance.total(),
-            "{replicas} replicas sent {most}, allowed {} and {} by chance",
+            "{replicas} replicas sent {most} requests to one endpoint; allowed are {}, and {} by chance",
             allowance.requests,
             allowance.by_chance
         );
         assert!(
             sent_by_upstream.len() as u64 == UPSTREAMS && most > 1.0,
-            "all endpoints receive requests: {sent_by_upstream:?}"
+            "some endpoints received too few requests: {sent_by_upstream:?}"
         );
     }
 }
 
-/// A new replica without endpoints, whose clock continues where that of the other ends.
+/// A new replica without endpoints that replaces another one, whose clock it continues.
 fn successor(harness: &TestHarness) -> TestHarness {
     let settings = harness.settings.clone();
     let seed = 999 + u64::from(settings.index);
@@ -187,6 +187,7 @@
     });
 }
 
+/// The step of 100 ms in which the endpoint restarts.
 const RESTART_STEP: usize = 100;
 
 /// What 200 replicas sent after the restart of upstream 1.
@@ -198,7 +199,11 @@
 
 fn assert_stays_below_overload_factor(restart: impl Fn(&mut TestHarness)) {
     let sent = run_fleet_with_restart(restart);
-    assert!(sent.requests > 3000, "the others serve: {}", sent.requests);
+    assert!(
+        sent.requests > 3000,
+        "only {} requests sent: the other endpoints do not serve",
+        sent.requests
+    );
     // 400 requests per second over 20 endpoints: each carries at least 20 per second.
     for second in 0..10 {
         let from = 10_000.0 + f64::from(second) * 1000.0;
@@ -210,12 +215,12 @@
         let capacity_fraction = 0.15 + 0.85 * f64::from(second) / 20.0;
         assert!(
             sent <= 2.5 * 20.0 * capacity_fraction,
-            "{sent} requests in second {second} at {capacity_fraction} of full capacity"
+            "{sent} requests in second {second}, at {capacity_fraction} of full capacity"
         );
     }
     assert!(
         !sent.to_restarted_at.is_empty(),
-        "the restarted endpoint receives requests"
+        "the restarted endpoint received no requests"
     );
 }
 
