--- a/balancer-core/tests/admission.rs
+++ b/balancer-core/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Tenants' limits when capacity is short.
+//! Admission by tenants' limits when capacity is short.
 mod common;
 
 use balancer_core::{Action, AttemptOutcome, RequestId, Settings};
@@ -23,17 +23,17 @@
     };
     assert!(
         admitted_fraction(1) > 0.95,
-        "within its limit: {} admitted",
+        "tenant within its limit: only a fraction of {} admitted",
         admitted_fraction(1)
     );
     assert!(
         admitted_fraction(0) < 0.9,
-        "over its limit: {} admitted",
+        "tenant over its limit: a fraction of {} admitted",
         admitted_fraction(0)
     );
 }
 
-/// Guards against a large tenant that takes the limits of small ones.
+/// Guards against a large tenant that uses up the limits of small ones.
 #[test]
 fn overload_rejects_mostly_the_tenant_over_its_limit() {
     let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[0.4, 0.3, 0.3]), 4);
@@ -55,7 +55,7 @@
     let small = admitted_fraction(&|position| position >= 8);
     assert!(
         small > 0.65 && large < 0.3,
-        "{small} of the small tenants' requests admitted, {large} of the large one's"
+        "fractions admitted: {small} of the small tenants' requests, {large} of the large one's"
     );
 }
 
@@ -71,11 +71,11 @@
     }
     assert!(
         !harness.request(299).was_sent(),
-        "tenant 0 has used up the cycle's capacity"
+        "tenant 0 should have used up the cycle's capacity"
     );
     assert!(
         matches!(harness.send_request(300, 0, 1)[..], [Action::Send { .. }]),
-        "tenant 1 does not wait for the next cycle"
+        "tenant 1 should not wait for the next cycle"
     );
 }
 
@@ -93,7 +93,7 @@
     };
     assert!(
         sent(0) > 2 * sent(1),
-        "{} of the large tenant admitted, {} of the small one",
+        "{} requests of the large tenant admitted, {} of the small one",
         sent(0),
         sent(1)
     );
@@ -113,7 +113,10 @@
             harness.end_attempt(id, 0, AttemptOutcome::Success);
         }
         let sent = harness.sent_since(0.0).requests;
-        assert!(sent >= min_sent, "{sent} admitted in tier {tier}");
+        assert!(
+            sent >= min_sent,
+            "{sent} of 60 requests admitted in tier {tier}"
+        );
     }
 }
 
@@ -128,7 +131,7 @@
     let mut harness = TestHarness::with_endpoints(settings, 4);
     harness.run_traffic(990.0, 120.0, &[0], &success_after(20.0));
     let rejected = harness.count_actions(|action| matches!(action, Action::Reject { .. }));
-    assert_eq!(rejected, 0, "of 119 requests in the first second");
+    assert_eq!(rejected, 0, "requests rejected, of 119 in the first second");
 }
 
 /// Guards against quotas that idle tenants keep while another one is rejected.
@@ -147,7 +150,7 @@
         .requests
         .iter()
         .filter(|(id, record)| id.0 >= first && id.0 % 50 != 49 && record.was_sent());
-    // Its own 30 per second, and three quarters of the 27 that the other tenant may lend.
+    // Its own 30 requests per second, and three quarters of the 27 that the other tenant may lend.
     let sent = of_busy_tenant.count();
     assert!(
         sent > 500,
--- a/balancer-core/tests/capacity.rs
+++ b/balancer-core/tests/capacity.rs
@@ -9,7 +9,7 @@
     settings_with_late_value, success_after, Response, TestHarness,
 };
 
-/// Guards against a slow recovery of capacity, caused by old latencies.
+/// Guards against capacity that recovers slowly because old latencies still count.
 #[test]
 fn capacity_recovers_soon_after_an_overload() {
     let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 4);
@@ -25,7 +25,7 @@
     );
 }
 
-/// Guards against responses slower than a cycle that are not counted.
+/// Guards against not counting responses that take longer than a cycle.
 #[test]
 fn responses_slower_than_a_cycle_reduce_capacity() {
     let class = Class {
@@ -67,7 +67,7 @@
     );
 }
 
-/// Guards against a reduction only by late responses, when the remaining endpoint is already overloaded.
+/// Guards against capacity that decreases only when responses are late: by then, the remaining endpoint is overloaded.
 #[test]
 fn capacity_decreases_at_once_when_endpoints_drain() {
     let burst = |drained: &[u64]| {
@@ -89,7 +89,7 @@
     );
 }
 
-/// Guards against failures of all endpoints that are blamed on each one, and do not reduce capacity.
+/// Guards against blaming failures of all endpoints on each of them, which would not reduce capacity.
 #[test]
 fn shared_failures_reduce_capacity_below_the_quotas() {
     let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 6);
@@ -103,15 +103,18 @@
         sent < 150,
         "{sent} of 300 requests sent while nearly all fail"
     );
-    assert!(sent > 0, "some are sent to learn from");
+    assert!(
+        sent > 0,
+        "no requests were sent, so that the balancer learns nothing"
+    );
     let lines = harness.count_actions(|action| matches!(action, Action::Log(_)));
     assert!(
         (1..=3).contains(&lines),
-        "a change of state is logged once: {lines} lines"
+        "a change of state should be logged once: {lines} lines"
     );
 }
 
-/// Guards against capacity that grows so slowly after a queue that requests are rejected long after it has gone.
+/// Guards against capacity that grows so slowly after a queue that requests are still rejected long after it is gone.
 #[test]
 fn capacity_grows_within_seconds_to_a_load_above_the_quotas() {
     let settings = Settings {
@@ -131,8 +134,8 @@
     );
 }
 
-/// Guards against a lower tier, whose requests in flight are limited by learned capacity alone, that sends to its
-/// last endpoint what four carried.
+/// Guards against sending the last endpoint of a lower tier what four carried: there, learned capacity alone limits
+/// requests in flight.
 #[test]
 fn capacity_of_a_lower_tier_decreases_at_once_when_endpoints_drain() {
     let burst = |drained: &[u64]| {
--- a/balancer-core/tests/classes.rs
+++ b/balancer-core/tests/classes.rs
@@ -40,7 +40,7 @@
 
 /// Schedules responses to attempts as they are sent.
 struct ResponseSchedule<F> {
-    /// Latency by class and number of the attempt over all requests; `None`: no response.
+    /// Latency in milliseconds by class and by number of the attempt over all requests; `None`: no response.
     latency: F,
     scheduled: Vec<ScheduledResponse>,
     attempts_by_request: BTreeMap<RequestId, usize>,
@@ -75,8 +75,8 @@
     }
 }
 
-/// Sends `per_s` requests per second for `span`, one in fifteen of them heavy. Returns what happened to the light
-/// and the heavy ones; requests of the last three seconds do not count, because they need time to succeed.
+/// Sends `requests_per_s` requests per second for `duration`, one in fifteen of them heavy. Returns what happened to
+/// the light and the heavy ones; requests of the last three seconds do not count, because they need time to succeed.
 fn run_mixed_traffic(
     harness: &mut TestHarness,
     duration: f64,
@@ -126,7 +126,7 @@
     }
 }
 
-/// One response in thirty is lost: timeouts for retries must allow heavy requests their usual latency.
+/// One response in thirty is lost. Early timeouts, which allow a retry, must leave heavy requests their usual latency.
 #[test]
 fn heavy_requests_do_not_time_out_at_the_latency_of_light_ones() {
     let mut harness = harness_with_two_classes(100.0);
@@ -137,15 +137,15 @@
     let [light, heavy] = run_mixed_traffic(&mut harness, 20_000.0, 40.0, latency);
     assert!(
         light.succeeded * 10 >= light.requests * 9,
-        "light: {light:?}"
+        "too few light requests succeeded: {light:?}"
     );
     assert!(
         heavy.succeeded * 10 >= heavy.requests * 9,
-        "heavy: {heavy:?}"
+        "too few heavy requests succeeded: {heavy:?}"
     );
 }
 
-/// Endpoints with heavy requests in flight are not overloaded.
+/// Guards against endpoints that count as overloaded because of heavy requests in flight.
 #[test]
 fn endpoints_with_heavy_requests_receive_light_ones() {
     let mut harness = harness_with_two_classes(100.0);
@@ -153,10 +153,10 @@
     let [light, heavy] = run_mixed_traffic(&mut harness, 20_000.0, 60.0, latency);
     assert!(
         light.succeeded * 20 >= light.requests * 19,
-        "light: {light:?}"
+        "too few light requests succeeded: {light:?}"
     );
     assert!(
         heavy.succeeded * 20 >= heavy.requests * 19,
-        "heavy: {heavy:?}"
+        "too few heavy requests succeeded: {heavy:?}"
     );
 }
--- a/balancer-core/tests/endpoint_list.rs
+++ b/balancer-core/tests/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Which endpoints receive requests by the list, by operators' suspensions and by a class's placement.
+//! Which endpoints may receive requests: by the endpoint list, by operators' suspensions and by a class's placement.
 mod common;
 
 use balancer_core::{
@@ -40,7 +40,7 @@
     for id in 0..200 {
         assert!(
             is_sent(&harness.send_request(id, 0, 0)),
-            "request {id} is sent"
+            "request {id} was not sent"
         );
         let outcome = if id % 9 == 0 {
             AttemptOutcome::ConnectFailed
@@ -60,7 +60,7 @@
     harness.update_endpoints(EndpointEvent::Snapshot(not_allowed));
     assert!(
         is_rejected(&harness.send_request(999, 0, 0)),
-        "never sent elsewhere"
+        "a request should be rejected rather than sent where its class does not allow"
     );
 }
 
@@ -84,7 +84,7 @@
     harness.update_endpoints(EndpointEvent::Snapshot(Vec::new()));
     assert!(
         is_rejected(&harness.send_request(99, 0, 0)),
-        "endpoints that a snapshot lacks are gone"
+        "endpoints that a snapshot lacks should be gone"
     );
 }
 
@@ -101,7 +101,10 @@
         }
         harness.sent_since(start).attempts_to(1)
     };
-    assert!(sent_to_first(&mut harness, 0) > 0, "it is in use before");
+    assert!(
+        sent_to_first(&mut harness, 0) > 0,
+        "the endpoint is not in use before its suspension"
+    );
     harness.suspend(1);
     harness.suspend(1);
     assert_eq!(sent_to_first(&mut harness, 100), 0);
@@ -111,21 +114,29 @@
     assert_eq!(
         harness.balancer.endpoint_counts(harness.now),
         counts(2, 0),
-        "an endpoint that is not listed is not counted"
+        "an endpoint that is not listed should not be counted"
     );
     let returned = Endpoint {
         started_at: harness.now,
         ..endpoint(1)
     };
     harness.update_endpoints(EndpointEvent::Delta(vec![returned]));
-    assert_eq!(sent_to_first(&mut harness, 200), 0, "removed and added");
+    assert_eq!(
+        sent_to_first(&mut harness, 200),
+        0,
+        "requests sent after the list removed and added the endpoint"
+    );
     harness.update_endpoints(EndpointEvent::Snapshot(endpoints(3)));
-    assert_eq!(sent_to_first(&mut harness, 300), 0, "a complete new list");
+    assert_eq!(
+        sent_to_first(&mut harness, 300),
+        0,
+        "requests sent after a complete list"
+    );
     harness.restore(1);
     assert_eq!(harness.balancer.endpoint_counts(harness.now), counts(3, 0));
     assert!(
         sent_to_first(&mut harness, 400) > 0,
-        "one restore undoes both suspensions"
+        "one restore should undo both suspensions"
     );
 }
 
@@ -157,7 +168,7 @@
     let mut harness = TestHarness::new(settings, 6, endpoints(1));
     assert!(
         harness.actions.contains(&Action::PollEndpoints),
-        "it polls the list at once"
+        "a new instance should poll the list at once"
     );
     let late = Event::AttemptEnded {
         request: RequestId(1),
@@ -168,7 +179,7 @@
     };
     assert!(
         harness.handle(late).is_empty(),
-        "outcomes of an earlier incarnation are ignored"
+        "outcomes of an earlier instance should be ignored"
     );
     assert!(matches!(
         harness.send_request(2, 0, 0)[..],
--- a/balancer-core/tests/idle_connections.rs
+++ b/balancer-core/tests/idle_connections.rs
@@ -8,8 +8,8 @@
 /// When the connection to each upstream was last used; absent if none is open.
 type OpenConnections = BTreeMap<UpstreamId, f64>;
 
-/// Sends a request over connections that are closed without notice after 300 ms without use, and returns
-/// whether it got lost. Responses are immediate.
+/// Sends a request over connections that an intermediary closes without notice after 300 ms without use. Returns
+/// whether the request was lost. Responses are immediate.
 fn send_and_report_loss(harness: &mut TestHarness, open: &mut OpenConnections, id: u32) -> bool {
     let mut is_lost = false;
     for action in harness.send_request(id, 0, 0) {
@@ -52,16 +52,16 @@
     }
     assert!(
         lost_in_first_half > 5,
-        "stale connections must be noticed first: {lost_in_first_half} lost"
+        "only {lost_in_first_half} of the first 1000 requests were lost: too few to notice stale connections"
     );
     assert!(
         lost_in_second_half * 10 < 1000,
-        "later, {lost_in_second_half} of 1000 requests use a closed connection"
+        "{lost_in_second_half} of the last 1000 requests used a closed connection"
     );
 }
 
-/// One request in ten on idle connections is reset immediately, too few to count as lost requests. Each one
-/// must not run twice, and a new connection avoids the failure.
+/// One request in ten on idle connections is reset immediately, too few for the rate of lost requests to show it.
+/// These requests must not run twice, so that a reset fails them, and a new connection avoids the failure.
 #[test]
 fn one_immediate_reset_on_an_idle_connection_closes_idle_connections() {
     let settings = Settings {
@@ -99,7 +99,7 @@
     }
     assert!(
         (1..10).contains(&resets),
-        "{resets} of 1000 requests used a stale connection"
+        "{resets} of 1000 requests were reset on a stale connection"
     );
 }
 
@@ -136,7 +136,7 @@
     closes_of_idle_connections: usize,
 }
 
-/// Sends requests of which some are reset after `reset_after` and retried.
+/// Sends requests of which some are reset after `reset_after` milliseconds and retried.
 fn send_with_resets(is_reset: impl Fn(u32) -> bool, reset_after: f64) -> ResetSummary {
     let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 8);
     let mut retries = 0;
@@ -173,6 +173,9 @@
 #[test]
 fn responses_that_break_off_now_and_then_close_no_idle_connections() {
     let summary = send_with_resets(|id| id % 20 == 19, 30.0);
-    assert_eq!(summary.retries, 20, "every reset request is retried");
+    assert_eq!(
+        summary.retries, 20,
+        "requests retried, of 20 that were reset"
+    );
     assert_eq!(summary.closes_of_idle_connections, 0);
 }
--- a/balancer-core/tests/random_events.rs
+++ b/balancer-core/tests/random_events.rs
@@ -26,6 +26,7 @@
     from[rng.next_u32() as usize % from.len()]
 }
 
+/// An endpoint of one of two zones and three kinds.
 fn placed_endpoint(id: u64) -> Endpoint {
     Endpoint {
         zone: (id % 2) as u16,
@@ -34,13 +35,14 @@
     }
 }
 
-/// Eight classes of all kinds of idempotency and placement.
+/// Eight classes with all kinds of idempotency and placement.
 fn classes(seed: u64) -> Vec<Class> {
     let idempotency_key = |scope| Idempotency::IdempotencyKey {
         scope,
         window: 700.0,
     };
-    // If late responses have no value, requests end before the window: half of the seeds let them last.
+    // Requests whose late responses have no value end before the idempotency window: half of the seeds give late
+    // responses some value.
     let late_weight = if seed.is_multiple_of(2) { 0.5 } else { 0.0 };
     let class = |idempotency| Class {
         late_weight,
@@ -107,7 +109,7 @@
     harness.advance(10_000.0);
     assert!(
         harness.requests.values().all(|record| record.is_completed),
-        "every request has its final response"
+        "a request has no final response"
     );
     harness.actions
 }
--- a/balancer-core/tests/retries.rs
+++ b/balancer-core/tests/retries.rs
@@ -36,7 +36,7 @@
     matches!(actions, [Action::Reject { .. }])
 }
 
-/// Guards against attempts that use capacity in every tier above, though their response has no value.
+/// Guards against attempts that use capacity in every tier above although their responses have no value.
 #[test]
 fn request_ends_at_its_objective_if_late_responses_have_no_value() {
     for (late_weight, ends_at) in [(0.0, 500.0), (0.4, 2000.0)] {
@@ -53,10 +53,13 @@
         harness.advance(ends_at - 100.0);
         assert!(
             !harness.request(1).is_completed,
-            "still in flight 100 ms before {ends_at}"
+            "the request ended 100 ms or more before {ends_at} ms"
         );
         harness.advance(100.0);
-        assert!(harness.request(1).is_completed, "ended by {ends_at}");
+        assert!(
+            harness.request(1).is_completed,
+            "the request did not end by {ends_at} ms"
+        );
     }
 }
 
@@ -72,10 +75,10 @@
         .values()
         .filter(|record| record.attempts.len() > 1)
         .any(|record| record.attempts[1].sent_at - record.attempts[0].sent_at < 450.0);
-    assert!(is_retried_in_time, "lost requests are retried in time");
+    assert!(is_retried_in_time, "no lost request was retried in time");
 }
 
-/// Guards against a subset without other endpoints that know the idempotency key.
+/// Guards against a subset without other endpoints that share the memory of the idempotency key.
 #[test]
 fn keyed_retry_finds_another_endpoint_of_its_group() {
     let key = Idempotency::IdempotencyKey {
@@ -125,7 +128,7 @@
         attempts <= requests + 800 / 5 + 10,
         "{attempts} attempts for {requests} requests"
     );
-    assert!(attempts > requests, "some are retried");
+    assert!(attempts > requests, "no request was retried");
 }
 
 /// Guards against rejecting requests with time left because their attempts failed now and then, where the tier
@@ -137,7 +140,7 @@
         let attempts = Cell::new(0_u64);
         let failing_now_and_then = |_: UpstreamId| {
             attempts.set(attempts.get() + 1);
-            // A mixed sequence, so that a request's attempts are independent of one another.
+            // A hash of the attempt's number, so that a request's attempts fail independently of one another.
             let hash = attempts.get().wrapping_mul(0x9E37_79B9_7F4A_7C15) >> 32;
             Some(Response {
                 outcome: if hash.is_multiple_of(one_in) {
@@ -149,7 +152,7 @@
             })
         };
         harness.run_traffic(20_000.0, 150.0, &[0], &failing_now_and_then);
-        // The newest ones are still in flight.
+        // The newest requests are still in flight.
         let ended_by = harness.now + harness.settings.classes[0].deadline - 1000.0;
         let max_attempts = harness.settings.max_attempts as usize;
         let has_attempts_left = |record: &RequestRecord| record.attempts.len() < max_attempts;
@@ -162,7 +165,7 @@
         assert_eq!(
             lost,
             0,
-            "of {} requests, one in {one_in} attempts fails after {duration} ms",
+            "requests lost, of {}, where one in {one_in} attempts fails after {duration} ms",
             harness.requests.len()
         );
     }
@@ -175,7 +178,7 @@
     harness.send_request(1, 0, 0);
     assert!(
         is_sent(&harness.end_attempt(1, 0, AttemptOutcome::Rejected)),
-        "it never ran"
+        "a rejected request should be retried: it never ran"
     );
     assert!(is_sent(&harness.end_attempt(
         1,
@@ -184,12 +187,12 @@
     )));
     assert!(
         is_rejected(&harness.end_attempt(1, 2, AttemptOutcome::Rejected)),
-        "no attempts are left"
+        "a request without attempts left should be rejected"
     );
     harness.send_request(2, 0, 0);
     assert!(
         is_failed(&harness.end_attempt(2, 0, AttemptOutcome::Reset)),
-        "it may have run"
+        "a reset request should fail: it may have run"
     );
 }
 
@@ -203,12 +206,12 @@
     harness.send_request(1, 0, 0);
     assert!(
         is_failed(&harness.end_attempt(1, 0, AttemptOutcome::Rejected)),
-        "it may have run"
+        "a rejected request should fail: it may have run"
     );
     harness.send_request(2, 0, 0);
     assert!(
         is_sent(&harness.end_attempt(2, 0, AttemptOutcome::ConnectFailed)),
-        "it never ran"
+        "a request without a connection should be retried: it never ran"
     );
 
     let settings = Settings {
@@ -230,7 +233,7 @@
     }
 }
 
-/// Guards against retries that wait for a connection and arrive when upstreams no longer discard them.
+/// Guards against retries that wait for a connection, and arrive when upstreams no longer discard repeats.
 #[test]
 fn keyed_request_is_not_retried_if_connecting_could_outlast_its_window() {
     for (elapsed, is_retried) in [(550.0, true), (620.0, false)] {
@@ -245,7 +248,10 @@
         let sent = actions
             .iter()
             .any(|action| matches!(action, Action::Send { .. }));
-        assert_eq!(sent, is_retried, "{elapsed} ms after the first attempt");
+        assert_eq!(
+            sent, is_retried,
+            "whether retried {elapsed} ms after the first attempt"
+        );
     }
 }
 
@@ -258,13 +264,13 @@
     harness.advance(600.0);
     assert!(
         is_sent(&harness.end_attempt(1, 0, AttemptOutcome::Error)),
-        "upstreams remember the key"
+        "a request should be retried while upstreams remember its key"
     );
     harness.send_request(2, 0, 0);
     harness.advance(701.0);
     assert!(
         is_failed(&harness.end_attempt(2, 0, AttemptOutcome::Error)),
-        "upstreams have forgotten the key"
+        "a request should fail once upstreams have forgotten its key"
     );
     let groups_of_one = (1..=4).map(|id| endpoint_of_group(id, id as u16)).collect();
     let mut harness = TestHarness::new(settings, 1, groups_of_one);
@@ -278,6 +284,6 @@
     };
     assert!(
         actions.iter().all(is_allowed),
-        "no other upstream has the key: {actions:?}"
+        "retried at another upstream, which does not know the key: {actions:?}"
     );
 }
--- a/balancer-core/tests/unusual_input.rs
+++ b/balancer-core/tests/unusual_input.rs
@@ -7,7 +7,7 @@
 };
 use common::{endpoint, settings_without_tenants, success_after, tenants, TestHarness};
 
-/// The field that makes settings invalid after a change.
+/// The field that the error names if a change makes settings invalid.
 fn invalid_field(change: impl Fn(&mut Settings)) -> Option<&'static str> {
     let mut settings = Settings {
         tenants: tenants(&[1.0], 10.0),
@@ -78,7 +78,7 @@
         s.zone = 9;
         s.cross_zone_price = 1.0;
     }),
-    ("no slow start and no window", |s| {
+    ("no slow start and no overload window", |s| {
         s.slow_start_initial_fraction = 1.0;
         s.slow_start_duration = 0.0;
         s.slow_start_overload_window = 0.0;
@@ -131,7 +131,7 @@
         .handle(0.0, Event::Request(unknown_class), &mut actions);
     assert!(
         matches!(actions[..], [Action::Reject { .. }]),
-        "an unknown class is rejected, because nothing ran"
+        "a request of an unknown class should be rejected, because it never ran"
     );
     assert!(harness
         .handle(Event::ClientDisconnected(RequestId(77)))
@@ -145,11 +145,11 @@
         .is_empty());
     assert!(
         matches!(harness.send_request(1, 0, 999)[..], [Action::Send { .. }]),
-        "an unlisted tenant is served"
+        "a request of an unlisted tenant should be sent"
     );
 }
 
-/// An event of each kind that carries times, with this value for them.
+/// Events that carry times, all set to `value`, and a timer.
 fn events_with_time(step: usize, value: f64) -> [Event; 5] {
     let list = (1..5)
         .map(|id| Endpoint {
@@ -212,6 +212,6 @@
         .collect();
     assert!(
         !timeouts.is_empty() && !timeouts.iter().any(|timeout| timeout.is_nan()),
-        "{timeouts:?}"
+        "no attempt was sent, or a timeout is not a number: {timeouts:?}"
     );
 }
