--- a/balancer-core/tests/common/harness.rs
+++ b/balancer-core/tests/common/harness.rs
@@ -1,4 +1,4 @@
-//! A harness that drives one balancer, plays its clients and upstreams, and checks every action.
+//! A harness that drives one balancer, simulates its clients and upstreams, and checks every action.
 use super::fixtures::endpoints;
 use balancer_core::{
     Action, AttemptOutcome, Availability, Balancer, Endpoint, EndpointEvent, Event, Request,
@@ -59,14 +59,14 @@
     }
 
     /// Number of the first attempt in flight.
-    pub fn first_in_flight(&self) -> Option<usize> {
+    pub fn first_attempt_in_flight(&self) -> Option<usize> {
         self.attempts
             .iter()
             .position(|attempt| attempt.outcome.is_none())
     }
 
     /// Number of the attempt in flight that times out first.
-    fn next_timeout(&self) -> Option<usize> {
+    fn next_attempt_to_time_out(&self) -> Option<usize> {
         (0..self.attempts.len())
             .filter(|&number| self.attempts[number].outcome.is_none())
             .min_by(|&a, &b| {
@@ -77,7 +77,7 @@
     }
 }
 
-/// Requests sent since some time.
+/// Requests and attempts sent since a given time.
 pub struct SentSummary {
     /// Requests with at least one attempt.
     pub requests: usize,
@@ -95,7 +95,7 @@
         self.by_upstream.get(&upstream).copied().unwrap_or(0)
     }
 
-    /// Attempts to the upstreams whose number satisfies a condition.
+    /// Attempts to the upstreams whose id satisfies a condition.
     pub fn attempts_where(&self, condition: impl Fn(u64) -> bool) -> usize {
         self.by_upstream
             .iter()
@@ -118,7 +118,7 @@
     outcome: AttemptOutcome,
 }
 
-/// What happens next while time advances.
+/// The next event while the clock advances.
 #[derive(Clone, Copy)]
 enum NextEvent {
     Timeout { request: RequestId, attempt: usize },
@@ -141,7 +141,7 @@
 }
 
 impl TestHarness {
-    /// A harness with a cached list of endpoints.
+    /// A harness that starts with these endpoints as its cached list.
     pub fn new(settings: Settings, seed: u64, endpoints: Vec<Endpoint>) -> Self {
         let balancer = Balancer::new(settings.clone(), seed, 0.0).expect("valid settings");
         let mut harness = TestHarness {
@@ -159,7 +159,7 @@
         harness
     }
 
-    /// A harness with this many ready endpoints and the usual seed.
+    /// A harness with `count` ready endpoints and a fixed seed.
     pub fn with_endpoints(settings: Settings, count: u64) -> Self {
         TestHarness::new(settings, 4, endpoints(count))
     }
@@ -202,7 +202,7 @@
         &self.requests[&RequestId(id)]
     }
 
-    /// The number after that of the newest request.
+    /// The id after that of the newest request.
     pub fn next_request_id(&self) -> u32 {
         self.requests.last_key_value().map_or(0, |(id, _)| id.0 + 1)
     }
@@ -227,7 +227,10 @@
 
     pub fn end_attempt(&mut self, id: u32, attempt: usize, outcome: AttemptOutcome) -> Vec<Action> {
         let id = RequestId(id);
-        let record = self.requests.get_mut(&id).expect("a known request");
+        let record = self
+            .requests
+            .get_mut(&id)
+            .expect("request should be in the records");
         record.attempts[attempt].outcome = Some(outcome);
         record.is_completed |= outcome == AttemptOutcome::Success;
         let duration = self.now - record.attempts[attempt].sent_at;
@@ -245,26 +248,26 @@
         let id = RequestId(id);
         self.requests
             .get_mut(&id)
-            .expect("a known request")
+            .expect("request should be in the records")
             .is_completed = true;
         self.handle(Event::ClientDisconnected(id))
     }
 
-    /// Sends `per_s` requests per second for `span`, for each tenant in turn. `upstream` says how each attempt
-    /// ends and after how long (`None`: never).
+    /// Sends `requests_per_s` requests per second for `duration`, for each tenant in turn. `upstream` decides how
+    /// each attempt ends and after how long; `None`: it gets no response.
     pub fn run_traffic(
         &mut self,
-        span: f64,
-        per_s: f64,
+        duration: f64,
+        requests_per_s: f64,
         tenants: &[usize],
         upstream: &dyn Fn(UpstreamId) -> Option<Response>,
     ) {
-        let until = self.now + span;
+        let until = self.now + duration;
         while self.now < until {
             let id = self.next_request_id();
             self.send_request(id, 0, tenants[id as usize % tenants.len()]);
             self.schedule_response(id, upstream);
-            let next = self.now + 1000.0 / per_s;
+            let next = self.now + 1000.0 / requests_per_s;
             while let Some(response) = self.pop_response_due(next) {
                 self.advance((response.at - self.now).max(0.0));
                 let record = self.request(response.request);
@@ -332,9 +335,9 @@
             .count()
     }
 
-    /// Advances the clock; timers expire and attempts time out on the way.
-    pub fn advance(&mut self, span: f64) {
-        let until = self.now + span;
+    /// Advances the clock; timers that are due expire, and attempts time out.
+    pub fn advance(&mut self, duration: f64) {
+        let until = self.now + duration;
         while let Some((at, event)) = self.next_event().filter(|(at, _)| *at <= until) {
             self.now = at;
             match event {
@@ -344,7 +347,7 @@
                         .timers
                         .iter()
                         .position(|timer| *timer == (at, token))
-                        .expect("the timer is set");
+                        .expect("timer should be in the list");
                     self.timers.remove(position);
                     self.handle(Event::Timer(token));
                 }
@@ -355,7 +358,7 @@
 
     fn next_event(&self) -> Option<(f64, NextEvent)> {
         let timeouts = self.requests.iter().filter_map(|(&request, record)| {
-            let attempt = record.next_timeout()?;
+            let attempt = record.next_attempt_to_time_out()?;
             let at = record.attempts[attempt].times_out_at.max(self.now);
             Some((at, NextEvent::Timeout { request, attempt }))
         });
@@ -382,7 +385,7 @@
         let mut actions = Vec::new();
         self.balancer.handle(self.now, event, &mut actions);
         for action in &actions {
-            self.check(action);
+            self.check_action(action);
         }
         for (id, record) in &self.requests {
             assert!(
--- a/balancer-core/tests/idle_connections.rs
+++ b/balancer-core/tests/idle_connections.rs
@@ -8,13 +8,9 @@
 /// When the connection to each upstream was last used; absent if none is open.
 type OpenConnections = BTreeMap<UpstreamId, f64>;
 
-/// Sends a request over connections that are closed without notice after 300 ms without use, and returns
-/// whether it got lost. Responses are immediate.
-fn is_lost_on_closed_connection(
-    harness: &mut TestHarness,
-    open: &mut OpenConnections,
-    id: u32,
-) -> bool {
+/// Sends a request over connections that an intermediary closes without notice after 300 ms without use. Returns
+/// whether the request was lost. Responses are immediate.
+fn send_and_report_loss(harness: &mut TestHarness, open: &mut OpenConnections, id: u32) -> bool {
     let mut is_lost = false;
     for action in harness.send_request(id, 0, 0) {
         match action {
@@ -45,7 +41,7 @@
     let mut lost_in_first_half = 0;
     let mut lost_in_second_half = 0;
     for id in 0..2000 {
-        if is_lost_on_closed_connection(&mut harness, &mut open, id) {
+        if send_and_report_loss(&mut harness, &mut open, id) {
             if id < 1000 {
                 lost_in_first_half += 1;
             } else {
@@ -56,16 +52,16 @@
     }
     assert!(
         lost_in_first_half > 5,
-        "stale connections must be noticed first: {lost_in_first_half} lost"
+        "only {lost_in_first_half} of the first 1000 requests were lost: too few to notice stale connections"
     );
     assert!(
         lost_in_second_half * 10 < 1000,
-        "later, {lost_in_second_half} of 1000 requests use a closed connection"
+        "{lost_in_second_half} of the last 1000 requests used a closed connection"
     );
 }
 
-/// One request in ten on idle connections is reset immediately, too few to count as lost requests. Each one
-/// must not run twice, and a new connection avoids the failure.
+/// One request in ten on idle connections is reset immediately, too few for the rate of lost requests to show it.
+/// These requests must not run twice, so that a reset fails them, and a new connection avoids the failure.
 #[test]
 fn one_immediate_reset_on_an_idle_connection_closes_idle_connections() {
     let settings = Settings {
@@ -103,7 +99,7 @@
     }
     assert!(
         (1..10).contains(&resets),
-        "{resets} of 1000 requests used a stale connection"
+        "{resets} of 1000 requests were reset on a stale connection"
     );
 }
 
@@ -124,7 +120,7 @@
     let mut harness = TestHarness::with_endpoints(settings, 12);
     let mut open = OpenConnections::new();
     for id in 0..140 {
-        is_lost_on_closed_connection(&mut harness, &mut open, id);
+        send_and_report_loss(&mut harness, &mut open, id);
         harness.advance(40.0);
     }
     let sent = harness.sent_since(3000.0).requests;
@@ -140,7 +136,7 @@
     closes_of_idle_connections: usize,
 }
 
-/// Sends requests of which some are reset after `reset_after` and retried.
+/// Sends requests of which some are reset after `reset_after` milliseconds and retried.
 fn send_with_resets(is_reset: impl Fn(u32) -> bool, reset_after: f64) -> ResetSummary {
     let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 8);
     let mut retries = 0;
@@ -177,6 +173,9 @@
 #[test]
 fn responses_that_break_off_now_and_then_close_no_idle_connections() {
     let summary = send_with_resets(|id| id % 20 == 19, 30.0);
-    assert_eq!(summary.retries, 20, "every reset request is retried");
+    assert_eq!(
+        summary.retries, 20,
+        "requests retried, of 20 that were reset"
+    );
     assert_eq!(summary.closes_of_idle_connections, 0);
 }
--- a/balancer-core/tests/random_events.rs
+++ b/balancer-core/tests/random_events.rs
@@ -26,7 +26,8 @@
     from[rng.next_u32() as usize % from.len()]
 }
 
-fn endpoint_in_zone(id: u64) -> Endpoint {
+/// An endpoint of one of two zones and three kinds.
+fn placed_endpoint(id: u64) -> Endpoint {
     Endpoint {
         zone: (id % 2) as u16,
         kind: (id % 3) as u8,
@@ -34,13 +35,14 @@
     }
 }
 
-/// Eight classes of all kinds of idempotency and placement.
+/// Eight classes with all kinds of idempotency and placement.
 fn classes(seed: u64) -> Vec<Class> {
     let idempotency_key = |scope| Idempotency::IdempotencyKey {
         scope,
         window: 700.0,
     };
-    // If late responses have no value, requests end before the window: half of the seeds let them last.
+    // Requests whose late responses have no value end before the idempotency window: half of the seeds give late
+    // responses some value.
     let late_weight = if seed.is_multiple_of(2) { 0.5 } else { 0.0 };
     let class = |idempotency| Class {
         late_weight,
@@ -91,7 +93,7 @@
 fn run(seed: u64) -> Vec<Action> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed);
     let settings = settings(seed, &mut rng);
-    let list = (1..9).map(endpoint_in_zone).collect();
+    let list = (1..9).map(placed_endpoint).collect();
     let mut harness = TestHarness::new(settings, seed, list);
     let mut started_at = 0.0;
     for id in 0..1500u32 {
@@ -107,7 +109,7 @@
     harness.advance(10_000.0);
     assert!(
         harness.requests.values().all(|record| record.is_completed),
-        "every request has its final response"
+        "a request has no final response"
     );
     harness.actions
 }
@@ -125,7 +127,7 @@
             change_random_endpoint(harness, rng, *started_at);
         }
         1 if request.is_multiple_of(7) => {
-            let list = (1..7).map(endpoint_in_zone).collect();
+            let list = (1..7).map(placed_endpoint).collect();
             harness.update_endpoints(EndpointEvent::Snapshot(list));
         }
         2 if harness.settings.poll_endpoints => {
@@ -155,7 +157,7 @@
         let changed = Endpoint {
             availability,
             started_at,
-            ..endpoint_in_zone(id)
+            ..placed_endpoint(id)
         };
         harness.update_endpoints(EndpointEvent::Delta(vec![changed]));
     }
@@ -166,7 +168,7 @@
     let in_flight: Vec<(u32, usize)> = harness
         .requests
         .iter()
-        .filter_map(|(id, record)| Some((id.0, record.first_in_flight()?)))
+        .filter_map(|(id, record)| Some((id.0, record.first_attempt_in_flight()?)))
         .collect();
     let position = rng.next_u32() as usize % in_flight.len().max(1);
     let Some(&(id, attempt)) = in_flight.get(position) else {
@@ -181,7 +183,7 @@
 }
 
 #[test]
-fn random_events_keep_the_rules() {
+fn actions_follow_the_rules_under_random_events() {
     let mut sends = 0;
     for seed in 0..16 {
         sends += run(seed)
