--- a/balancer-settings/src/conversion.rs
+++ b/balancer-settings/src/conversion.rs
@@ -67,7 +67,7 @@
     match mode {
         "pushed" => Ok(false),
         "on_request" => Ok(true),
-        other => Err(unknown_name("membership_mode", "mode", other)),
+        other => Err(unknown_value("membership_mode", "mode", other)),
     }
 }
 
@@ -99,7 +99,7 @@
             scope: to_dedup_scope(&class.dedup_scope)?,
             window: class.dedup_window,
         }),
-        other => Err(unknown_name("classes.effect", "effect", other)),
+        other => Err(unknown_value("classes.effect", "effect", other)),
     }
 }
 
@@ -108,7 +108,7 @@
         "all" => Ok(DedupScope::All),
         "zone" => Ok(DedupScope::Zone),
         "cell" => Ok(DedupScope::Group),
-        other => Err(unknown_name("classes.dedup_scope", "scope", other)),
+        other => Err(unknown_value("classes.dedup_scope", "scope", other)),
     }
 }
 
@@ -121,13 +121,13 @@
 
 fn to_duration(key: &'static str, millis: f64) -> Result<Duration, SettingsParseError> {
     if !(0.0..=MAX_TIME_MS).contains(&millis) {
-        return Err(SettingsParseError::Time { key });
+        return Err(SettingsParseError::InvalidTime { key });
     }
     Ok(Duration::from_secs_f64(millis / MILLIS_PER_SECOND))
 }
 
-fn unknown_name(key: &'static str, category: &'static str, value: &str) -> SettingsParseError {
-    SettingsParseError::UnknownName {
+fn unknown_value(key: &'static str, category: &'static str, value: &str) -> SettingsParseError {
+    SettingsParseError::UnknownValue {
         key,
         category,
         value: value.to_string(),
--- a/balancer-settings/src/error.rs
+++ b/balancer-settings/src/error.rs
@@ -18,7 +18,7 @@
     },
     /// A key with a fixed set of values has another one.
     #[error("{key}: unknown {category} {value:?}")]
-    UnknownName {
+    UnknownValue {
         /// The key.
         key: &'static str,
         /// What its values name.
@@ -28,7 +28,7 @@
     },
     /// A time is negative, not a number, or too long.
     #[error("{key}: must be a time of at least 0")]
-    Time {
+    InvalidTime {
         /// The key.
         key: &'static str,
     },
--- a/balancer-settings/tests/parsing.rs
+++ b/balancer-settings/tests/parsing.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn converts_times_of_the_sockets_to_durations() {
+fn converts_socket_timeouts_to_durations() {
     let deployment = parse_deployment(MINIMAL.as_bytes()).unwrap();
     assert_eq!(deployment.connect_timeout, Duration::from_millis(250));
     assert_eq!(deployment.drain_grace, Duration::from_millis(1000));
--- a/fault-injection/src/control.rs
+++ b/fault-injection/src/control.rs
@@ -9,9 +9,9 @@
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
 
 /// Name of the environment variable with the path of the control file. Without it no call fails.
-pub const CONTROL_FILE: &str = text_of(CONTROL_FILE_VARIABLE);
+pub const CONTROL_FILE: &str = str_from_c_str(CONTROL_FILE_VARIABLE);
 /// Name of the environment variable with the seed of the random choices.
-pub const SEED: &str = text_of(SEED_VARIABLE);
+pub const SEED: &str = str_from_c_str(SEED_VARIABLE);
 /// The word for a probability of one.
 pub const CERTAIN: u64 = 1_000_000;
 /// Size of the control file.
@@ -21,7 +21,7 @@
 pub const WORD_BYTES: usize = 8;
 
 /// Marks a word that counts calls instead of being a probability.
-const FIRST_CALLS: u64 = 1 << 32;
+const FIRST_CALLS_FLAG: u64 = 1 << 32;
 const CONTROL_FILE_VARIABLE: &CStr = c"FAULT_CONTROL";
 const SEED_VARIABLE: &CStr = c"FAULT_SEED";
 /// The golden ratio in 64 bits: spreads small seeds over all states of the generator.
@@ -29,7 +29,7 @@
 /// Multiplier of the generator xorshift64*.
 const OUTPUT_FACTOR: u64 = 0x2545_f491_4f6c_dd1d;
 
-const fn text_of(name: &'static CStr) -> &'static str {
+const fn str_from_c_str(name: &'static CStr) -> &'static str {
     match name.to_str() {
         Ok(text) => text,
         Err(_) => panic!("the names of the variables are ASCII"),
@@ -39,7 +39,7 @@
 /// The word that makes the first `calls` calls fail. They are counted while such a word is set, over the life of the
 /// process.
 pub const fn first_calls(calls: u32) -> u64 {
-    FIRST_CALLS | calls as u64
+    FIRST_CALLS_FLAG | calls as u64
 }
 
 /// The mapped control file; null without one.
@@ -157,8 +157,9 @@
 
 /// Whether the next call fails by this word.
 fn is_due(fault: Fault, word: u64) -> bool {
-    if word & FIRST_CALLS != 0 {
-        return COUNTED_CALLS[fault as usize].fetch_add(1, Ordering::Relaxed) < word ^ FIRST_CALLS;
+    if word & FIRST_CALLS_FLAG != 0 {
+        return COUNTED_CALLS[fault as usize].fetch_add(1, Ordering::Relaxed)
+            < word ^ FIRST_CALLS_FLAG;
     }
     (random() >> 16) % CERTAIN < word
 }
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -1,5 +1,5 @@
 //! The balancers of one process, and the handling of batches by them.
-use crate::wire::{self, Batch, EndpointTable, Record, ReplyBuilder, TableError};
+use crate::wire::{self, Batch, EndpointTable, EndpointUpdateError, Record, ReplyBuilder};
 use balancer_core::{Action, Balancer, Event, Millis, SettingsError};
 use balancer_settings::SettingsParseError;
 use std::collections::BTreeMap;
@@ -32,7 +32,10 @@
     Rejected(#[from] SettingsError),
     /// An endpoint update cannot be resolved.
     #[error("table {table}: {source}")]
-    Table { table: u32, source: TableError },
+    EndpointUpdate {
+        table: u32,
+        source: EndpointUpdateError,
+    },
 }
 
 /// All balancers of the process.
@@ -84,7 +87,7 @@
             }
             Record::EndpointUpdate { kind, table } => {
                 let event = wire::endpoint_event(kind, self.tables.get(&table))
-                    .map_err(|source| HostError::Table { table, source })?;
+                    .map_err(|source| HostError::EndpointUpdate { table, source })?;
                 self.handle_event(instance?, now, Event::Endpoints(event));
             }
             Record::Event(event) => self.handle_event(instance?, now, event),
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -40,7 +40,7 @@
     let mut host = Host::default();
     let mut frame = 0;
     while let Some(bytes) = wire::read_frame(&mut input, frame)? {
-        let batch = wire::decode(&bytes, frame)?;
+        let batch = wire::decode_batch(&bytes, frame)?;
         let reply = host
             .handle_batch(batch)
             .map_err(|source| AdapterError::Batch { frame, source })?;
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -16,9 +16,9 @@
 mod record;
 mod reply;
 
-pub use endpoints::{endpoint_event, EndpointTable, TableError};
+pub use endpoints::{endpoint_event, EndpointTable, EndpointUpdateError};
 pub use error::WireError;
-pub use frame::{decode, read_frame, Batch};
+pub use frame::{decode_batch, read_frame, Batch};
 pub use record::Record;
 pub use reply::ReplyBuilder;
 
--- a/simulator-adapter/src/wire/error.rs
+++ b/simulator-adapter/src/wire/error.rs
@@ -44,7 +44,7 @@
 pub enum HeaderError {
     /// The stated size is impossible.
     #[error("stated size of {0} bytes is outside {HEADER_BYTES} to {MAX_FRAME_BYTES}")]
-    StatedSize(usize),
+    SizeOutOfRange(usize),
     /// The frame is smaller than a header.
     #[error("{0} bytes are too few for a frame")]
     TooShort(usize),
@@ -66,7 +66,7 @@
     },
     /// The clock is not a finite number.
     #[error("the clock reads {0}")]
-    Clock(f64),
+    ClockNotFinite(f64),
 }
 
 /// Why a record is rejected.
--- a/simulator-adapter/src/wire/frame.rs
+++ b/simulator-adapter/src/wire/frame.rs
@@ -30,21 +30,21 @@
 /// Reads frame number `frame`, counted from zero; `None` where the input ends before it.
 pub fn read_frame(input: &mut impl Read, frame: u64) -> Result<Option<Vec<u8>>, WireError> {
     let mut bytes = Vec::new();
-    fill(input, &mut bytes, SIZE_FIELD_BYTES, frame)?;
+    read_to_length(input, &mut bytes, SIZE_FIELD_BYTES, frame)?;
     if bytes.is_empty() {
         return Ok(None);
     }
     let size = FieldReader::new(&bytes).u32() as usize;
     if !(HEADER_BYTES..=MAX_FRAME_BYTES).contains(&size) {
-        let source = HeaderError::StatedSize(size);
+        let source = HeaderError::SizeOutOfRange(size);
         return Err(WireError::Header { frame, source });
     }
-    fill(input, &mut bytes, size, frame)?;
+    read_to_length(input, &mut bytes, size, frame)?;
     Ok(Some(bytes))
 }
 
 /// Extends `bytes` to `wanted` bytes. Leaves it empty if the input ends before the first byte.
-fn fill(
+fn read_to_length(
     input: &mut impl Read,
     bytes: &mut Vec<u8>,
     wanted: usize,
@@ -72,7 +72,7 @@
 }
 
 /// Decodes the bytes of frame number `frame`, counted from zero.
-pub fn decode(bytes: &[u8], frame: u64) -> Result<Batch, WireError> {
+pub fn decode_batch(bytes: &[u8], frame: u64) -> Result<Batch, WireError> {
     let header = Header::decode(bytes).map_err(|source| WireError::Header { frame, source })?;
     let (events, tail) = bytes[HEADER_BYTES..].split_at(header.record_count * EVENT_BYTES);
     let mut records = Vec::with_capacity(header.record_count);
@@ -117,7 +117,7 @@
         }
         let now = fields.f64();
         if !now.is_finite() {
-            return Err(HeaderError::Clock(now));
+            return Err(HeaderError::ClockNotFinite(now));
         }
         Ok(Header {
             record_count: count,
--- a/simulator-adapter/src/wire/record.rs
+++ b/simulator-adapter/src/wire/record.rs
@@ -82,9 +82,9 @@
         event_code::STOP_INSTANCE => Ok(Record::StopInstance),
         event_code::ENDPOINT_UPDATE => Ok(decode_endpoint_update(fields)),
         event_code::HEALTH_CHECK_RESULT | event_code::PEER_MESSAGE => Ok(Record::Ignored),
-        event_code::START_INSTANCE => decode_start(fields, tail),
+        event_code::START_INSTANCE => decode_start_instance(fields, tail),
         event_code::REQUEST => decode_request(fields),
-        event_code::ENDPOINT_TABLE => decode_table(fields, tail),
+        event_code::ENDPOINT_TABLE => decode_endpoint_table(fields, tail),
         event_code::ATTEMPT_ENDED => decode_attempt_ended(fields),
         event_code::CLIENT_DISCONNECTED => {
             let request = RequestId(fields.u32());
@@ -103,7 +103,7 @@
     Record::EndpointUpdate { kind, table }
 }
 
-fn decode_start(mut fields: FieldReader<'_>, tail: &[u8]) -> Result<Record, RecordError> {
+fn decode_start_instance(mut fields: FieldReader<'_>, tail: &[u8]) -> Result<Record, RecordError> {
     let seed = fields.u64();
     let start = fields.u32();
     let length = u64::from(fields.u32());
@@ -116,7 +116,7 @@
     let class = usize::from(fields.u8());
     let tenant = fields.u32() as usize;
     fields.skip(REQUEST_KEY_BYTES);
-    let deadline = finite("deadline", fields.f64())?;
+    let deadline = require_finite("deadline", fields.f64())?;
     let request = Request {
         id,
         class,
@@ -126,7 +126,7 @@
     Ok(Record::Event(Event::Request(request)))
 }
 
-fn decode_table(mut fields: FieldReader<'_>, tail: &[u8]) -> Result<Record, RecordError> {
+fn decode_endpoint_table(mut fields: FieldReader<'_>, tail: &[u8]) -> Result<Record, RecordError> {
     let number = fields.u32();
     let start = fields.u32();
     let length = u64::from(fields.u32()) * ENDPOINT_BYTES as u64;
@@ -143,7 +143,7 @@
     let attempt = u32::from(fields.u16());
     fields.skip(UPSTREAM_BYTES);
     let outcome = decode_outcome(fields.u16());
-    let duration = finite("duration", fields.f64())?;
+    let duration = require_finite("duration", fields.f64())?;
     let request_completed = fields.u8() != 0;
     Ok(Record::Event(Event::AttemptEnded {
         request,
@@ -196,7 +196,7 @@
 }
 
 /// Checks that a field holds a finite number.
-pub(super) fn finite(field: &'static str, value: f64) -> Result<f64, RecordError> {
+pub(super) fn require_finite(field: &'static str, value: f64) -> Result<f64, RecordError> {
     if !value.is_finite() {
         return Err(RecordError::NotFinite { field, value });
     }
--- a/simulator-adapter/src/wire/reply.rs
+++ b/simulator-adapter/src/wire/reply.rs
@@ -7,7 +7,7 @@
 /// Size of an action record.
 const ACTION_BYTES: usize = 24;
 /// The value of a flag that is set.
-const ENABLED: u8 = 1;
+const FLAG_SET: u8 = 1;
 
 /// Codes of action records.
 mod action_code {
@@ -65,7 +65,7 @@
                     .upstream(*upstream);
             }
             Action::PollEndpoints => {
-                self.push_record(action_code::POLL_ENDPOINTS).u8(ENABLED);
+                self.push_record(action_code::POLL_ENDPOINTS).u8(FLAG_SET);
             }
             Action::SetTimer { after, token } => {
                 self.push_record(action_code::SET_TIMER)
--- a/simulator-adapter/src/wire/tests.rs
+++ b/simulator-adapter/src/wire/tests.rs
@@ -22,7 +22,7 @@
 
 #[test]
 fn decodes_documented_empty_batch_and_encodes_its_reply() {
-    let batch = decode(&bytes("00000014 00000000 40c06e2000000000 00000001"), 0).unwrap();
+    let batch = decode_batch(&bytes("00000014 00000000 40c06e2000000000 00000001"), 0).unwrap();
     assert_eq!(batch.now, 8412.25);
     assert_eq!(batch.number, 1);
     assert_eq!(batch.records.len(), 0);
@@ -43,7 +43,7 @@
     frame.extend(padded("00 0000004d", EVENT_BYTES));
     frame.extend(padded("0a 0005", EVENT_BYTES));
     frame.extend(padded("09 0e6f2b19", EVENT_BYTES));
-    let batch = decode(&frame, 0).unwrap();
+    let batch = decode_batch(&frame, 0).unwrap();
     let request = Request {
         id: RequestId(0x5d3a_91c4),
         class: 0,
@@ -136,7 +136,7 @@
         "0b 5d3a91c4 0a124a07 2bc3 0001 4032800000000000",
         EVENT_BYTES,
     ));
-    let batch = decode(&frame, 0).unwrap();
+    let batch = decode_batch(&frame, 0).unwrap();
     let request = RequestId(0x5d3a_91c4);
     assert_eq!(
         batch.records,
@@ -168,7 +168,7 @@
     ));
     let size = frame.len() as u32;
     frame[..4].copy_from_slice(&size.to_be_bytes());
-    let batch = decode(&frame, 0).unwrap();
+    let batch = decode_batch(&frame, 0).unwrap();
     let Record::EndpointTable {
         number: 0,
         endpoints,
@@ -195,7 +195,7 @@
         .unwrap_err()
         .contains("ended after 8 of 20"));
 
-    let decode_error = |frame: &[u8]| decode(frame, 2).unwrap_err().to_string();
+    let decode_error = |frame: &[u8]| decode_batch(frame, 2).unwrap_err().to_string();
     let mut frame = bytes("00000044 00000001 40c06e2000000000 00000001");
     frame.extend(padded("63", EVENT_BYTES));
     assert!(decode_error(&frame).contains("unknown event code 99"));
