--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! The balancers of one process, and the handling of batches by them.
+//! The balancer instances of the process, and the handling of batches by them.
 use crate::wire::{self, Batch, EndpointTable, EndpointUpdateError, Record, ReplyBuilder};
 use balancer_core::{Action, Balancer, Event, Millis, SettingsError};
 use balancer_settings::SettingsParseError;
@@ -9,7 +9,7 @@
 #[derive(Debug, Error)]
 #[error("record {record}: {source}")]
 pub struct BatchError {
-    /// Position of the record at fault, counted from zero.
+    /// Position in the batch of the record that failed, counted from zero.
     record: usize,
     /// The cause.
     source: HostError,
@@ -18,10 +18,10 @@
 /// Why a record could not be handled.
 #[derive(Debug, Error)]
 enum HostError {
-    /// No instance is selected for a record that needs one.
-    #[error("no instance was named before this record")]
+    /// The record concerns an instance, and no earlier record of the batch selects one.
+    #[error("no instance is selected by an earlier record of the batch")]
     NoInstance,
-    /// An instance's settings cannot be read.
+    /// An instance's settings cannot be parsed.
     #[error("settings of instance {instance}: {source}")]
     Settings {
         instance: u16,
@@ -30,29 +30,30 @@
     /// The core rejected an instance's settings.
     #[error(transparent)]
     Rejected(#[from] SettingsError),
-    /// An endpoint update cannot be resolved.
-    #[error("table {table}: {source}")]
+    /// An endpoint update is invalid.
+    #[error("endpoint update that refers to table {table}: {source}")]
     EndpointUpdate {
         table: u32,
         source: EndpointUpdateError,
     },
 }
 
-/// All balancers of the process.
+/// All balancer instances of the process.
 #[derive(Default)]
 pub struct Host {
+    /// Running instances by their numbers.
     balancers: BTreeMap<u16, Balancer>,
-    /// Endpoint lists by their numbers.
+    /// Endpoint tables by their numbers.
     tables: BTreeMap<u32, EndpointTable>,
-    /// Actions of the event being handled; empty in between.
+    /// Actions of the event being handled; empty between events.
     actions: Vec<Action>,
     reply: ReplyBuilder,
-    /// The instance that the reply's latest records belong to.
+    /// The instance that the reply's latest records belong to; `None` before the first.
     reply_instance: Option<u16>,
 }
 
 impl Host {
-    /// Handles all records of a batch in order and returns the reply's frame.
+    /// Handles all records of a batch in order and returns the encoded reply.
     pub fn handle_batch(&mut self, batch: Batch) -> Result<Vec<u8>, BatchError> {
         let mut selected = None;
         self.reply_instance = None;
@@ -110,7 +111,8 @@
         Ok(())
     }
 
-    /// Passes an event to an instance and adds its actions to the reply. Events of a stopped instance are dropped.
+    /// Passes an event to an instance and adds its actions to the reply. An event for an instance that does not run is
+    /// dropped.
     fn handle_event(&mut self, instance: u16, now: Millis, event: Event) {
         let Some(balancer) = self.balancers.get_mut(&instance) else {
             return;
--- a/simulator-adapter/src/main.rs
+++ b/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts balancer-core instances on the simulator's wire: batches of events on standard input, replies on standard
-//! output.
+//! Connects balancer-core instances to the simulator: reads batches of events from standard input and writes replies
+//! to standard output.
 mod host;
 mod wire;
 
@@ -9,17 +9,17 @@
 use thiserror::Error;
 use wire::WireError;
 
-/// Why the adapter ended before its input.
+/// Why the adapter stopped before the end of its input.
 #[derive(Debug, Error)]
 enum AdapterError {
-    /// A frame cannot be read.
+    /// A frame cannot be read or decoded.
     #[error(transparent)]
     Wire(#[from] WireError),
     /// A record cannot be handled.
     #[error("frame {frame}, {source}")]
     Batch { frame: u64, source: BatchError },
-    /// Standard output failed.
-    #[error("writing the reply: {0}")]
+    /// Writing to standard output failed.
+    #[error("cannot write the reply to standard output: {0}")]
     Write(#[source] io::Error),
 }
 
--- a/simulator-adapter/src/wire.rs
+++ b/simulator-adapter/src/wire.rs
@@ -1,14 +1,14 @@
-//! The simulator's binary wire: batches of events come in, one reply with actions goes out for each.
+//! The simulator's binary protocol: each batch of events that is received is answered by one reply with actions.
 //!
-//! Numbers are big-endian and fields have no padding. A frame is a header, records of a fixed size, and a tail with
-//! everything of variable size. Each record starts with a code; unused bytes at its end are zero.
+//! Numbers are big-endian and fields have no padding. A frame consists of a header, records of a fixed size, and a
+//! tail with all data of variable size. Each record starts with a code; unused bytes at its end are zero.
 //!
-//! - [`frame`] reads one frame from the pipe and decodes its header;
-//! - [`record`] decodes event records;
+//! - [`frame`] reads frames from standard input and decodes them into batches;
+//! - [`record`] decodes the event records of a batch;
 //! - [`endpoints`] decodes endpoint lists;
 //! - [`reply`] encodes action records;
 //! - [`field`] reads and writes single fields;
-//! - [`error`] lists the reasons for rejecting a frame.
+//! - [`error`] defines the errors of reading and decoding.
 mod endpoints;
 mod error;
 mod field;
--- a/simulator-adapter/src/wire/endpoints.rs
+++ b/simulator-adapter/src/wire/endpoints.rs
@@ -1,26 +1,26 @@
-//! Endpoint lists: entries of 24 bytes in a batch's tail, and the updates that refer to them.
+//! Endpoint tables: lists of entries of 24 bytes in a batch's tail, and the updates that refer to them.
 use crate::wire::error::RecordError;
 use crate::wire::field::FieldReader;
 use crate::wire::record::require_finite;
 use balancer_core::{Availability, Endpoint, EndpointEvent};
 use thiserror::Error;
 
-/// An endpoint list as a table record carries it.
+/// The endpoint list of a table record.
 pub type EndpointTable = Vec<Endpoint>;
 
-/// Size of an entry.
+/// Size of an entry of a table, in bytes.
 pub(super) const ENDPOINT_BYTES: usize = 24;
-/// Size of an entry's relative capacity, which no decision reads.
+/// Size of an entry's relative capacity, in bytes. The balancer does not use it.
 const RELATIVE_CAPACITY_BYTES: usize = 4;
 
-/// Whether an endpoint accepts work, as the wire states it.
+/// Codes for whether an endpoint accepts requests.
 mod availability_code {
     pub(super) const DRAINING: u8 = 0;
     pub(super) const GONE: u8 = 2;
     pub(super) const READY: u8 = 3;
 }
 
-/// What an endpoint update says.
+/// Codes for the kinds of endpoint update.
 mod update_kind {
     pub(super) const SNAPSHOT: u8 = 0;
     pub(super) const DISCOVERY_FAILED: u8 = 1;
@@ -28,14 +28,14 @@
     pub(super) const CACHED_SNAPSHOT: u8 = 3;
 }
 
-/// Why an endpoint update cannot be resolved.
+/// Why an endpoint update is invalid.
 #[derive(Debug, Error)]
 pub enum EndpointUpdateError {
-    /// No update has this kind.
-    #[error("unknown kind of news {0}")]
+    /// No kind of update has this code.
+    #[error("unknown kind of update {0}")]
     UnknownKind(u8),
-    /// The simulator has not sent the table.
-    #[error("points at a table that was never sent")]
+    /// The update refers to a table that the simulator has not sent.
+    #[error("no table with this number was received")]
     UnknownTable,
 }
 
@@ -68,7 +68,8 @@
     }
 }
 
-/// The event of an endpoint update of this kind whose endpoints are in `table`.
+/// Returns the event for an endpoint update of this kind, with the endpoints of `table`. The report of a failed call to
+/// discovery needs no table.
 pub fn endpoint_event(
     kind: u8,
     table: Option<&EndpointTable>,
--- a/simulator-adapter/src/wire/error.rs
+++ b/simulator-adapter/src/wire/error.rs
@@ -1,25 +1,25 @@
-//! Why input is rejected. Each text names the frame and the record at fault.
+//! Errors of reading and decoding frames. Each text names the invalid frame and record.
 use crate::wire::frame::{HEADER_BYTES, MAX_FRAME_BYTES};
 use std::io;
 use thiserror::Error;
 
-/// Why a frame could not be read. Frames and records are counted from zero.
+/// Why a frame could not be read or decoded. Frames and records are counted from zero.
 #[derive(Debug, Error)]
 pub enum WireError {
-    /// Standard input failed.
-    #[error("reading standard input: {0}")]
+    /// Reading standard input failed.
+    #[error("cannot read standard input: {0}")]
     Io(#[source] io::Error),
     /// The input ended inside a frame.
     #[error("frame {frame}: input ended after {got} of {wanted} bytes")]
     Truncated {
         /// The frame.
         frame: u64,
-        /// Bytes that were expected from the frame's start.
+        /// Expected number of bytes, counted from the frame's start.
         wanted: usize,
-        /// Bytes that arrived.
+        /// Number of bytes that were received.
         got: usize,
     },
-    /// A frame's header cannot be right.
+    /// A frame's header is invalid.
     #[error("frame {frame}: header: {source}")]
     Header {
         /// The frame.
@@ -27,7 +27,7 @@
         /// The cause.
         source: HeaderError,
     },
-    /// A record cannot be right.
+    /// A record is invalid.
     #[error("frame {frame}, record {record}: {source}")]
     Record {
         /// The frame.
@@ -42,30 +42,30 @@
 /// Why a frame's header is rejected.
 #[derive(Debug, Error)]
 pub enum HeaderError {
-    /// The stated size is impossible.
-    #[error("stated size of {0} bytes is outside {HEADER_BYTES} to {MAX_FRAME_BYTES}")]
+    /// The size that the header states is too small or too large.
+    #[error("stated size of {0} bytes is not between {HEADER_BYTES} and {MAX_FRAME_BYTES}")]
     SizeOutOfRange(usize),
     /// The frame is smaller than a header.
-    #[error("{0} bytes are too few for a frame")]
+    #[error("a frame of {0} bytes is shorter than its header of {HEADER_BYTES}")]
     TooShort(usize),
-    /// The stated size is not the frame's size.
-    #[error("stated size {stated} is not the {actual} bytes at hand")]
+    /// The size that the header states is not the frame's size.
+    #[error("stated size is {stated} bytes, but the frame has {actual}")]
     SizeMismatch {
-        /// Bytes by the header.
+        /// Size in bytes that the header states.
         stated: u32,
-        /// Bytes in the frame.
+        /// Size of the frame in bytes.
         actual: usize,
     },
     /// The frame is too small for its records.
     #[error("{count} records do not fit into {bytes} bytes")]
     TooManyRecords {
-        /// Records by the header.
+        /// Number of records that the header states.
         count: usize,
-        /// Bytes behind the header.
+        /// Number of bytes after the header.
         bytes: usize,
     },
-    /// The clock is not a finite number.
-    #[error("the clock reads {0}")]
+    /// The time of the batch is infinite or not a number.
+    #[error("the time of the batch is not a finite number: {0}")]
     ClockNotFinite(f64),
 }
 
@@ -75,25 +75,25 @@
     /// No event has this code.
     #[error("unknown event code {0}")]
     UnknownEvent(u8),
-    /// No endpoint has this availability.
-    #[error("unknown availability {0}")]
+    /// No availability has this code.
+    #[error("unknown endpoint availability code {0}")]
     UnknownAvailability(u8),
     /// A number is infinite or not a number.
-    #[error("{field} reads {value}")]
+    #[error("{field} is not a finite number: {value}")]
     NotFinite {
         /// The field.
         field: &'static str,
         /// Its value.
         value: f64,
     },
-    /// A field points beyond the frame's tail.
-    #[error("{field}: bytes {start} to {end} lie outside the tail of {tail}")]
+    /// A record refers to bytes beyond the end of the frame's tail.
+    #[error("{field}: bytes {start}..{end} lie outside the tail of {tail} bytes")]
     OutsideTail {
-        /// The field.
+        /// What the record refers to.
         field: &'static str,
-        /// First byte, counted from the tail's start.
+        /// Position of the first byte, counted from the tail's start.
         start: u32,
-        /// The byte behind the last one.
+        /// Position after the last byte.
         end: u64,
         /// Size of the tail in bytes.
         tail: usize,
--- a/simulator-adapter/src/wire/field.rs
+++ b/simulator-adapter/src/wire/field.rs
@@ -1,13 +1,12 @@
 //! Cursors over the fields of a header, a record or an endpoint entry.
 //!
-//! Both panic when they go beyond the end of their bytes. Their users pass slices of a fixed size that is large enough
-//! for every layout.
+//! Both panic beyond the end of their slice. Callers pass slices of a fixed size that is large enough for every layout.
 use balancer_core::UpstreamId;
 
-/// Size of an upstream's address and port.
+/// Size of an upstream's address and port, in bytes.
 pub(super) const UPSTREAM_BYTES: usize = 6;
 
-/// Reads fields one after the other.
+/// Reads consecutive fields.
 pub(super) struct FieldReader<'a> {
     bytes: &'a [u8],
 }
@@ -42,7 +41,7 @@
         f64::from_be_bytes(self.array())
     }
 
-    /// Four bytes of address and a port, as one number.
+    /// An IPv4 address (4 bytes) and a port (2 bytes), combined into one number.
     pub(super) fn upstream(&mut self) -> UpstreamId {
         let address = u64::from(self.u32());
         let port = u64::from(self.u16());
@@ -57,7 +56,7 @@
     }
 }
 
-/// Writes fields one after the other into bytes that are zero.
+/// Writes consecutive fields into a slice of zeros. Bytes after the last field stay zero.
 pub(super) struct FieldWriter<'a> {
     bytes: &'a mut [u8],
     position: usize,
@@ -84,7 +83,7 @@
         self.put(&value.to_be_bytes())
     }
 
-    /// The lower six bytes: four of address and a port.
+    /// The lower six bytes of the number: an IPv4 address (4 bytes) and a port (2 bytes).
     pub(super) fn upstream(&mut self, upstream: UpstreamId) -> &mut Self {
         let bytes = upstream.0.to_be_bytes();
         self.put(&bytes[bytes.len() - UPSTREAM_BYTES..])
--- a/simulator-adapter/src/wire/frame.rs
+++ b/simulator-adapter/src/wire/frame.rs
@@ -1,33 +1,34 @@
-//! Frames: reading one from the pipe, and decoding its header and records.
+//! Reads frames from standard input, and decodes their headers and records.
 use crate::wire::error::{HeaderError, WireError};
 use crate::wire::field::FieldReader;
 use crate::wire::record::{decode_record, Record, EVENT_BYTES};
 use balancer_core::Millis;
 use std::io::Read;
 
-/// Largest frame accepted. A larger stated size is an error; nothing is allocated for it.
+/// Largest frame that is accepted, in bytes. A larger stated size is an error; nothing is allocated for it.
 pub(super) const MAX_FRAME_BYTES: usize = 256 << 20;
-/// Size of a batch's header.
+/// Size of a batch's header, in bytes.
 pub(super) const HEADER_BYTES: usize = 20;
-/// Size of the first header field, the size of the frame.
+/// Size of the first header field, in bytes. The field holds the size of the frame.
 const SIZE_FIELD_BYTES: usize = 4;
-/// Most bytes that one read asks for. Memory grows with the bytes that arrive, not with the stated size.
+/// Maximum number of bytes that one read requests, so that memory grows with the bytes received and not with the
+/// stated size.
 const READ_CHUNK_BYTES: usize = 1 << 20;
 
 /// A decoded batch.
 #[derive(Debug)]
 pub struct Batch {
-    /// The clock, in milliseconds.
+    /// Time of the batch by the simulator's clock, in milliseconds.
     pub now: Millis,
-    /// The batch number that the reply repeats.
+    /// Number of the batch; the reply repeats it.
     pub number: u32,
     /// The records in order.
     pub records: Vec<Record>,
-    /// Data of variable size that records refer to.
+    /// Data of variable size, to which records refer by position.
     pub tail: Vec<u8>,
 }
 
-/// Reads frame number `frame`, counted from zero; `None` where the input ends before it.
+/// Reads frame number `frame`, counted from zero. `None` if the input ends before its first byte.
 pub fn read_frame(input: &mut impl Read, frame: u64) -> Result<Option<Vec<u8>>, WireError> {
     let mut bytes = Vec::new();
     read_to_length(input, &mut bytes, SIZE_FIELD_BYTES, frame)?;
@@ -43,7 +44,7 @@
     Ok(Some(bytes))
 }
 
-/// Extends `bytes` to `wanted` bytes. Leaves it empty if the input ends before the first byte.
+/// Reads until `bytes` has `wanted` bytes. It stays empty if it was empty and the input ends before the first byte.
 fn read_to_length(
     input: &mut impl Read,
     bytes: &mut Vec<u8>,
@@ -92,7 +93,7 @@
     })
 }
 
-/// The header of a batch, checked against the frame's size.
+/// The header of a batch. Its size and record count are consistent with the frame's size.
 struct Header {
     record_count: usize,
     now: Millis,
--- a/simulator-adapter/src/wire/record.rs
+++ b/simulator-adapter/src/wire/record.rs
@@ -1,15 +1,15 @@
-//! Event records: 48 bytes each, with a code and the fields of that code.
+//! Event records: 48 bytes each, a code followed by the fields that belong to this code.
 use crate::wire::endpoints::{decode_endpoint, EndpointTable, ENDPOINT_BYTES};
 use crate::wire::error::RecordError;
 use crate::wire::field::{FieldReader, UPSTREAM_BYTES};
 use balancer_core::{AttemptOutcome, Event, Request, RequestId};
 use std::ops::Range;
 
-/// Size of an event record.
+/// Size of an event record, in bytes.
 pub(super) const EVENT_BYTES: usize = 48;
-/// Size of the key that a request concerns, which no decision reads.
+/// Size of the key that a request concerns, in bytes. The balancer does not use it.
 const REQUEST_KEY_BYTES: usize = 8;
-/// Size of an endpoint list's version, which no decision reads.
+/// Size of an endpoint list's version, in bytes. The balancer does not use it.
 const LIST_VERSION_BYTES: usize = 8;
 
 /// Codes of event records.
@@ -28,7 +28,7 @@
     pub(super) const RESPONSE_STARTED: u8 = 11;
 }
 
-/// How an attempt ended, as the wire states it.
+/// Codes for how an attempt ended.
 mod outcome_code {
     pub(super) const SUCCESS: u16 = 200;
     pub(super) const TIMEOUT: u16 = 408;
@@ -49,12 +49,12 @@
     StartInstance {
         /// Seed of the instance's random choices.
         seed: u64,
-        /// Where its settings are in the batch's tail.
+        /// Position of its settings in the batch's tail, in bytes.
         settings: Range<usize>,
     },
     /// An instance was killed.
     StopInstance,
-    /// A numbered endpoint list for all instances of the process.
+    /// An endpoint list, which updates for all instances of the process refer to by its number.
     EndpointTable {
         /// Its number.
         number: u32,
@@ -63,14 +63,14 @@
     },
     /// An instance's endpoint list changed, or a call to discovery failed.
     EndpointUpdate {
-        /// What happened, see [`crate::wire::endpoint_event`].
+        /// Code of what happened, see [`crate::wire::endpoint_event`].
         kind: u8,
         /// The number of the table with the endpoints.
         table: u32,
     },
     /// An event for the core.
     Event(Event),
-    /// A record that no decision reads.
+    /// A health check result or a peer message, neither of which the balancer uses.
     Ignored,
 }
 
@@ -130,7 +130,7 @@
     let number = fields.u32();
     let start = fields.u32();
     let length = u64::from(fields.u32()) * ENDPOINT_BYTES as u64;
-    let entries = tail_range("entries", tail, start, length)?;
+    let entries = tail_range("endpoint entries", tail, start, length)?;
     let endpoints = tail[entries]
         .chunks_exact(ENDPOINT_BYTES)
         .map(decode_endpoint)
@@ -161,7 +161,7 @@
     Record::Event(Event::ResponseStarted { request, attempt })
 }
 
-/// A code that the wire's description lacks counts as [`AttemptOutcome::Unknown`].
+/// A code that the protocol does not document counts as [`AttemptOutcome::Unknown`].
 pub(super) fn decode_outcome(code: u16) -> AttemptOutcome {
     match code {
         outcome_code::SUCCESS => AttemptOutcome::Success,
@@ -176,7 +176,7 @@
     }
 }
 
-/// The bytes of the tail that a field refers to.
+/// The range of the tail that a record refers to. `field` names the data in the error.
 fn tail_range(
     field: &'static str,
     tail: &[u8],
@@ -195,7 +195,7 @@
     Ok(start as usize..end as usize)
 }
 
-/// Checks that a field holds a finite number.
+/// Checks that a value is finite. `field` names the value in the error.
 pub(super) fn require_finite(field: &'static str, value: f64) -> Result<f64, RecordError> {
     if !value.is_finite() {
         return Err(RecordError::NotFinite { field, value });
--- a/simulator-adapter/src/wire/reply.rs
+++ b/simulator-adapter/src/wire/reply.rs
@@ -1,12 +1,12 @@
-//! Replies: action records of 24 bytes, grouped by instance.
+//! Encodes replies: action records of 24 bytes, grouped by instance.
 use crate::wire::field::FieldWriter;
 use balancer_core::{Action, Millis, RequestId, UpstreamId};
 
-/// Size of a reply's header.
+/// Size of a reply's header, in bytes.
 const HEADER_BYTES: usize = 12;
-/// Size of an action record.
+/// Size of an action record, in bytes.
 const ACTION_BYTES: usize = 24;
-/// The value of a flag that is set.
+/// Value of a flag that is set.
 const FLAG_SET: u8 = 1;
 
 /// Codes of action records.
@@ -22,7 +22,7 @@
     pub(super) const CANCEL: u8 = 12;
 }
 
-/// Collects the records of one reply.
+/// Collects the action records of one reply, and their data of variable size.
 #[derive(Default)]
 pub struct ReplyBuilder {
     records: Vec<u8>,
@@ -31,12 +31,12 @@
 }
 
 impl ReplyBuilder {
-    /// Names the instance that the following actions belong to.
+    /// Adds a record that selects the instance to which the following actions belong.
     pub fn select_instance(&mut self, instance: u16) {
         self.push_record(action_code::SELECT_INSTANCE).u16(instance);
     }
 
-    /// Adds one action.
+    /// Adds a record for an action.
     pub fn push_action(&mut self, action: &Action) {
         match action {
             Action::Send {
@@ -91,7 +91,7 @@
             .u32(text.len() as u32);
     }
 
-    /// Adds an empty record with this code; the cursor stands behind the code.
+    /// Adds a record with this code and zeros, and returns a writer for the fields after the code.
     fn push_record(&mut self, code: u8) -> FieldWriter<'_> {
         let start = self.records.len();
         self.records.resize(start + ACTION_BYTES, 0);
@@ -101,7 +101,7 @@
         fields
     }
 
-    /// The frame that answers batch `number`. The builder is empty again afterwards.
+    /// Returns the frame that answers batch `number`, and empties the builder.
     pub fn finish(&mut self, number: u32) -> Vec<u8> {
         let size = HEADER_BYTES + self.records.len() + self.tail.len();
         let mut frame = Vec::with_capacity(size);
--- a/simulator-adapter/src/wire/tests.rs
+++ b/simulator-adapter/src/wire/tests.rs
@@ -1,4 +1,4 @@
-//! The frames in the wire's description, and frames that must be rejected.
+//! Decodes and encodes the example frames of the protocol's documentation, and rejects malformed frames.
 use super::record::decode_outcome;
 use super::*;
 use balancer_core::{Action, AttemptOutcome, EndpointEvent, Event, Request, RequestId, UpstreamId};
--- a/simulator-adapter/tests/bad_input.rs
+++ b/simulator-adapter/tests/bad_input.rs
@@ -1,5 +1,6 @@
-//! The program on bad input: one message on standard error, a non-zero exit status, no further reply.
-// A helper that fails ends its test, as an assertion does.
+//! On invalid input, the program writes one message to standard error, exits with a non-zero status and sends no
+//! further reply.
+// A helper function that panics fails its test, as an assertion does.
 #![allow(clippy::expect_used)]
 use std::io::Write;
 use std::process::{Command, Stdio};
@@ -18,8 +19,12 @@
         .spawn()
         .expect("the binary starts");
     // The program may end before it has read everything; a broken pipe is fine then.
-    let _ = child.stdin.take().expect("a pipe").write_all(input);
-    let output = child.wait_with_output().expect("it ends");
+    let _ = child
+        .stdin
+        .take()
+        .expect("standard input is a pipe")
+        .write_all(input);
+    let output = child.wait_with_output().expect("the program ends");
     ProgramOutput {
         succeeded: output.status.success(),
         standard_output: output.stdout,
@@ -63,7 +68,7 @@
     frame(&[select_instance, record], tail)
 }
 
-/// Invalid input and the text that the message contains.
+/// Invalid inputs, each with a text that its error message contains.
 fn invalid_inputs() -> [(Vec<u8>, &'static str); 10] {
     let start_instance: Vec<u8> = [&[4u8][..], &[0; 8], &[0, 0, 0, 0, 0, 0, 0, 2]].concat();
     let nan_deadline = [&[5u8][..], &[0; 17], &f64::NAN.to_be_bytes()].concat();
@@ -73,10 +78,10 @@
         (frame(&[], &[])[..9].to_vec(), "frame 1: input ended"),
         (vec![0xff; 8], "frame 1: header: stated size"),
         (frame(&[&[99]], &[]), "record 0: unknown event code 99"),
-        (frame(&[&[9]], &[]), "no instance was named"),
+        (frame(&[&[9]], &[]), "no instance is selected"),
         (
             frame_for_instance(&[2, 3], &[]),
-            "table 0: points at a table",
+            "refers to table 0: no table with this number was received",
         ),
         (
             frame_for_instance(&start_instance, b"{}"),
@@ -88,10 +93,13 @@
         ),
         (
             frame_for_instance(&nan_deadline, &[]),
-            "frame 1, record 1: deadline reads NaN",
+            "frame 1, record 1: deadline is not a finite number: NaN",
         ),
         (frame(&[table_of_two], &[0; 47]), "outside the tail"),
-        (frame(&[table_of_one], &[9; 24]), "availability 9"),
+        (
+            frame(&[table_of_one], &[9; 24]),
+            "unknown endpoint availability code 9",
+        ),
     ]
 }
 
