--- a/balancer-settings/src/conversion.rs
+++ b/balancer-settings/src/conversion.rs
@@ -6,10 +6,11 @@
 use std::time::Duration;
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
-/// Longest time that is accepted as a [`Duration`].
+/// Longest time that is accepted as a [`Duration`], in milliseconds. The text of [`SettingsParseError::InvalidTime`]
+/// states it.
 const MAX_TIME_MS: f64 = 1e9;
 
-/// Converts a document. The first key at fault is named.
+/// Converts a document. The error names the first invalid key.
 pub(crate) fn to_deployment(setup: Setup) -> Result<Deployment, SettingsParseError> {
     let policy = to_settings(&setup)?;
     let connect_timeout = to_duration(
@@ -62,7 +63,7 @@
     })
 }
 
-/// Whether an instance polls discovery itself (`on_request`) or has the endpoint list pushed to it (`pushed`).
+/// Whether an instance polls discovery (`on_request`) or discovery pushes the endpoint list to it (`pushed`).
 fn polls_endpoints(mode: &str) -> Result<bool, SettingsParseError> {
     match mode {
         "pushed" => Ok(false),
@@ -71,7 +72,7 @@
     }
 }
 
-/// Longest `Retry-After` in milliseconds; zero where none may be sent.
+/// Longest `Retry-After` in milliseconds; zero if none may be sent.
 fn max_retry_after(permissions: &Permissions) -> f64 {
     if permissions.retry_after {
         permissions.max_retry_after
--- a/balancer-settings/src/document.rs
+++ b/balancer-settings/src/document.rs
@@ -1,16 +1,16 @@
-//! The JSON document of the settings, key by key.
+//! The keys of the JSON document that holds the settings.
 //!
-//! Unknown keys are skipped; a missing required key is an error. Times are in milliseconds. The names of the structs
-//! are part of the error text for a value of the wrong type.
+//! Unknown keys are skipped; a missing required key is an error. Times are in milliseconds. The text of the error for a
+//! value of the wrong type contains the names of the structs.
 //!
-//! The document has further keys that no decision reads, and that are skipped:
+//! The following keys of the document are skipped because the balancer does not use them:
 //!
 //! - `tiers`, `blend`, `clients`, `domain_type`, `family_info`, `stats`, `tick`, `weights`, `worth_by`,
 //!   `over_share_worth`;
 //! - in `classes[]`: `aim_stretch`, `importance`, `streaming`;
 //! - in `charges`: everything except `cross_zone`;
-//! - in `invariants`: `grace_to_answer`; the core stops and responds well within it;
-//! - in `permissions`: health checks, gossip, hedged requests, and the limits of CPU and of connections.
+//! - in `invariants`: `grace_to_answer`; the core ends a request and responds well within it;
+//! - in `permissions`: the keys for health checks, gossip and hedged requests, and the limits on CPU and connections.
 use crate::error::SettingsParseError;
 use balancer_core::Settings;
 use serde::Deserialize;
@@ -93,7 +93,7 @@
     pub(crate) max_requests_in_flight: u64,
 }
 
-/// How the system around an instance behaves.
+/// How the upstreams and discovery behave.
 #[derive(Deserialize)]
 pub(crate) struct Invariants {
     #[serde(rename = "cold_from")]
@@ -112,7 +112,7 @@
     pub(crate) drain_grace: f64,
 }
 
-/// Prices, as fractions of a request's value.
+/// Prices, as fractions of the value of a request.
 #[derive(Deserialize, Default)]
 pub(crate) struct Charges {
     #[serde(default)]
@@ -144,10 +144,10 @@
 }
 
 impl Setup {
-    /// Reads a document that nothing follows.
+    /// Parses a document. Text after its end is an error.
     pub(crate) fn parse(json: &[u8]) -> Result<Setup, SettingsParseError> {
         let mut deserializer = serde_json::Deserializer::from_slice(json);
-        // The path names the key of a value of the wrong type; serde's message alone does not.
+        // For a value of the wrong type, serde's message does not name the key. The path does.
         let setup = serde_path_to_error::deserialize(&mut deserializer).map_err(|error| {
             let path = error.path().to_string();
             let source = error.into_inner();
--- a/balancer-settings/src/error.rs
+++ b/balancer-settings/src/error.rs
@@ -1,33 +1,33 @@
-//! Why a document of settings was rejected. Each text names the key at fault.
+//! Why a settings document was rejected. Each text names the missing or invalid key.
 use balancer_core::SettingsError;
 use thiserror::Error;
 
-/// Why settings could not be read.
+/// Why a settings document was rejected.
 #[derive(Debug, Error)]
 pub enum SettingsParseError {
-    /// The document is not JSON, lacks a required key at its top level, or is followed by something else.
+    /// The document is not valid JSON, lacks a required key at its top level, or is followed by other text.
     #[error("{0}")]
     Document(#[source] serde_json::Error),
     /// A value has the wrong type, or an inner object lacks a required key.
     #[error("{path}: {source}")]
     Value {
-        /// Where the value is in the document.
+        /// Path of the value in the document.
         path: String,
         /// The cause.
         source: serde_json::Error,
     },
-    /// A key with a fixed set of values has another one.
+    /// The value of a key is not one of those that the key accepts.
     #[error("{key}: unknown {category} {value:?}")]
     UnknownValue {
         /// The key.
         key: &'static str,
-        /// What its values name.
+        /// What the values of the key stand for, such as a mode or a scope.
         category: &'static str,
         /// The value.
         value: String,
     },
     /// A time is negative, not a number, or too long.
-    #[error("{key}: must be a time of at least 0")]
+    #[error("{key}: must be a time from 0 to 1e9 ms")]
     InvalidTime {
         /// The key.
         key: &'static str,
@@ -37,7 +37,7 @@
     Rejected(#[source] SettingsError),
 }
 
-/// The name that users know a field of [`balancer_core::Settings`] by.
+/// The documented name of a field of [`balancer_core::Settings`].
 fn documented_name(field: &str) -> &str {
     match field {
         "max_attempts" => "attempts_cap",
--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -1,8 +1,8 @@
-//! Reads the settings that a balancer starts with from their JSON document.
+//! Parses the JSON document that holds a balancer's settings.
 //!
-//! The simulator's adapter needs only the core's [`Settings`]; the balancer on sockets also needs the names and limits
-//! in [`Deployment`]. The document's keys are fixed by the platform and by the simulator: `document` mirrors them,
-//! `conversion` maps them to the standard terms.
+//! The simulator adapter needs only the core's [`Settings`]; the `balancer` program also needs the names and limits in
+//! [`Deployment`]. The platform and the simulator define the document's keys: `document` mirrors them, `conversion`
+//! maps them to the terms that the core uses.
 mod conversion;
 mod document;
 mod error;
@@ -12,10 +12,9 @@
 pub use error::SettingsParseError;
 use std::time::Duration;
 
-/// The settings of a balancer on sockets.
+/// The settings of the `balancer` program.
 ///
-/// The names in each list stand at the position by which the core refers to them. A list that the document omits is
-/// empty.
+/// The core refers to the entries of each list by their positions. A list that the document omits is empty.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
     /// The settings of the core.
@@ -30,19 +29,19 @@
     pub kinds: Vec<String>,
     /// An attempt to connect that takes longer than this counts as refused.
     pub connect_timeout: Duration,
-    /// Time after which nothing may be sent to a draining endpoint.
+    /// Nothing may be sent to a draining endpoint later than this after the update that reported it.
     pub drain_grace: Duration,
     /// Maximum number of requests in flight at one instance.
     pub max_requests_in_flight: u64,
 }
 
-/// Reads the settings of the core. The error names the key at fault.
+/// Parses the settings of the core. The error names the missing or invalid key.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, SettingsParseError> {
     let deployment = parse_deployment(json)?;
     Ok(deployment.policy)
 }
 
-/// Reads the settings of a balancer on sockets. The error names the key at fault.
+/// Parses the settings of the `balancer` program. The error names the missing or invalid key.
 pub fn parse_deployment(json: &[u8]) -> Result<Deployment, SettingsParseError> {
     let setup = Setup::parse(json)?;
     conversion::to_deployment(setup)
--- a/balancer-settings/tests/parsing.rs
+++ b/balancer-settings/tests/parsing.rs
@@ -1,4 +1,4 @@
-//! Documents of settings that are accepted and rejected, and the key that an error names.
+//! Which settings documents are accepted and rejected, and which key the error names.
 use balancer_core::{DedupScope, Idempotency};
 use balancer_settings::{parse_deployment, parse_settings};
 use std::time::Duration;
@@ -52,7 +52,7 @@
     assert!(parse_settings(b"{").is_err());
     assert!(
         parse_settings(format!("{MINIMAL} x").as_bytes()).is_err(),
-        "text follows the settings"
+        "text after the document was accepted"
     );
 }
 
@@ -82,7 +82,7 @@
         (
             "\"attempts_cap\": 3",
             "\"attempts_cap\": 3, \"dial_timeout\": -1",
-            "permissions.dial_timeout: must be a time of at least 0",
+            "permissions.dial_timeout: must be a time from 0 to 1e9 ms",
         ),
         (
             "\"cold_from\": 0.2",
