--- a/fault-injection/src/calls.rs
+++ b/fault-injection/src/calls.rs
@@ -1,4 +1,4 @@
-//! The replaced functions of the C library, by group.
+//! The functions of the C library that are replaced, grouped by purpose.
 pub mod clock;
 pub mod connections;
 pub mod duplicates;
--- a/fault-injection/src/calls/clock.rs
+++ b/fault-injection/src/calls/clock.rs
@@ -1,4 +1,4 @@
-//! The wall clock.
+//! Reading clocks.
 use crate::control::clock_offset_ms;
 use libc::{c_int, clockid_t, timespec};
 
--- a/fault-injection/src/calls/epoll.rs
+++ b/fault-injection/src/calls/epoll.rs
@@ -1,4 +1,4 @@
-//! Creating and changing the set of descriptors to wait for.
+//! Creating epoll instances and changing the descriptors that they wait for.
 use crate::control::{should_inject, Fault};
 use crate::errno::{fail, fail_with_one_of, DESCRIPTOR_CREATION_ERRORS};
 use libc::{c_int, epoll_event};
--- a/fault-injection/src/calls/files.rs
+++ b/fault-injection/src/calls/files.rs
@@ -27,7 +27,7 @@
     unsafe { open_file(path, flags, mode) }
 }
 
-/// `open(2)` under the name for large files.
+/// `open(2)` under its name for programs with support for large files.
 ///
 /// # Safety
 /// The contract of the C library's function.
--- a/fault-injection/src/calls/pairs.rs
+++ b/fault-injection/src/calls/pairs.rs
@@ -1,4 +1,4 @@
-//! Pipes and pairs of sockets.
+//! Creating pipes and pairs of sockets.
 use crate::control::{should_inject, Fault};
 use crate::errno::{fail_with_one_of, PAIR_CREATION_ERRORS};
 use libc::c_int;
--- a/fault-injection/src/calls/reads.rs
+++ b/fault-injection/src/calls/reads.rs
@@ -6,7 +6,7 @@
 use crate::errno::{fail, fail_with_one_of};
 use libc::{c_int, c_void, iovec, size_t, ssize_t};
 
-/// The result of a read from a socket that fails, if it is to fail.
+/// Decides whether a read from a socket fails; returns the result of the failed read.
 fn injected_failure(fd: c_int) -> Option<ssize_t> {
     if should_inject(Fault::InterruptedRead) {
         return Some(fail(libc::EINTR));
@@ -14,8 +14,8 @@
     if should_inject_if(Fault::InterruptedPairRead, || is_local_socket(fd)) {
         return Some(fail(libc::EINTR));
     }
-    // Only connections to upstreams break: a client whose connection breaks could not see its response, while the
-    // retry after a broken upstream connection can be checked from outside.
+    // Only connections that the process opened break, such as those to upstreams: a client whose connection breaks
+    // could not see its response, while a test can check the retry after a broken upstream connection.
     if is_connected_here(fd) && should_inject(Fault::BrokenRead) {
         return Some(fail_with_one_of(&[libc::ETIMEDOUT, libc::EHOSTUNREACH]));
     }
--- a/fault-injection/src/calls/signalfd.rs
+++ b/fault-injection/src/calls/signalfd.rs
@@ -1,10 +1,10 @@
-//! Signals that are read from a descriptor.
+//! Creating descriptors from which signals are read.
 use crate::control::{should_inject_if, Fault};
 use crate::errno::{fail_with_one_of, DESCRIPTOR_CREATION_ERRORS};
 use crate::signal_set::KERNEL_SIGNAL_SET_BYTES;
 use libc::{c_int, sigset_t};
 
-/// Stands for the descriptor of a call that creates a new one.
+/// The descriptor argument of a call that creates a descriptor.
 const NEW_DESCRIPTOR: c_int = -1;
 
 /// `signalfd(2)`. Only a call that creates a descriptor can fail by injection.
--- a/fault-injection/src/calls/timerfd.rs
+++ b/fault-injection/src/calls/timerfd.rs
@@ -1,4 +1,4 @@
-//! Timers that are descriptors.
+//! Creating and setting timers that are read from descriptors.
 use crate::control::{should_inject, Fault};
 use crate::errno::{fail, fail_with_one_of, DESCRIPTOR_CREATION_ERRORS};
 use libc::{c_int, clockid_t, itimerspec};
--- a/fault-injection/src/calls/waits.rs
+++ b/fault-injection/src/calls/waits.rs
@@ -1,4 +1,4 @@
-//! Waits for events.
+//! Waiting for events.
 use crate::control::{should_inject, Fault};
 use crate::errno::fail;
 use crate::signal_set::KERNEL_SIGNAL_SET_BYTES;
--- a/fault-injection/src/calls/writes.rs
+++ b/fault-injection/src/calls/writes.rs
@@ -6,7 +6,8 @@
 
 const LOG_ERRORS: [c_int; 2] = [libc::EIO, libc::EPIPE];
 
-/// The result of a write that fails, if it is to fail, for descriptors that serve the process itself.
+/// Decides whether a write to the log, an event descriptor or a socket pair fails; returns the result of the failed
+/// write.
 fn injected_failure(fd: c_int) -> Option<ssize_t> {
     if should_inject_if(Fault::FailedLogWrite, || fd == libc::STDERR_FILENO) {
         return Some(fail_with_one_of(&LOG_ERRORS));
@@ -58,7 +59,7 @@
 #[no_mangle]
 pub unsafe extern "C" fn write(fd: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
     if should_inject(Fault::DiskWrite) && is_file(fd) {
-        // A failed write may have written a part.
+        // Half of the data is written, because a failed write may have written a part.
         // SAFETY: the caller guarantees the contract of `write`, and the length has not grown.
         unsafe { libc::syscall(libc::SYS_write, fd, buffer, length / 2) };
         return fail_with_one_of(&[libc::ENOSPC, libc::EIO]);
@@ -119,7 +120,7 @@
     unsafe { libc::syscall(libc::SYS_sendmsg, fd, message, flags) as ssize_t }
 }
 
-/// Writes the first byte of these buffers. `None` if they are empty.
+/// Writes the first byte of these buffers. `None` if all are empty.
 ///
 /// # Safety
 /// `vectors` points to `count` valid vectors, each valid for its length.
--- a/fault-injection/src/control.rs
+++ b/fault-injection/src/control.rs
@@ -1,32 +1,33 @@
-//! The control file: when each fault is injected. A test changes it while the process runs.
+//! The control file, which states when each fault is injected. A test changes it while the process runs.
 //!
-//! The file holds one little-endian 64-bit word for each [`Fault`], in their order. The library maps it into the
-//! process; the test writes the words. A word is a probability in millionths or made by [`first_calls`]; only that of
-//! [`Fault::ClockOffset`] is an offset. As many words follow in which the library counts the calls that it failed.
+//! The file starts with one little-endian 64-bit word for each [`Fault`], in the order of the variants. The test writes
+//! these words; the library maps the file and reads them. A word is a probability in millionths, or a value of
+//! [`first_calls`]; the word of [`Fault::ClockOffset`] is an offset in milliseconds. One more word for each fault
+//! follows, in the same order, in which the library counts the calls that it made fail.
 pub use crate::fault::Fault;
 
 use std::ffi::CStr;
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
 
-/// Name of the environment variable with the path of the control file. Without it no call fails.
+/// Name of the environment variable with the path of the control file. Without the variable no call fails.
 pub const CONTROL_FILE: &str = str_from_c_str(CONTROL_FILE_VARIABLE);
 /// Name of the environment variable with the seed of the random choices.
 pub const SEED: &str = str_from_c_str(SEED_VARIABLE);
-/// The word for a probability of one.
+/// The word for a probability of one, with which every call fails.
 pub const CERTAIN: u64 = 1_000_000;
-/// Size of the control file.
+/// Size of the control file, in bytes.
 pub const FILE_BYTES: usize = 2 * Fault::COUNT * WORD_BYTES;
 
-/// Size of a word of the control file.
+/// Size of a word of the control file, in bytes.
 pub const WORD_BYTES: usize = 8;
 
-/// Marks a word that counts calls instead of being a probability.
+/// Bit of a word that states a number of calls instead of a probability.
 const FIRST_CALLS_FLAG: u64 = 1 << 32;
 const CONTROL_FILE_VARIABLE: &CStr = c"FAULT_CONTROL";
 const SEED_VARIABLE: &CStr = c"FAULT_SEED";
-/// The golden ratio in 64 bits: spreads small seeds over all states of the generator.
+/// The fractional part of the golden ratio in 64 bits: spreads small seeds over all states of the generator.
 const SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
-/// Multiplier of the generator xorshift64*.
+/// Multiplier of the output of the generator xorshift64*.
 const OUTPUT_FACTOR: u64 = 0x2545_f491_4f6c_dd1d;
 
 const fn str_from_c_str(name: &'static CStr) -> &'static str {
@@ -36,15 +37,15 @@
     }
 }
 
-/// The word that makes the first `calls` calls fail. They are counted while such a word is set, over the life of the
-/// process.
+/// The word that makes the first `calls` calls fail. Calls count from the process's start, but only those made while
+/// a word of this kind is set.
 pub const fn first_calls(calls: u32) -> u64 {
     FIRST_CALLS_FLAG | calls as u64
 }
 
-/// The mapped control file; null without one.
+/// The words of the mapped control file; null without a control file.
 static WORDS: AtomicPtr<AtomicU64> = AtomicPtr::new(std::ptr::null_mut());
-/// For each fault, the calls that were counted for [`first_calls`].
+/// For each fault, the number of calls that were counted for [`first_calls`].
 static COUNTED_CALLS: [AtomicU64; Fault::COUNT] = [const { AtomicU64::new(0) }; Fault::COUNT];
 /// State of the random generator; never zero.
 static RANDOM_STATE: AtomicU64 = AtomicU64::new(SEED_FACTOR);
@@ -65,7 +66,7 @@
     }
 }
 
-/// Maps the file at this path. It stays mapped until the process ends.
+/// Maps the control file at this path. It stays mapped until the process ends.
 fn map_words(path: &CStr) -> Option<*mut AtomicU64> {
     let flags = libc::O_RDWR;
     let mode = 0;
@@ -118,7 +119,7 @@
     word_at(fault as usize).map_or(0, |word| word.load(Ordering::Relaxed))
 }
 
-/// Counts a call that fails.
+/// Adds a failed call to the fault's counter in the control file.
 fn count_injection(fault: Fault) {
     if let Some(count) = word_at(Fault::COUNT + fault as usize) {
         count.fetch_add(1, Ordering::Relaxed);
@@ -139,13 +140,14 @@
     state ^ (state >> 27)
 }
 
-/// Whether to inject a fault into the present call. Draws a random number only for a fault that is possible.
+/// Whether to inject a fault into the current call. Draws a random number only if the fault's word is a probability
+/// above zero.
 pub(crate) fn should_inject(fault: Fault) -> bool {
     should_inject_if(fault, || true)
 }
 
-/// Whether to inject a fault into the present call, which must satisfy `condition`. Checks it only for a fault that is
-/// possible.
+/// Whether to inject a fault into the current call, which must satisfy `condition`. Checks the condition only if the
+/// fault's word is not zero.
 pub(crate) fn should_inject_if(fault: Fault, condition: impl FnOnce() -> bool) -> bool {
     let word = read_word(fault);
     if word == 0 || !condition() || !is_due(fault, word) {
@@ -155,7 +157,7 @@
     true
 }
 
-/// Whether the next call fails by this word.
+/// Whether this word makes the current call fail.
 fn is_due(fault: Fault, word: u64) -> bool {
     if word & FIRST_CALLS_FLAG != 0 {
         return COUNTED_CALLS[fault as usize].fetch_add(1, Ordering::Relaxed)
@@ -164,7 +166,7 @@
     (random() >> 16) % CERTAIN < word
 }
 
-/// Offset of the wall clock, in milliseconds.
+/// Offset that is added to the wall clock, in milliseconds.
 pub(crate) fn clock_offset_ms() -> i64 {
     read_word(Fault::ClockOffset) as i64
 }
--- a/fault-injection/src/descriptors.rs
+++ b/fault-injection/src/descriptors.rs
@@ -1,4 +1,4 @@
-//! What a descriptor refers to, and which connections this process opened.
+//! What a descriptor refers to, and whether this process opened its connection.
 use libc::{c_int, mode_t};
 use std::sync::atomic::{AtomicU64, Ordering};
 
@@ -19,7 +19,7 @@
         && (has_file_type(fd, ANONYMOUS_INODE) || has_file_type(fd, libc::S_IFIFO))
 }
 
-/// Whether a descriptor is a local socket. The process has no others than its own pairs.
+/// Whether a descriptor is a local (`AF_UNIX`) socket. The only local sockets of the process are its socket pairs.
 pub(crate) fn is_local_socket(fd: c_int) -> bool {
     let mut address = libc::sockaddr {
         sa_family: 0,
@@ -40,7 +40,7 @@
     result == 0 && stat.st_mode & libc::S_IFMT == file_type
 }
 
-/// Descriptors from this one on are not tracked and count as accepted.
+/// Number of descriptors that are tracked. Connections of descriptors from this number on count as accepted.
 const TRACKED_DESCRIPTORS: usize = 1024;
 const BITS_PER_WORD: usize = 64;
 
@@ -67,7 +67,7 @@
     tracking_bit(fd).is_some_and(|(word, bit)| word.load(Ordering::Relaxed) & bit != 0)
 }
 
-/// The word and the bit of a descriptor; none if it is not tracked.
+/// The word and the bit of a descriptor; `None` if it is not tracked.
 fn tracking_bit(fd: c_int) -> Option<(&'static AtomicU64, u64)> {
     let position = usize::try_from(fd).ok()?;
     let word = CONNECTED_HERE.get(position / BITS_PER_WORD)?;
--- a/fault-injection/src/fault.rs
+++ b/fault-injection/src/fault.rs
@@ -1,7 +1,7 @@
 //! The kinds of fault.
 use crate::control::WORD_BYTES;
 
-/// The faults that can be injected. The position of a fault is that of its word in the control file.
+/// The faults that can be injected. The control file holds their words in the order of the variants.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Fault {
@@ -9,7 +9,7 @@
     ShortRead,
     /// A read from a socket fails with EINTR.
     InterruptedRead,
-    /// A write to a socket accepts one byte only.
+    /// A write to a socket writes one byte only.
     ShortWrite,
     /// A write to a socket fails with EINTR.
     InterruptedWrite,
@@ -21,13 +21,13 @@
     Connect,
     /// `socket` fails with a transient error.
     Socket,
-    /// A wait fails with EINTR.
+    /// `epoll_wait` fails with EINTR.
     InterruptedWait,
     /// Creating, writing, renaming or syncing a file fails with ENOSPC or EIO.
     DiskWrite,
     /// Reading a file fails with EIO.
     DiskRead,
-    /// Offset of the wall clock in milliseconds, a signed number.
+    /// The wall clock is shifted. The fault's word is the offset in milliseconds, a signed number.
     ClockOffset,
     /// A read from an eventfd, timerfd, signalfd or pipe fails with EINTR.
     InterruptedEventRead,
@@ -59,7 +59,7 @@
     SocketpairCreation,
     /// `dup` and `fcntl` fail to duplicate a descriptor, with EMFILE.
     Duplication,
-    /// A write to the standard error fails with EIO or EPIPE.
+    /// A write to standard error fails with EIO or EPIPE.
     FailedLogWrite,
 }
 
@@ -72,7 +72,7 @@
         (self as usize * WORD_BYTES) as u64
     }
 
-    /// Position of the word that counts the calls that the fault has made fail, in bytes.
+    /// Position of the word in which the library counts the calls that the fault made fail, in bytes.
     pub fn count_offset(self) -> u64 {
         ((Fault::COUNT + self as usize) * WORD_BYTES) as u64
     }
--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -1,9 +1,9 @@
-//! A library that makes system calls of one process fail, with probabilities from a control file.
+//! A library that makes system calls of a process fail, with probabilities from a control file.
 //!
-//! Loaded with `LD_PRELOAD`, it replaces the C library's wrappers of the calls in [`calls`]. Each replaced call either
-//! fails in a way that Linux documents for it, or passes its arguments to the kernel unchanged. The monotonic clock is
-//! never changed.
-// The crate replaces functions of the C library, which takes raw pointers and exported symbols.
+//! It is loaded with `LD_PRELOAD` and replaces the C library's functions in [`calls`]. Each replaced function either
+//! fails in a way that Linux documents for it, or passes its arguments to the kernel unchanged, except for reads and
+//! writes that it shortens. The wall clock can be shifted; the monotonic clock is never changed.
+// Replacing functions of the C library requires raw pointers and exported symbols.
 #![allow(unsafe_code)]
 #![warn(unsafe_op_in_unsafe_fn)]
 pub mod calls;
