--- a/balancer-settings/src/conversion.rs
+++ b/balancer-settings/src/conversion.rs
@@ -6,10 +6,11 @@
 use std::time::Duration;
 
 const MILLIS_PER_SECOND: f64 = 1000.0;
-/// Longest time that is accepted as a [`Duration`].
+/// Longest time that is accepted as a [`Duration`], in milliseconds. The text of [`SettingsParseError::InvalidTime`]
+/// states it.
 const MAX_TIME_MS: f64 = 1e9;
 
-/// Converts a document. The first key at fault is named.
+/// Converts a document. The error names the first invalid key.
 pub(crate) fn to_deployment(setup: Setup) -> Result<Deployment, SettingsParseError> {
     let policy = to_settings(&setup)?;
     let connect_timeout = to_duration(
@@ -62,16 +63,16 @@
     })
 }
 
-/// Whether an instance polls discovery itself (`on_request`) or has the endpoint list pushed to it (`pushed`).
+/// Whether an instance polls discovery (`on_request`) or discovery pushes the endpoint list to it (`pushed`).
 fn polls_endpoints(mode: &str) -> Result<bool, SettingsParseError> {
     match mode {
         "pushed" => Ok(false),
         "on_request" => Ok(true),
-        other => Err(unknown_name("membership_mode", "mode", other)),
+        other => Err(unknown_value("membership_mode", "mode", other)),
     }
 }
 
-/// Longest `Retry-After` in milliseconds; zero where none may be sent.
+/// Longest `Retry-After` in milliseconds; zero if none may be sent.
 fn max_retry_after(permissions: &Permissions) -> f64 {
     if permissions.retry_after {
         permissions.max_retry_after
@@ -99,7 +100,7 @@
             scope: to_dedup_scope(&class.dedup_scope)?,
             window: class.dedup_window,
         }),
-        other => Err(unknown_name("classes.effect", "effect", other)),
+        other => Err(unknown_value("classes.effect", "effect", other)),
     }
 }
 
@@ -108,7 +109,7 @@
         "all" => Ok(DedupScope::All),
         "zone" => Ok(DedupScope::Zone),
         "cell" => Ok(DedupScope::Group),
-        other => Err(unknown_name("classes.dedup_scope", "scope", other)),
+        other => Err(unknown_value("classes.dedup_scope", "scope", other)),
     }
 }
 
@@ -121,13 +122,13 @@
 
 fn to_duration(key: &'static str, millis: f64) -> Result<Duration, SettingsParseError> {
     if !(0.0..=MAX_TIME_MS).contains(&millis) {
-        return Err(SettingsParseError::Time { key });
+        return Err(SettingsParseError::InvalidTime { key });
     }
     Ok(Duration::from_secs_f64(millis / MILLIS_PER_SECOND))
 }
 
-fn unknown_name(key: &'static str, category: &'static str, value: &str) -> SettingsParseError {
-    SettingsParseError::UnknownName {
+fn unknown_value(key: &'static str, category: &'static str, value: &str) -> SettingsParseError {
+    SettingsParseError::UnknownValue {
         key,
         category,
         value: value.to_string(),
