--- a/balancer/src/body/paced_body.rs
+++ b/balancer/src/body/paced_body.rs
@@ -80,12 +80,12 @@
                 return Poll::Ready(Some(Err(BodyError::Malformed)));
             };
             if let Some(data) = data_of_frame(frame) {
-                return Poll::Ready(Some(self.count(data)));
+                return Poll::Ready(Some(self.count_bytes(data)));
             }
         }
     }
 
-    fn count(&mut self, data: Bytes) -> Result<Bytes, BodyError> {
+    fn count_bytes(&mut self, data: Bytes) -> Result<Bytes, BodyError> {
         self.bytes_received += data.len() as u64;
         if self.bytes_received > MAX_BODY_BYTES {
             return Err(BodyError::TooLarge);
--- a/balancer/src/body/request_body.rs
+++ b/balancer/src/body/request_body.rs
@@ -122,7 +122,7 @@
             }
             UnsentBody::Streamed { upload, position } => {
                 let next = ready!(upload.poll_next(cx, position));
-                if next.is_none() || upload.is_read_up_to(*position) {
+                if next.is_none() || upload.ends_at(*position) {
                     self.finish();
                 }
                 next
--- a/balancer/src/body/upload.rs
+++ b/balancer/src/body/upload.rs
@@ -119,7 +119,7 @@
     }
 
     /// Whether the first `position` chunks are the complete body.
-    pub fn is_read_up_to(&self, position: usize) -> bool {
+    pub fn ends_at(&self, position: usize) -> bool {
         let state = self.state.borrow();
         let buffered_chunks = state.buffered.as_ref().map_or(0, Vec::len);
         state.is_complete && position >= buffered_chunks
--- a/balancer/src/inbound/client_connection.rs
+++ b/balancer/src/inbound/client_connection.rs
@@ -110,7 +110,7 @@
     }
 
     fn read_timeout(&self) -> Duration {
-        if self.tracker.has_dispatched() && !self.tracker.is_mid_request() {
+        if self.tracker.has_dispatched() && !self.tracker.is_mid_head() {
             CLIENT_IDLE_TIMEOUT
         } else {
             REQUEST_READ_TIMEOUT
--- a/balancer/src/inbound/connection_task.rs
+++ b/balancer/src/inbound/connection_task.rs
@@ -116,7 +116,7 @@
 /// A partial first head is no accepted request yet.
 fn is_within_first_head(connection: &ClientConnection) -> bool {
     let tracker = connection.tracker();
-    tracker.is_mid_request() && !tracker.has_dispatched()
+    tracker.is_mid_head() && !tracker.has_dispatched()
 }
 
 /// Whether the connection has been idle for long enough to be closed during shutdown.
@@ -134,7 +134,7 @@
 /// counts as accepted, even if it is unread.
 fn is_closable(connection: &ClientConnection) -> bool {
     connection.is_idle()
-        && !connection.tracker().is_mid_request()
+        && !connection.tracker().is_mid_head()
         && connection.stream().is_open_and_drained()
 }
 
--- a/balancer/src/inbound/context.rs
+++ b/balancer/src/inbound/context.rs
@@ -17,7 +17,7 @@
     /// The settings.
     pub deployment: Deployment,
     /// Limits the connections.
-    pub sockets: DescriptorBudget,
+    pub descriptors: DescriptorBudget,
     /// Counts requests and connections.
     pub metrics: Rc<Metrics>,
     /// Checks that requests get a response.
--- a/balancer/src/inbound/request_tracker.rs
+++ b/balancer/src/inbound/request_tracker.rs
@@ -58,7 +58,7 @@
     }
 
     /// Whether part of a head has been read.
-    pub fn is_mid_request(&self) -> bool {
+    pub fn is_mid_head(&self) -> bool {
         self.mid_head.get()
     }
 
@@ -69,7 +69,7 @@
 
     /// Whether more has been read than is dispatched.
     pub fn has_pending_input(&self) -> bool {
-        self.is_mid_request() || self.has_undispatched_request()
+        self.is_mid_head() || self.has_undispatched_request()
     }
 
     /// Whether the last dispatched request states the length of its body in two ways.
@@ -93,7 +93,7 @@
         }
     }
 
-    fn record_head(&self, arrival: Instant) {
+    fn record_head_end(&self, arrival: Instant) {
         self.requests_read.set(self.requests_read.get() + 1);
         self.arrivals.borrow_mut().push_back(arrival);
     }
@@ -194,7 +194,7 @@
     }
 
     fn finish_head(&mut self, arrival: Instant) {
-        self.tracker.record_head(arrival);
+        self.tracker.record_head_end(arrival);
         self.position = match parse_framing(&self.head) {
             Ok(framing) => framing.into(),
             Err(_) => {
--- a/balancer/src/inbound/server.rs
+++ b/balancer/src/inbound/server.rs
@@ -35,11 +35,11 @@
 }
 
 impl Server {
-    /// A server that submits requests to `driver`, and opens connections within `sockets`.
+    /// A server that submits requests to `driver`, and opens connections within `descriptors`.
     pub fn new(
         driver: DriverHandle,
         deployment: Deployment,
-        sockets: DescriptorBudget,
+        descriptors: DescriptorBudget,
         metrics: Rc<Metrics>,
         guard: Guard,
         phase: watch::Receiver<Phase>,
@@ -48,7 +48,7 @@
             context: Rc::new(ServerContext {
                 driver,
                 deployment,
-                sockets,
+                descriptors,
                 metrics,
                 guard,
                 phase,
@@ -64,7 +64,7 @@
         let queue_delay = AcceptLoop::new(&context, &listener).run().await;
         accept_remaining(&context, listener, queue_delay).await;
         context.is_listening.set(false);
-        context.sockets.all_clients_closed().await;
+        context.descriptors.all_clients_closed().await;
     }
 }
 
@@ -195,16 +195,16 @@
 /// waits to be accepted counts as accepted, and idle clients must not shut it out.
 async fn acquire_permit(context: &ServerContext) -> Option<ConnectionPermit> {
     loop {
-        if let Some(permit) = context.sockets.try_acquire_client() {
+        if let Some(permit) = context.descriptors.try_acquire_client() {
             return Some(permit);
         }
         let has_evicted = context.idle_connections.evict_idle_connection();
-        if !has_evicted && context.sockets.is_exhausted() {
+        if !has_evicted && context.descriptors.is_exhausted() {
             context.driver.close_oldest_idle_connection();
         }
         // A connection that closes returns its permit. While all are busy, the next attempt follows
         // a little later.
-        let permit = timeout(PERMIT_RETRY_INTERVAL, context.sockets.acquire_client()).await;
+        let permit = timeout(PERMIT_RETRY_INTERVAL, context.descriptors.acquire_client()).await;
         if let Ok(permit) = permit {
             return permit;
         }
