--- a/balancer/src/body/body_error.rs
+++ b/balancer/src/body/body_error.rs
@@ -6,13 +6,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BodyError {
     /// The client sent it too slowly.
-    #[error("the body did not come")]
+    #[error("the request body did not arrive in time")]
     TimedOut,
     /// It ended early, or is malformed.
-    #[error("the body is broken")]
+    #[error("the request body is incomplete or malformed")]
     Malformed,
     /// It exceeds the largest body size.
-    #[error("the body is too large")]
+    #[error("the request body is too large")]
     TooLarge,
 }
 
--- a/balancer/src/body/limits.rs
+++ b/balancer/src/body/limits.rs
@@ -2,10 +2,10 @@
 use std::time::Duration;
 
 /// Bodies up to this size are buffered completely before they are forwarded, so that a malformed
-/// one reaches nobody.
+/// one is not forwarded at all.
 pub const MAX_BUFFERED_BODY_BYTES: usize = 64 << 10;
 /// Largest body.
 pub const MAX_BODY_BYTES: u64 = 32 << 20;
-/// Longest time without progress of a body: the receiver reads nothing, or the upstream sends
-/// nothing.
+/// Longest time in which a body makes no progress, because its receiver reads nothing or the
+/// upstream sends nothing.
 pub const BODY_STALL_TIMEOUT: Duration = Duration::from_secs(10);
--- a/balancer/src/body/paced_body.rs
+++ b/balancer/src/body/paced_body.rs
@@ -1,4 +1,4 @@
-//! Reading of a client's request body, with a limit on the time spent waiting for the client.
+//! Reads a client's request body, with a limit on the time spent waiting for the client.
 use crate::body::body_error::BodyError;
 use crate::body::limits::MAX_BODY_BYTES;
 use crate::time::{sleep, Sleep};
@@ -33,7 +33,7 @@
 }
 
 impl PacedBody {
-    /// Reads a body for whose client the balancer has waited `time_waited` already.
+    /// A body of a client for which the balancer has already waited `time_waited`.
     pub fn new(body: Incoming, time_waited: Duration) -> PacedBody {
         PacedBody {
             body,
@@ -93,7 +93,7 @@
         Ok(data)
     }
 
-    /// Ready once the balancer has waited long enough for the client.
+    /// Ready once the time limit on waiting for the client has passed.
     fn poll_timeout(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         let bytes_received = self.bytes_received;
         let time_waited = self.time_waited;
--- a/balancer/src/body/paced_body/tests.rs
+++ b/balancer/src/body/paced_body/tests.rs
@@ -31,7 +31,7 @@
         http1::Builder::new().serve_connection(TokioIo::new(server), service),
     );
     let head = format!("POST / HTTP/1.1\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n");
-    client.write_all(head.as_bytes()).await.expect("takes it");
+    client.write_all(head.as_bytes()).await.expect("is sent");
     send(&mut client).await;
     let mut response = String::new();
     client
@@ -46,13 +46,13 @@
         .to_string()
 }
 
-/// 64 kB per second, after a head that took 2 s.
+/// The body arrives at 64 kB/s, after a head that took 2 s.
 #[tokio::test(flavor = "local", start_paused = true)]
 async fn reads_a_body_that_arrives_at_the_promised_minimum_rate() {
     let end = read_body(640_000, Duration::from_secs(2), async |client| {
         for _ in 0..40 {
             sleep(Duration::from_millis(250)).await;
-            client.write_all(&[0; 16_000]).await.expect("takes it");
+            client.write_all(&[0; 16_000]).await.expect("is sent");
         }
     });
     assert_eq!(end.await, "640000 complete");
@@ -63,7 +63,7 @@
     let start = Instant::now();
     assert_eq!(
         read_body(1000, Duration::ZERO, async |_| ()).await,
-        "0 the body did not come"
+        "0 the request body did not arrive in time"
     );
     assert!(
         start.elapsed() < Duration::from_secs(3),
@@ -73,9 +73,9 @@
     // Bytes that arrive at once extend the limit only by the time for their size.
     let start = Instant::now();
     let end = read_body(1000, Duration::from_secs(1), async |client| {
-        client.write_all(&[0; 640]).await.expect("takes it");
+        client.write_all(&[0; 640]).await.expect("is sent");
     });
-    assert_eq!(end.await, "640 the body did not come");
+    assert_eq!(end.await, "640 the request body did not arrive in time");
     assert!(
         start.elapsed() < Duration::from_secs(2),
         "{:?}",
@@ -83,7 +83,8 @@
     );
 }
 
-/// Only waiting for the client counts, not the time in which the balancer does not read.
+/// Only the time spent waiting for the client counts, not the time in which the balancer does not
+/// read.
 #[tokio::test(flavor = "local", start_paused = true)]
 async fn does_not_count_time_in_which_the_balancer_does_not_read() {
     let (mut client, server) = tokio::io::duplex(1 << 20);
@@ -100,8 +101,8 @@
         http1::Builder::new().serve_connection(TokioIo::new(server), service),
     );
     let head = "POST / HTTP/1.1\r\nConnection: close\r\nContent-Length: 100000\r\n\r\n";
-    client.write_all(head.as_bytes()).await.expect("takes it");
-    client.write_all(&[0; 100_000]).await.expect("takes it");
+    client.write_all(head.as_bytes()).await.expect("is sent");
+    client.write_all(&[0; 100_000]).await.expect("is sent");
     let mut response = String::new();
     client
         .read_to_string(&mut response)
--- a/balancer/src/body/request_body.rs
+++ b/balancer/src/body/request_body.rs
@@ -41,10 +41,10 @@
     }
 }
 
-/// The body of a request as one attempt writes it.
+/// A request's body as one attempt writes it.
 pub struct AttemptBody {
     unsent: UnsentBody,
-    /// Holds the body back until its connection is known to be open.
+    /// Delays the body until its connection is known to be open.
     delay: Option<Pin<Box<Sleep>>>,
     write_progress: Rc<Cell<WriteProgress>>,
 }
@@ -67,8 +67,9 @@
 }
 
 impl AttemptBody {
-    /// A body that is written after `delay`. `write_progress` changes to handed over with the last
-    /// byte of the request. Returns `None` if the start of the body is no longer buffered.
+    /// A body that is written after `delay`. `write_progress` becomes
+    /// [`WriteProgress::HandedOver`] with the last byte of the request. Returns `None` if the start
+    /// of the body is no longer buffered.
     pub fn new(
         body: &RequestBody,
         delay: Option<Duration>,
--- a/balancer/src/body/response_body.rs
+++ b/balancer/src/body/response_body.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Chunks of a response that wait between its upstream and its client, at most.
+/// Most chunks of a response that are queued between its upstream and its client.
 const MAX_QUEUED_CHUNKS: usize = 2;
 
 /// The large body of a response, as it arrives from the upstream.
@@ -52,7 +52,8 @@
     }
 }
 
-/// The two ends of a body that is relayed, of this length if the upstream stated one.
+/// The two ends of a body that is relayed. `length` is its size in bytes, if the upstream stated
+/// one.
 pub fn response_stream(length: Option<u64>) -> (BodySender, ResponseStream) {
     let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
     let is_complete = Rc::new(Cell::new(false));
@@ -151,7 +152,7 @@
 /// An upstream's response ended early. The client's connection is closed, so that the client
 /// notices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the answer broke off")]
+#[error("the upstream's response ended early")]
 pub struct TruncatedResponse;
 
 impl<G: Unpin> Body for ResponseBody<G> {
--- a/balancer/src/body/upload.rs
+++ b/balancer/src/body/upload.rs
@@ -13,7 +13,7 @@
 /// Interval between two checks for a stalled body.
 const STALL_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Follows the body of a pending request.
+/// Receives notifications about the body of a pending request.
 pub trait UploadObserver {
     /// The body has arrived completely.
     fn completed(&self);
@@ -118,15 +118,15 @@
         self.error.get()
     }
 
-    /// Whether the first `position` chunks are the complete body.
+    /// Whether the body is complete and has no chunk after the first `position` ones.
     pub fn ends_at(&self, position: usize) -> bool {
         let state = self.state.borrow();
         let buffered_chunks = state.buffered.as_ref().map_or(0, Vec::len);
         state.is_complete && position >= buffered_chunks
     }
 
-    /// Returns once no attempt has polled for data for [`BODY_STALL_TIMEOUT`] though the client is
-    /// not awaited.
+    /// Returns once no attempt has polled for data for [`BODY_STALL_TIMEOUT`], although the upload
+    /// does not wait for the client.
     pub async fn stalled(&self) {
         loop {
             sleep(STALL_CHECK_INTERVAL).await;
--- a/balancer/src/inbound/client_connection.rs
+++ b/balancer/src/inbound/client_connection.rs
@@ -1,4 +1,4 @@
-//! One client connection, as its task and its requests see it.
+//! The state of one client connection, which its task and its requests share.
 use crate::body::paced_body::REQUEST_READ_TIMEOUT;
 use crate::inbound::idle_connections::{ConnectionKind, IdleConnections, IdleKey};
 use crate::inbound::request_tracker::RequestTracker;
@@ -11,7 +11,7 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A client that has had a response may keep its connection unused for this long.
+/// How long a client may keep a connection idle after a response.
 const CLIENT_IDLE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Longest time between two checks of a connection's timeout.
 const TIMEOUT_CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -21,7 +21,7 @@
     tracker: Rc<RequestTracker>,
     stream: SharedStream,
     idle_connections: Rc<IdleConnections>,
-    /// Set between requests.
+    /// Key among the idle connections; `None` while the connection carries a request.
     idle_key: Cell<Option<IdleKey>>,
     /// Notified when the connection is evicted.
     evict: Rc<Notify>,
@@ -47,7 +47,7 @@
         connection
     }
 
-    /// The requests on the connection.
+    /// The tracker of the requests on the connection.
     pub fn tracker(&self) -> &Rc<RequestTracker> {
         &self.tracker
     }
@@ -67,7 +67,7 @@
         self.idle_key.set(Some(key));
     }
 
-    /// The connection carries a request, or is closed.
+    /// Marks the connection as not idle: it carries a request, or is closed.
     pub fn unmark_idle(&self) {
         if let Some(key) = self.idle_key.take() {
             self.idle_connections.unmark_idle(key);
@@ -79,17 +79,17 @@
         self.evict.notified().await;
     }
 
-    /// Whether what the client still sends is read before the connection is closed.
+    /// Whether the rest of the client's input is read before the connection is closed.
     pub fn drains_before_close(&self) -> bool {
         self.drains_before_close.get()
     }
 
-    /// Sets whether what the client still sends is read before the connection is closed.
+    /// Sets whether the rest of the client's input is read before the connection is closed.
     pub fn set_drains_before_close(&self, drains: bool) {
         self.drains_before_close.set(drains);
     }
 
-    /// Returns once the balancer has waited long enough for the client's next request.
+    /// Returns once the time limit for the client's next request has passed.
     pub async fn timed_out(&self) {
         loop {
             let now = Instant::now();
@@ -124,7 +124,7 @@
 }
 
 impl ActiveRequestGuard {
-    /// A request begins on the connection.
+    /// Marks the connection as carrying a request.
     pub fn new(connection: &Rc<ClientConnection>) -> ActiveRequestGuard {
         connection.unmark_idle();
         ActiveRequestGuard {
--- a/balancer/src/inbound/connection_task.rs
+++ b/balancer/src/inbound/connection_task.rs
@@ -1,4 +1,4 @@
-//! The life of one client connection: serves its requests, and decides when it is closed.
+//! The task of one client connection: serves its requests, and decides when it is closed.
 use crate::body::response_body::ResponseBody;
 use crate::inbound::client_connection::{ActiveRequestGuard, ClientConnection};
 use crate::inbound::context::ServerContext;
@@ -19,9 +19,9 @@
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 
-/// During shutdown, a connection that has been idle for this long is closed, and is checked as
-/// often. On one that was idle for less, the next request may be on its way, and its response ends
-/// the connection.
+/// During shutdown, a connection that has been idle for this long is closed. This is also the
+/// interval between two checks. If it has been idle for less, the next request may be on its way;
+/// then the connection closes with the response to that request.
 const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(100);
 /// The same for a connection that has carried no request yet: its client may write its first
 /// request slowly.
@@ -29,7 +29,7 @@
 /// Time allowed to flush responses before an idle connection is closed.
 const RESPONSE_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 /// After an early response, the rest of the request is read for this long, and up to this size:
-/// closing a socket with unread bytes would destroy the response on its way.
+/// closing a socket with unread bytes resets the connection, and the client may lose the response.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_DRAIN_BYTES: usize = 64 << 20;
 
@@ -113,7 +113,7 @@
     }
 }
 
-/// A partial first head is no accepted request yet.
+/// Whether only part of the first head has arrived, so that no request is accepted yet.
 fn is_within_first_head(connection: &ClientConnection) -> bool {
     let tracker = connection.tracker();
     tracker.is_mid_head() && !tracker.has_dispatched()
@@ -138,7 +138,7 @@
         && connection.stream().is_open_and_drained()
 }
 
-/// Counts a connection as closed, and reports a request on it that this side leaves without a
+/// Counts a connection as closed, and reports a request on it that the balancer has left without a
 /// response.
 fn record_closed(context: &ServerContext, connection: &ClientConnection, reason: CloseReason) {
     context.metrics.record_connection_closed(reason);
@@ -155,7 +155,7 @@
     }
 }
 
-/// Reads and discards what the client still sends.
+/// Reads and discards the rest of the client's input.
 async fn drain(stream: &mut SharedStream) {
     let mut remaining = MAX_DRAIN_BYTES;
     let mut buffer = vec![0; MAX_HEAD_BYTES];
--- a/balancer/src/inbound/context.rs
+++ b/balancer/src/inbound/context.rs
@@ -1,4 +1,4 @@
-//! What all client connections share.
+//! The state that all client connections share.
 use crate::control::driver::DriverHandle;
 use crate::inbound::idle_connections::IdleConnections;
 use crate::invariants::Guard;
@@ -10,13 +10,13 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// What all client connections share.
+/// The state that all client connections share.
 pub struct ServerContext {
-    /// Takes the requests.
+    /// Accepts the requests and selects their upstreams.
     pub driver: DriverHandle,
     /// The settings.
     pub deployment: Deployment,
-    /// Limits the connections.
+    /// Limits the number of connections.
     pub descriptors: DescriptorBudget,
     /// Counts requests and connections.
     pub metrics: Rc<Metrics>,
--- a/balancer/src/inbound/idle_connections.rs
+++ b/balancer/src/inbound/idle_connections.rs
@@ -10,9 +10,10 @@
 
 /// A connection that has carried no request yet may be evicted after this long.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(30);
-/// The grace while no used connection may be evicted instead.
+/// The shorter grace period while no used connection may be evicted instead.
 const MIN_NEW_CONNECTION_GRACE: Duration = Duration::from_millis(5);
-/// A used connection that has been idle for this long is evicted before young new ones.
+/// A used connection that has been idle for this long is evicted before new ones that are still in
+/// their grace period.
 const IDLE_EVICTION_AGE: Duration = Duration::from_secs(2);
 
 /// Whether a connection has carried a request. New connections sort first.
@@ -69,7 +70,7 @@
         key
     }
 
-    /// The connection is no longer idle.
+    /// Removes a connection that is no longer idle.
     pub fn unmark_idle(&self, key: IdleKey) {
         self.connections.borrow_mut().remove(&key);
     }
@@ -123,9 +124,10 @@
 
 /// The kind of connection whose oldest member is evicted for a new connection.
 ///
-/// New connections are evicted first, after a grace in which their requests can be read: otherwise
-/// hundreds of silent clients would shut out those that send requests. Used connections are evicted
-/// without that delay if they have been idle for long, or are the larger group.
+/// New connections are evicted first, after a grace period in which their requests can be read:
+/// otherwise hundreds of clients that send nothing would block those that send requests. Used
+/// connections are evicted without that delay if the oldest has been idle for long, or if they are
+/// the larger group.
 fn select_eviction_candidate(new: IdleGroup, used: IdleGroup) -> Option<ConnectionKind> {
     let new_is_older_than = |grace| new.oldest_age.is_some_and(|age| age >= grace);
     if new_is_older_than(NEW_CONNECTION_GRACE) {
--- a/balancer/src/inbound/idle_connections/tests.rs
+++ b/balancer/src/inbound/idle_connections/tests.rs
@@ -1,8 +1,8 @@
 //! Which kind of idle connection is evicted.
 use super::*;
 
-/// Guards against a growing accept queue: while used connections are the larger group, a young new
-/// one delays nobody until its grace is over.
+/// Guards against a growing accept queue: while used connections are the larger group, one of them
+/// is evicted at once, without waiting for the grace period of a new connection to end.
 #[test]
 fn evicts_from_the_larger_group_while_new_connections_are_in_their_grace() {
     const NEW: Option<ConnectionKind> = Some(ConnectionKind::New);
--- a/balancer/src/inbound/request_framing.rs
+++ b/balancer/src/inbound/request_framing.rs
@@ -1,5 +1,5 @@
-//! Where the body of a client's request ends, by its head. hyper does not report this: it drops
-//! `Content-Length` beside `Transfer-Encoding`.
+//! Determines from the head of a client's request where its body ends. hyper does not report this:
+//! it drops `Content-Length` if there is a `Transfer-Encoding`.
 use thiserror::Error;
 
 /// How the end of a request's body is determined.
@@ -7,13 +7,13 @@
 pub enum BodyFraming {
     /// The body has this many bytes.
     Length(u64),
-    /// The tracker does not follow the body: it is chunked, or hyper rejects the head.
+    /// The tracker does not determine the body's end: it is chunked, or hyper rejects the head.
     Untracked,
 }
 
-/// A head that states the length of its body in two ways.
+/// A head with more than one header that determines the length of its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the length is stated in two ways")]
+#[error("there is more than one Content-Length or Transfer-Encoding header")]
 pub struct AmbiguousFraming;
 
 /// Reads the framing of a request's body from the complete head.
--- a/balancer/src/inbound/request_handler.rs
+++ b/balancer/src/inbound/request_handler.rs
@@ -34,21 +34,21 @@
 const AT_CAPACITY_RETRY_AFTER_MS: Millis = 500.0;
 /// Path of the readiness check.
 const READY_PATH: &str = "/-/ready";
-/// The service, and the prefix of its paths.
+/// Path of the service, and the prefix of the paths below it.
 const SERVICE_PATH: &str = "/api";
 const SERVICE_PREFIX: &str = "/api/";
 
-/// The response to a client while its request holds the connection.
+/// A response to a client. While its body is streamed, the connection counts as active.
 type Response = ClientResponse<ActiveRequestGuard>;
 
-/// Why a request gets its response without being submitted.
+/// Why a request is answered without being submitted to the driver, or why the driver rejected it.
 #[derive(Debug, Error)]
 enum RequestError {
     #[error(transparent)]
     Head(#[from] HeadError),
     #[error(transparent)]
     Body(#[from] BodyError),
-    #[error("GET has no body")]
+    #[error("a GET request must not have a body")]
     UnexpectedBody,
     #[error("the client disconnected")]
     ClientDisconnected,
@@ -77,16 +77,16 @@
 struct SubmittedRequest {
     response: ResponseFuture,
     in_flight: InFlightRequest,
-    /// Its body, if it is large.
+    /// Its body, if it is too large to be buffered.
     upload: Option<Rc<Upload>>,
 }
 
 /// A response, and what it means for its connection.
 struct Reply {
     response: Response,
-    /// The connection closes with the response.
+    /// Whether the connection closes with the response.
     closes_connection: bool,
-    /// Part of the request's body is unread.
+    /// Whether part of the request's body is unread.
     has_unread_body: bool,
 }
 
@@ -119,8 +119,8 @@
     active: ActiveRequestGuard,
     queued_for: Duration,
 ) -> Reply {
-    // Guards against requests hidden in the body of another: nothing is read behind a head with
-    // ambiguous framing, nor behind chunks, whose end the tracker does not follow.
+    // Guards against request smuggling: no further request is read from the connection after a head
+    // with ambiguous framing, nor after a chunked body, whose end the tracker does not determine.
     if active.connection().tracker().is_framing_ambiguous() {
         let text = AmbiguousFraming.to_string();
         return Reply {
@@ -141,7 +141,7 @@
     reply
 }
 
-/// Whether this process can serve. After a handoff it answers for its successor.
+/// Whether this process can serve. After a handoff it stays ready on behalf of its successor.
 fn readiness(context: &ServerContext) -> StatusCode {
     let is_serving = matches!(*context.phase.borrow(), Phase::Serving | Phase::HandedOff);
     if context.driver.has_endpoints() && is_serving {
@@ -176,8 +176,8 @@
     }
 }
 
-/// A client that has closed only its sending side still reads the response. Its request may have
-/// run.
+/// The response to the client; 502 if it disconnected before there was one. A client that has
+/// closed only its sending side still reads that response. Its request may have run.
 fn response_to_client(
     final_response: Option<FinalResponse>,
     in_flight: InFlightRequest,
@@ -189,12 +189,12 @@
     }
 }
 
-/// Adds the headers that end the connection, if it ends with this response.
+/// Adds `Connection: close` if the connection ends with this response.
 fn finish_reply(context: &ServerContext, connection: &ClientConnection, reply: Reply) -> Response {
     let mut response = reply.response;
     let drains_before_close = response.status().is_client_error() || reply.has_unread_body;
     connection.set_drains_before_close(drains_before_close);
-    // During shutdown, requests that were sent behind this one are still served.
+    // During shutdown, requests that are pipelined behind this one are still served.
     let stream = connection.stream();
     let ends_now = context.closes_connections()
         && !connection.tracker().has_pending_input()
@@ -228,7 +228,7 @@
     };
     let outbound = outbound_request(parts, body, connection.stream().peer());
     // The request may have waited long for a permit or in the listener's queue. Nothing has been
-    // sent.
+    // sent to an upstream yet.
     if connection.stream().peer_disconnected() {
         return Err(RequestError::ClientDisconnected);
     }
@@ -257,7 +257,8 @@
     Ok(())
 }
 
-/// Buffers a small body. Stops at the start of a large one.
+/// Buffers a small body completely. Of a large one, only the start is read; an upload reads the
+/// rest.
 async fn read_body(mut body: PacedBody) -> Result<RequestBody, BodyError> {
     let mut chunks: Vec<Bytes> = Vec::new();
     let mut length = 0;
--- a/balancer/src/inbound/request_head.rs
+++ b/balancer/src/inbound/request_head.rs
@@ -31,16 +31,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HeadError {
     /// A header is absent, occurs more than once, or is not text.
-    #[error("{0} is missing")]
+    #[error("the {0} header is missing, repeated or not text")]
     Missing(&'static str),
     /// A header's value is malformed.
-    #[error("{0} is bad")]
+    #[error("the {0} header has an invalid value")]
     Malformed(&'static str),
     /// The settings do not list a header's value.
-    #[error("{0} is unknown")]
+    #[error("the {0} header has a value that is not in the settings")]
     Unknown(&'static str),
     /// The method or the idempotency key does not match the class.
-    #[error("the method or Idempotency-Key does not fit the class")]
+    #[error("the method or the Idempotency-Key header does not match the class of the request")]
     ClassMismatch,
 }
 
@@ -80,7 +80,7 @@
     Ok(())
 }
 
-/// Whether the method and the idempotency key are those of a class.
+/// Whether the method and the idempotency key match the idempotency of a class.
 fn matches_idempotency(idempotency: Idempotency, method: &Method, headers: &HeaderMap) -> bool {
     match idempotency {
         Idempotency::Idempotent => method == Method::GET,
--- a/balancer/src/inbound/request_tracker.rs
+++ b/balancer/src/inbound/request_tracker.rs
@@ -1,5 +1,5 @@
-//! Follows a client's bytes before hyper parses them: complete heads, partial heads and when they
-//! arrived.
+//! Tracks the requests in a client's input before hyper parses it: complete heads, partial heads
+//! and when they arrived.
 use crate::inbound::request_framing::{parse_framing, BodyFraming};
 use crate::net::shared_stream::{SharedStream, MAX_HEAD_BYTES};
 use std::cell::{Cell, RefCell};
@@ -13,7 +13,7 @@
 
 /// The requests on one client connection, as far as its bytes have been read.
 pub struct RequestTracker {
-    /// Complete heads read.
+    /// How many complete heads have been read.
     requests_read: Cell<u64>,
     /// How many of these requests hyper has dispatched to the service.
     requests_dispatched: Cell<u64>,
@@ -21,8 +21,8 @@
     mid_head: Cell<bool>,
     /// When the heads arrived that are not yet dispatched.
     arrivals: RefCell<VecDeque<Instant>>,
-    /// Since when the balancer waits for the client: the connection, the first byte of a head, or
-    /// the last response.
+    /// Since when the balancer has waited for the client: the start of the connection, the first
+    /// byte of a later head, or the end of the last response.
     waiting_since: Cell<Instant>,
     /// Number, from 1, of the request with ambiguous framing.
     ambiguous_request: Cell<Option<u64>>,
@@ -67,17 +67,17 @@
         self.requests_read.get() > self.requests_dispatched.get()
     }
 
-    /// Whether more has been read than is dispatched.
+    /// Whether input has been read that is not yet dispatched.
     pub fn has_pending_input(&self) -> bool {
         self.is_mid_head() || self.has_undispatched_request()
     }
 
-    /// Whether the last dispatched request states the length of its body in two ways.
+    /// Whether the framing of the last dispatched request is ambiguous.
     pub fn is_framing_ambiguous(&self) -> bool {
         self.ambiguous_request.get() == Some(self.requests_dispatched.get())
     }
 
-    /// Since when the balancer waits for the client.
+    /// Since when the balancer has waited for the client.
     pub fn waiting_since(&self) -> Instant {
         self.waiting_since.get()
     }
@@ -109,7 +109,8 @@
     Head,
     /// Within a body.
     Body { remaining: u64 },
-    /// Behind a head after which the connection closes, or that hyper rejects.
+    /// After a head that ends the tracking: the connection closes after its request, or hyper
+    /// rejects it.
     Untracked,
 }
 
@@ -142,7 +143,7 @@
         }
     }
 
-    /// Follows bytes that were read and had arrived at `arrival`.
+    /// Tracks bytes that were read and had arrived at `arrival`.
     fn track(&mut self, mut bytes: &[u8], arrival: Instant) {
         while !bytes.is_empty() {
             match self.position {
@@ -206,7 +207,7 @@
     }
 }
 
-/// HTTP allows empty lines before a request.
+/// Skips empty lines, which HTTP allows before a request.
 fn skip_blank_lines(bytes: &[u8]) -> &[u8] {
     let blank = bytes
         .iter()
--- a/balancer/src/inbound/responses.rs
+++ b/balancer/src/inbound/responses.rs
@@ -1,4 +1,4 @@
-//! The responses that clients get.
+//! Responses to clients.
 use crate::body::response_body::{ResponseBody, ResponseContent, StreamedResponse};
 use crate::outbound::message::FinalResponse;
 use crate::telemetry::metrics::{InFlightRequest, RequestOutcome};
@@ -8,7 +8,7 @@
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::{Response, StatusCode};
 
-/// A response to a client. `G` is held until its body ends.
+/// A response to a client. A streamed body holds `G` until it ends.
 pub type ClientResponse<G> = Response<ResponseBody<G>>;
 
 /// A response with this status and without a body.
@@ -27,8 +27,8 @@
     response
 }
 
-/// Rejects a request that has not run: the client may retry after `retry_after_ms`. Zero gives no
-/// advice.
+/// Rejects a request that has not run: the client may retry after `retry_after_ms`. With zero there
+/// is no `Retry-After` header.
 pub fn rejection<G>(retry_after_ms: Millis) -> ClientResponse<G> {
     let mut response = empty_response(StatusCode::SERVICE_UNAVAILABLE);
     if retry_after_ms > 0.0 {
@@ -40,8 +40,8 @@
     response
 }
 
-/// The one final response to a request. Sets the request's outcome, and holds `guard` until the
-/// body ends.
+/// The one final response to a request. Sets the request's outcome. A streamed body holds `guard`
+/// until it ends.
 pub fn client_response<G>(
     final_response: FinalResponse,
     request: InFlightRequest,
@@ -55,7 +55,7 @@
         }
         FinalResponse::ClientError(status) => {
             request.set_outcome(RequestOutcome::Failed);
-            input_error_response(status, "turned away by the service")
+            input_error_response(status, "the upstream found the request invalid")
         }
         FinalResponse::RequestBodyFailed(error) => {
             request.set_outcome(RequestOutcome::Failed);
--- a/balancer/src/inbound/server.rs
+++ b/balancer/src/inbound/server.rs
@@ -151,7 +151,7 @@
     /// disconnected at once.
     async fn handle_accept_error(&mut self, error: &io::Error) {
         if !self.is_failing {
-            log_line!("accept: {error}");
+            log_line!("cannot accept a client connection: {error}");
         }
         self.is_failing = true;
         if is_resource_shortage(error) {
@@ -191,8 +191,8 @@
     accepted_at.checked_sub(queue_delay).unwrap_or(accepted_at)
 }
 
-/// A permit for one more client. Evicts idle connections: a request written to a connection that
-/// waits to be accepted counts as accepted, and idle clients must not shut it out.
+/// Acquires a permit for one more client, and evicts idle connections for it: a request written to
+/// a connection that waits to be accepted counts as accepted, so idle clients must not block it.
 async fn acquire_permit(context: &ServerContext) -> Option<ConnectionPermit> {
     loop {
         if let Some(permit) = context.descriptors.try_acquire_client() {
@@ -202,8 +202,8 @@
         if !has_evicted && context.descriptors.is_exhausted() {
             context.driver.close_oldest_idle_connection();
         }
-        // A connection that closes returns its permit. While all are busy, the next attempt follows
-        // a little later.
+        // A connection that closes releases its permit. While all connections are busy, eviction is
+        // tried again after the interval.
         let permit = timeout(PERMIT_RETRY_INTERVAL, context.descriptors.acquire_client()).await;
         if let Ok(permit) = permit {
             return permit;
@@ -212,15 +212,16 @@
 }
 
 /// Starts the task of a connection that arrived in the listener's queue at `arrived_at` at the
-/// earliest. One that the loop cannot watch for a moment waits, as one does without a permit.
+/// earliest. A connection that cannot be registered with the event loop yet waits until it can, as
+/// one without a permit does.
 fn spawn_connection(
     context: &Rc<ServerContext>,
     stream: std::net::TcpStream,
     permit: ConnectionPermit,
     arrived_at: Instant,
 ) {
-    // Without this option responses wait for the client's acknowledgements. It fails if the client
-    // has disconnected.
+    // Without TCP_NODELAY, responses wait for the client's acknowledgements. Setting it fails if
+    // the client has disconnected.
     if stream.set_nodelay(true).is_err() {
         return;
     }
@@ -239,7 +240,8 @@
     });
 }
 
-/// Serves a connection. It counts as idle at once, so that it is evicted before an older one in use.
+/// Serves a connection. It counts as idle from the start, so that it is evicted before an older
+/// connection that is in use.
 fn serve_registered(
     context: Rc<ServerContext>,
     stream: TcpStream,
