--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -22,13 +22,13 @@
 use crate::process::config::Config;
 use crate::process::config_file::load_config;
 use crate::process::program_error::ProgramError;
-use crate::process::reload::follow_reloads;
+use crate::process::reload::reload_on_signal;
 use crate::process::runtime::start_runtime;
 use crate::process::shutdown::Shutdown;
 use crate::process::shutdown_schedule::ShutdownSchedule;
 use crate::process::signals::{SignalStream, Signals};
 use crate::telemetry::log::log_line;
-use crate::telemetry::log::{start_events, LogOutput};
+use crate::telemetry::log::{init_event_log, LogOutput};
 use crate::telemetry::metrics::Metrics;
 use balancer_core::{Millis, SettingsError};
 use balancer_settings::Deployment;
@@ -69,24 +69,24 @@
 }
 
 /// What several parts of the process share.
-struct SharedParts {
+struct ProcessContext {
     metrics: Rc<Metrics>,
-    sockets: DescriptorBudget,
+    descriptors: DescriptorBudget,
     guard: Guard,
     phase: Rc<watch::Sender<Phase>>,
 }
 
-impl SharedParts {
-    fn new(config: &Config) -> SharedParts {
+impl ProcessContext {
+    fn new(config: &Config) -> ProcessContext {
         let metrics = Metrics::new(&config.deployment.classes);
         let admin_descriptors = match config.admin_address {
             Some(_) => server::DESCRIPTORS,
             None => 0,
         };
-        SharedParts {
+        ProcessContext {
             guard: Guard::new(metrics.clone()),
             metrics,
-            sockets: DescriptorBudget::new(
+            descriptors: DescriptorBudget::new(
                 config.max_descriptors.saturating_sub(admin_descriptors),
             ),
             phase: Rc::new(watch::Sender::new(Phase::Starting)),
@@ -97,7 +97,7 @@
 /// A process that serves.
 struct ServingProcess {
     config: Config,
-    parts: SharedParts,
+    context: ProcessContext,
     handle: DriverHandle,
     /// Fires the driver's timers; ends only if it fails.
     timers: JoinHandle<()>,
@@ -131,20 +131,20 @@
     ) -> Result<Option<ServingProcess>, ProgramError> {
         let clock = Clock::start();
         let config = load_config(STARTUP_RETRY_LIMIT).await?;
-        start_events(&config.name);
+        init_event_log(&config.name);
         let admin_listener = listen_for_admin(config.admin_address).await?;
         let cached_snapshot = valid_snapshot(&config);
-        let parts = SharedParts::new(&config);
+        let context = ProcessContext::new(&config);
         let (discovery_address, addresses) = watch::channel(config.discovery_address);
         let ControlPlane {
             handle,
             timers,
             discovery,
-        } = start_control_plane(&config, clock, cached_snapshot, addresses, &parts)?;
-        let reloads = follow_reloads(reload, discovery_address, parts.metrics.clone());
+        } = start_control_plane(&config, clock, cached_snapshot, addresses, &context)?;
+        let reloads = reload_on_signal(reload, discovery_address, context.metrics.clone());
         tokio::task::spawn_local(reloads);
         tokio::task::spawn_local(discovery.run(handle.clone()));
-        let coordinator = start_admin(&config, admin_listener, &handle, &parts)?;
+        let coordinator = start_admin(&config, admin_listener, &handle, &context)?;
         if let Some(coordinator) = &coordinator {
             tokio::select! {
                 () = coordinator.prepare() => {}
@@ -152,15 +152,15 @@
             }
         }
         let shares_address = coordinator.is_some();
-        let (server, address) = start_server(&config, shares_address, &handle, &parts).await?;
+        let (server, address) = start_server(&config, shares_address, &handle, &context).await?;
         match &coordinator {
             Some(coordinator) => coordinator.serve().await,
-            None => drop(parts.phase.send_replace(Phase::Serving)),
+            None => drop(context.phase.send_replace(Phase::Serving)),
         }
         log_line!("{}: serving on {address}", config.name);
         Ok(Some(ServingProcess {
             config,
-            parts,
+            context,
             handle,
             timers,
             server,
@@ -179,7 +179,7 @@
         self.handle
             .set_response_deadline(shutdown.schedule.fail_pending_after);
         shutdown
-            .close_connections(self.coordinator.as_deref(), &self.parts.phase)
+            .close_connections(self.coordinator.as_deref(), &self.context.phase)
             .await;
         shutdown.wait_for_clients(&self.handle, self.server).await;
     }
@@ -212,14 +212,14 @@
     clock: Clock,
     cached_snapshot: Option<&EndpointUpdate>,
     discovery_addresses: watch::Receiver<SocketAddr>,
-    parts: &SharedParts,
+    context: &ProcessContext,
 ) -> Result<ControlPlane, SettingsError> {
     ControlPlane::start(ControlPlaneOptions {
         deployment: &config.deployment,
         seed: config.seed,
         clock,
-        dispatch: Dispatch::Sockets(transport(&config.deployment, parts)),
-        guard: parts.guard.clone(),
+        dispatch: Dispatch::Sockets(transport(&config.deployment, context)),
+        guard: context.guard.clone(),
         cached_snapshot,
         discovery: discovery_addresses,
         log: LogOutput::StandardError,
@@ -227,14 +227,14 @@
 }
 
 /// Sends attempts over sockets.
-fn transport(deployment: &Deployment, parts: &SharedParts) -> Transport {
+fn transport(deployment: &Deployment, context: &ProcessContext) -> Transport {
     let connector = Connector::new(
         deployment.connect_timeout,
         from_millis(deployment.policy.idle_close.min(MAX_SETTING_MS)),
-        parts.sockets.clone(),
-        parts.metrics.upstreams().clone(),
+        context.descriptors.clone(),
+        context.metrics.upstreams().clone(),
     );
-    Transport::new(connector, parts.guard.clone())
+    Transport::new(connector, context.guard.clone())
 }
 
 /// Listens for operators, if there is an address for them. This happens before anything else is started, so that a
@@ -254,7 +254,7 @@
     config: &Config,
     listener: Option<Listener>,
     handle: &DriverHandle,
-    parts: &SharedParts,
+    context: &ProcessContext,
 ) -> Result<Option<Rc<ProcessCoordinator>>, ProgramError> {
     let Some(listener) = listener else {
         return Ok(None);
@@ -263,21 +263,21 @@
     log_line!("{}: admin endpoint listens on {address}", config.name);
     let overrides = OverrideSync::new(
         handle.clone(),
-        parts.phase.clone(),
-        OverrideStore::new(override_folder()),
+        context.phase.clone(),
+        OverrideStore::new(override_directory()),
     );
     let admin = AdminServer::new(AdminOptions {
         driver: handle.clone(),
-        metrics: parts.metrics.clone(),
-        phase: parts.phase.subscribe(),
+        metrics: context.metrics.clone(),
+        phase: context.phase.subscribe(),
         overrides: overrides.clone(),
         slow_start_duration: config.deployment.policy.slow_start_duration,
     });
     tokio::task::spawn_local(admin.run(listener));
     let coordinator = ProcessCoordinator::new(
         handle.clone(),
-        parts.sockets.clone(),
-        parts.phase.clone(),
+        context.descriptors.clone(),
+        context.phase.clone(),
         overrides,
         endpoint_list_timeout(&config.deployment),
     );
@@ -293,9 +293,9 @@
 }
 
 /// The folder that all processes of this balancer share, if there is one.
-fn override_folder() -> Option<PathBuf> {
+fn override_directory() -> Option<PathBuf> {
     std::env::var_os("TMPDIR")
-        .filter(|folder| !folder.is_empty())
+        .filter(|directory| !directory.is_empty())
         .map(PathBuf::from)
 }
 
@@ -304,7 +304,7 @@
     config: &Config,
     shares_address: bool,
     handle: &DriverHandle,
-    parts: &SharedParts,
+    context: &ProcessContext,
 ) -> Result<(JoinHandle<()>, SocketAddr), ProgramError> {
     let address = config.listen_address;
     let failed = |source: io::Error| ProgramError::Listen { address, source };
@@ -317,10 +317,10 @@
     let server = Server::new(
         handle.clone(),
         config.deployment.clone(),
-        parts.sockets.clone(),
-        parts.metrics.clone(),
-        parts.guard.clone(),
-        parts.phase.subscribe(),
+        context.descriptors.clone(),
+        context.metrics.clone(),
+        context.guard.clone(),
+        context.phase.subscribe(),
     );
     let task = tokio::task::spawn_local(server.run(listener));
     Ok((task, local_address))
--- a/balancer/src/process/reload.rs
+++ b/balancer/src/process/reload.rs
@@ -13,7 +13,7 @@
 
 /// Reloads the configuration at each signal. Only discovery's address can change while the process runs. A file that
 /// is invalid or cannot be read changes nothing.
-pub async fn follow_reloads(
+pub async fn reload_on_signal(
     reload: SignalStream,
     discovery_address: watch::Sender<SocketAddr>,
     metrics: Rc<Metrics>,
--- a/balancer/src/telemetry/log.rs
+++ b/balancer/src/telemetry/log.rs
@@ -10,7 +10,7 @@
 /// The environment variable that turns structured events on.
 const LEVEL_VARIABLE: &str = "NODE_LOG";
 /// A pipe that is writable has space for this many bytes.
-const PIPE_SPACE: usize = 4096;
+const PIPE_BUF: usize = 4096;
 
 /// Writes one line to standard error, with the arguments of [`format!`].
 macro_rules! log_line {
@@ -36,7 +36,7 @@
         if !is_writable(io::stderr().as_fd()) {
             return Ok(bytes.len());
         }
-        let chunk = &bytes[..bytes.len().min(PIPE_SPACE)];
+        let chunk = &bytes[..bytes.len().min(PIPE_BUF)];
         io::stderr().write(chunk)
     }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// Whether a write of [`PIPE_SPACE`] does not block. Where the system cannot tell, it is tried.
+/// Whether a write of [`PIPE_BUF`] does not block. Where the system cannot tell, it is tried.
 fn is_writable(descriptor: BorrowedFd<'_>) -> bool {
     let mut polled = [PollFd::new(descriptor, PollFlags::POLLOUT)];
     let is_ready = poll(&mut polled, PollTimeout::ZERO).map(|ready| ready > 0);
@@ -87,7 +87,7 @@
 /// Writes structured events as JSON lines to standard error, if the environment asks for them. At
 /// `debug` there is one for each request, attempt, closed connection and call to discovery; without
 /// the variable there are none.
-pub fn start_events(name: &str) {
+pub fn init_event_log(name: &str) {
     let level = std::env::var(LEVEL_VARIABLE).unwrap_or_default();
     if level.is_empty() {
         return;
--- a/balancer/src/time/timer_queue.rs
+++ b/balancer/src/time/timer_queue.rs
@@ -8,14 +8,14 @@
 pub struct TimerKey {
     deadline: Instant,
     /// Tells timers with the same deadline apart.
-    number: u64,
+    sequence: u64,
 }
 
 /// The timers that have not fired.
 #[derive(Debug, Default)]
 pub struct TimerQueue {
     wakers: BTreeMap<TimerKey, Waker>,
-    next_number: u64,
+    next_sequence: u64,
 }
 
 impl TimerQueue {
@@ -23,9 +23,9 @@
     pub fn insert(&mut self, deadline: Instant, waker: Waker) -> TimerKey {
         let key = TimerKey {
             deadline,
-            number: self.next_number,
+            sequence: self.next_sequence,
         };
-        self.next_number += 1;
+        self.next_sequence += 1;
         self.wakers.insert(key, waker);
         key
     }
