--- a/balancer/src/contained_panic.rs
+++ b/balancer/src/contained_panic.rs
@@ -1,4 +1,4 @@
-//! Panics of the runtime that this crate contains, because nothing is lost by them.
+//! Contains panics of the runtime that do no harm.
 use std::cell::Cell;
 use std::panic::{catch_unwind, set_hook, take_hook, AssertUnwindSafe};
 
@@ -7,7 +7,7 @@
     static IS_CONTAINED: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Reports panics as before, except those that [`contain`] contains.
+/// Installs a panic hook that reports no panic within [`contain`], and all others as before.
 pub fn install_hook() {
     let report = take_hook();
     set_hook(Box::new(move |panic| {
@@ -17,7 +17,7 @@
     }));
 }
 
-/// Makes a call whose panic does no harm. `None` if it panicked.
+/// Calls a function whose panic does no harm. Returns `None` if it panicked.
 pub fn contain<T>(call: impl FnOnce() -> T) -> Option<T> {
     let was_contained = IS_CONTAINED.replace(true);
     let result = catch_unwind(AssertUnwindSafe(call));
--- a/balancer/src/contained_panic/tests.rs
+++ b/balancer/src/contained_panic/tests.rs
@@ -1,4 +1,4 @@
-//! Which calls return, and which do not.
+//! Results and panics of contained calls.
 use super::*;
 
 #[test]
--- a/balancer/src/hollow.rs
+++ b/balancer/src/hollow.rs
@@ -25,7 +25,7 @@
 pub use crate::telemetry::metrics::RequestOutcome;
 pub use balancer_core::{EndpointCounts, SettingsError};
 
-/// What a hollow balancer starts from.
+/// The options with which a hollow balancer starts.
 #[derive(Clone, Copy, Debug)]
 pub struct HollowOptions<'a> {
     /// The settings.
@@ -49,7 +49,7 @@
     pub full: bool,
     /// How many endpoints it held.
     pub endpoints: usize,
-    /// When it was in force: the decision module and the endpoint state had applied it.
+    /// When it was in force, that is, the decision module and the endpoint state had applied it.
     pub applied_at: SystemTime,
 }
 
@@ -171,7 +171,7 @@
     }
 }
 
-/// A request that is never written.
+/// A request that is never written to a socket.
 fn empty_request() -> OutboundRequest {
     OutboundRequest {
         request_id: None,
--- a/balancer/src/invariants.rs
+++ b/balancer/src/invariants.rs
@@ -1,8 +1,8 @@
 //! Run-time checks of the rules that hold whatever clients, upstreams, discovery and the system do.
 //!
 //! One [`Guard`] checks the start of each attempt, its first byte, each final response and the end of each client's
-//! connection. What it denies is not done. It counts each violation by [`Rule`] and logs it; operators read the counts
-//! among the metrics. In a correct program every count stays zero.
+//! connection. Attempts and writes that it denies do not take place. It counts each violation by [`Rule`] and logs it;
+//! operators read the counts among the metrics. In a correct program every count stays zero.
 use crate::telemetry::guard_counts::{Denial, Rule};
 use crate::telemetry::log::log_line;
 use crate::telemetry::metrics::Metrics;
@@ -13,10 +13,10 @@
 
 /// Most attempts for one request, whatever the settings say.
 pub const MAX_ATTEMPTS: u32 = 5;
-/// A response that is later than this after the request's deadline violates the rule.
+/// A response that is later than this after the request's deadline violates [`Rule::ResponseOverdue`].
 const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
 
-/// The attempts that were made for one request.
+/// The attempts that were started for one request.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptHistory {
     idempotency: Idempotency,
@@ -52,7 +52,7 @@
         self.in_flight += 1;
     }
 
-    /// An attempt that started at `started_at` has ended; `never_ran` is proof that it has not run.
+    /// Records the end of an attempt that started at `started_at`. `never_ran`: it is proven that it has not run.
     pub fn attempt_ended(&mut self, started_at: Instant, never_ran: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if !never_ran {
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The rule that another attempt would violate now.
+    /// The rule that another attempt would violate now, if any.
     fn rule_violated_by_attempt(&self, now: Instant) -> Option<Rule> {
         if self.started >= MAX_ATTEMPTS {
             return Some(Rule::AttemptLimit);
@@ -86,7 +86,8 @@
         }
     }
 
-    /// Whether a rejection keeps its promise that a request that is not idempotent has not run.
+    /// Whether the request may be rejected: for a request that is not idempotent, a rejection promises that it has not
+    /// run.
     fn may_reject(&self) -> bool {
         self.idempotency != Idempotency::NonIdempotent || self.first_run_at.is_none()
     }
@@ -139,7 +140,7 @@
         Guard(metrics)
     }
 
-    /// Books the start of an attempt, unless it would violate a rule. `request` is the request's label in logs.
+    /// Records the start of an attempt, unless it would violate a rule. `request` is the request's label in logs.
     pub fn start_attempt(&self, history: &mut AttemptHistory, request: &str) -> Result<(), Rule> {
         if let Some(rule) = history.rule_violated_by_attempt(Instant::now()) {
             self.record_violation(rule, request);
@@ -149,7 +150,7 @@
         Ok(())
     }
 
-    /// Whether a request may be written now.
+    /// Checks whether a request may be written now. Counts a denial.
     pub fn write(&self, conditions: WriteConditions) -> Result<(), Denial> {
         let Some(denial) = conditions.denial() else {
             return Ok(());
@@ -175,7 +176,7 @@
         }
     }
 
-    /// This side closed a client's connection before responding to a request on it.
+    /// Records that the balancer closed a client's connection before responding to a request on it.
     pub fn closed_unanswered(&self, request: &str) {
         self.record_violation(Rule::ClosedUnanswered, request);
     }
--- a/balancer/src/invariants/tests.rs
+++ b/balancer/src/invariants/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts, writes and responses that the guard allows, denies and counts.
+//! Which attempts, writes and responses the guard allows, denies and counts.
 use super::*;
 use balancer_core::DedupScope;
 
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,10 +1,10 @@
-//! balancer: a load balancer on real sockets around the decision module `balancer_core`.
+//! A load balancer that runs the decision module `balancer_core` on real sockets.
 //!
 //! [`process`] is the balancer as a process. [`hollow`] runs many balancers without traffic in one process, to measure
 //! the cost of the endpoint list and the time that a change of it takes. Both start the same control plane: the driver
 //! of the decision module, and the discovery client.
 //!
-//! | module | owns |
+//! | module | contents |
 //! | --- | --- |
 //! | `process` | start-up, signals, shutdown, configuration |
 //! | `admin` | the admin server, administrative overrides, handoff between processes |
@@ -17,8 +17,8 @@
 //! | `body`, `net`, `telemetry` | bodies; sockets and descriptors; metrics and log events |
 //!
 //! Imports go one way: `process`, `inbound` and `admin` use `control`, which uses `outbound` and `discovery`; all of them
-//! may use the last three rows.
-// `eprintln!` panics where standard error cannot be written: see `telemetry::log`.
+//! may use the modules of the last three rows.
+// `eprintln!` panics if standard error cannot be written: see `telemetry::log`.
 #![cfg_attr(not(test), warn(clippy::print_stderr, clippy::print_stdout))]
 #![cfg_attr(
     test,
--- a/balancer/src/main.rs
+++ b/balancer/src/main.rs
@@ -1,4 +1,4 @@
-//! The balancer program. The library holds all of it.
+//! The balancer program. All of its code is in the library.
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
--- a/balancer/src/process/config.rs
+++ b/balancer/src/process/config.rs
@@ -14,7 +14,7 @@
 /// What is wrong with a configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The text is no JSON.
+    /// The text is not valid JSON.
     #[error("{0}")]
     Json(#[source] serde_json::Error),
     /// A field is missing or malformed.
@@ -37,14 +37,14 @@
         index: usize,
     },
     /// The seed is malformed.
-    #[error("seed: {0:?} is no hexadecimal number of 64 bits")]
+    #[error("seed: {0:?} is not a hexadecimal number of at most 64 bits")]
     Seed(String),
     /// The limit of file descriptors is too low.
     #[error("limits.sockets: must be at least {MIN_DESCRIPTORS}")]
     TooFewDescriptors,
 }
 
-/// The configuration file. Its keys are given by the platform.
+/// The configuration file. The platform defines its keys.
 #[derive(Deserialize)]
 struct RawConfig {
     name: String,
@@ -82,10 +82,10 @@
     pub seed: u64,
     /// Most file descriptors that the process may hold.
     pub max_descriptors: usize,
-    /// The endpoint list that this balancer had last, if any. It only saves time, so a malformed list does not keep the
+    /// The last endpoint list of this balancer, if any. It only saves time, so a malformed list does not keep the
     /// balancer from starting.
     pub cached_snapshot: Result<Option<EndpointUpdate>, EndpointListError>,
-    /// The settings, for the decision module and for the sockets.
+    /// The settings of the decision module and of the sockets.
     pub deployment: Deployment,
 }
 
--- a/balancer/src/process/config/tests.rs
+++ b/balancer/src/process/config/tests.rs
@@ -1,4 +1,4 @@
-//! Configurations that are read, and errors that name what is wrong.
+//! Parsing of configurations, and errors that name the field that is wrong.
 use super::*;
 use std::time::Duration;
 
--- a/balancer/src/process/config_file.rs
+++ b/balancer/src/process/config_file.rs
@@ -1,4 +1,4 @@
-//! Loads the configuration from the places that the environment names.
+//! Loads the configuration from the file that the environment names. The environment may also state the admin address.
 use crate::net::retry_io::retry_io;
 use crate::process::config::{Config, ConfigError};
 use std::env::VarError;
@@ -39,7 +39,7 @@
     },
 }
 
-/// Loads the configuration. Reading the file is retried up to `retry_limit` if the system fails for a moment.
+/// Loads the configuration. While reading the file fails for a transient reason, it is retried for up to `retry_limit`.
 pub async fn load_config(retry_limit: Duration) -> Result<Config, ConfigLoadError> {
     let path = std::env::var(CONFIG_VARIABLE).map_err(ConfigLoadError::NoPath)?;
     let text = match retry_io(retry_limit, || std::fs::read(&path)).await {
--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -43,9 +43,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// How long operations are retried that the system fails at start-up: much shorter than the time to become ready.
+/// How long failing system calls are retried at start-up: much shorter than the time to become ready.
 const STARTUP_RETRY_LIMIT: Duration = Duration::from_secs(3);
-/// Longer times in the settings, in milliseconds, count as one day.
+/// Longest time that is taken from the settings, in milliseconds: one day. Longer ones count as this.
 const MAX_SETTING_MS: Millis = 86_400_000.0;
 
 /// Runs the balancer until a signal shuts it down.
@@ -59,16 +59,17 @@
 }
 
 fn run_on_one_thread() -> Result<(), ProgramError> {
-    // Before anything else: a signal that is not blocked ends the process.
+    // Before anything else: a signal that arrives while it is not blocked ends the process.
     Signals::block()?;
-    // Never dropped: the tasks that a runtime drops wake each other from outside its loop, by the
-    // write that ends the process if it fails. The system closes what they hold.
+    // Never dropped: tasks that a runtime drops wake each other from outside its event loop, by the
+    // write that ends the process if it fails (see `process::runtime`). The system closes the
+    // descriptors that they hold.
     let runtime =
         ManuallyDrop::new(start_runtime(STARTUP_RETRY_LIMIT).map_err(ProgramError::Runtime)?);
     runtime.block_on(run())
 }
 
-/// What several parts of the process share.
+/// The state that several parts of the process share.
 struct ProcessContext {
     metrics: Rc<Metrics>,
     descriptors: DescriptorBudget,
@@ -94,7 +95,7 @@
     }
 }
 
-/// A process that serves.
+/// A process that serves clients.
 struct ServingProcess {
     config: Config,
     context: ProcessContext,
@@ -109,13 +110,14 @@
 
 async fn run() -> Result<(), ProgramError> {
     let Signals { reload, shutdown } = Signals::open(STARTUP_RETRY_LIMIT).await?;
-    // Nothing is owed before this process listens.
+    // Before this process listens, no client waits for it, so that it can exit at once.
     let Some(mut process) = ServingProcess::start(reload, &shutdown).await? else {
         return Ok(());
     };
     tokio::select! {
         () = shutdown.received() => {}
-        // Without timers no request would end. A process that exits is noticed at once.
+        // Without timers no request would end. If the process exits instead, the failure is noticed
+        // at once.
         ended = &mut process.timers => return Err(ProgramError::TimersStopped(ended)),
     }
     process.shut_down().await;
@@ -124,7 +126,8 @@
 
 impl ServingProcess {
     /// Starts all parts of the process. Each `reload` signal reloads the configuration.
-    /// `None` if `shutdown` arrives while this process waits beside another one.
+    /// Returns `None` if `shutdown` arrives while the coordinator prepares this process for serving, for example while
+    /// it waits beside another process.
     async fn start(
         reload: SignalStream,
         shutdown: &SignalStream,
@@ -168,7 +171,7 @@
         }))
     }
 
-    /// Shuts down: serves the clients to the end, for as long as the schedule allows.
+    /// Shuts down: keeps serving the connected clients, for as long as the schedule allows.
     async fn shut_down(self) {
         log_line!("{}: shutdown requested", self.config.name);
         let shutdown = Shutdown {
@@ -226,7 +229,7 @@
     })
 }
 
-/// Sends attempts over sockets.
+/// The transport that sends attempts over sockets.
 fn transport(deployment: &Deployment, context: &ProcessContext) -> Transport {
     let connector = Connector::new(
         deployment.connect_timeout,
@@ -238,7 +241,7 @@
 }
 
 /// Listens for operators, if there is an address for them. This happens before anything else is started, so that a
-/// wrong address ends the process with one line.
+/// wrong address ends the process with one log line.
 async fn listen_for_admin(address: Option<SocketAddr>) -> Result<Option<Listener>, ProgramError> {
     let Some(address) = address else {
         return Ok(None);
@@ -292,7 +295,7 @@
     }
 }
 
-/// The folder that all processes of this balancer share, if there is one.
+/// The directory that all processes of this balancer share for the overrides; `None` without `TMPDIR`.
 fn override_directory() -> Option<PathBuf> {
     std::env::var_os("TMPDIR")
         .filter(|directory| !directory.is_empty())
--- a/balancer/src/process/program_error.rs
+++ b/balancer/src/process/program_error.rs
@@ -9,11 +9,11 @@
 /// Why the program ended with a failure.
 #[derive(Debug, Error)]
 pub enum ProgramError {
-    /// The runtime could not be built.
-    #[error("{0}")]
+    /// The runtime could not be started.
+    #[error("cannot start the runtime: {0}")]
     Runtime(#[source] io::Error),
     /// Signals could not be received.
-    #[error("{0}")]
+    #[error("cannot receive signals: {0}")]
     Signals(#[source] io::Error),
     /// The configuration was not loaded.
     #[error("{0}")]
@@ -30,7 +30,7 @@
         source: io::Error,
     },
     /// The address at which the admin server listens is unknown.
-    #[error("ops: {0}")]
+    #[error("ops: cannot determine the address of the admin endpoint: {0}")]
     AdminAddress(#[source] io::Error),
     /// The balancer cannot listen for clients.
     #[error("listen: {address}: {source}")]
@@ -41,6 +41,6 @@
         source: io::Error,
     },
     /// The driver's timers stopped.
-    #[error("the timers stopped: {0:?}")]
+    #[error("the timers of the driver stopped: {0:?}")]
     TimersStopped(Result<(), JoinError>),
 }
--- a/balancer/src/process/reload.rs
+++ b/balancer/src/process/reload.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long reading the file is retried: much shorter than the time after which a migration counts as notified.
+/// How long reading the file is retried: much shorter than the time after which a migration of discovery counts as
+/// notified.
 const READ_RETRY_LIMIT: Duration = Duration::from_millis(1500);
 
 /// Reloads the configuration at each signal. Only discovery's address can change while the process runs. A file that
@@ -31,7 +32,7 @@
             }
             Err(error) => {
                 let message = error.to_string().replace('\n', " ");
-                log_line!("balancer: not reloaded: {message}");
+                log_line!("balancer: configuration not reloaded: {message}");
             }
         }
     }
--- a/balancer/src/process/shutdown.rs
+++ b/balancer/src/process/shutdown.rs
@@ -10,12 +10,12 @@
 use tokio::task::{JoinError, JoinHandle};
 use tokio::time::Instant;
 
-/// How often the end of relayed responses is checked.
+/// Interval between two checks whether responses are still being relayed.
 const RELAY_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 /// Relayed responses are cut off this long after the signal, unless the process was killed before.
 const MAX_RELAY_PERIOD: Duration = Duration::from_secs(30);
 
-/// A shutdown under way.
+/// A shutdown in progress.
 pub struct Shutdown<'a> {
     /// The balancer's name, for the log.
     pub name: &'a str,
@@ -26,7 +26,8 @@
 }
 
 impl Shutdown<'_> {
-    /// Takes the process through the phases of its end, until connections are closed.
+    /// Takes the process through the phases of its shutdown, until it closes connections. If another process of this
+    /// balancer has started to serve, hands off to it at once.
     pub async fn close_connections(
         &self,
         coordinator: Option<&ProcessCoordinator>,
@@ -92,7 +93,8 @@
     }
 }
 
-/// Leaves the clients to the successor. If staff have sent clients away, that holds for this process too.
+/// Hands the clients off to the successor. If operators have paused the balancer, connections of this process keep
+/// being closed.
 fn hand_off(phase: &watch::Sender<Phase>) {
     let is_paused = *phase.borrow() == Phase::Paused;
     phase.send_replace(if is_paused {
--- a/balancer/src/process/shutdown_schedule.rs
+++ b/balancer/src/process/shutdown_schedule.rs
@@ -1,7 +1,7 @@
 //! The times of a shutdown.
 use std::time::Duration;
 
-/// New connections keep arriving for this long after SIGTERM, with a margin.
+/// New connections keep arriving for this long after SIGTERM; this includes a margin.
 pub const ACCEPT_PERIOD: Duration = Duration::from_millis(500);
 /// SIGKILL follows SIGTERM no sooner than this after the longest deadline has passed.
 const KILL_DELAY: Duration = Duration::from_millis(700);
@@ -15,8 +15,8 @@
 /// When the steps of a shutdown take place, counted from SIGTERM.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownSchedule {
-    /// Connections are served without change until then. Clients that find no other balancer would have to connect to
-    /// one that may be restarting itself.
+    /// Until then connections are served as before. If they were closed earlier, clients that find no other balancer
+    /// would have to connect to one that may be restarting itself.
     pub close_connections_after: Duration,
     /// Requests that are pending by then fail. Requests that arrive after SIGTERM are due by then.
     pub fail_pending_after: Duration,
@@ -29,7 +29,7 @@
     pub fn of(longest_deadline: Duration) -> ShutdownSchedule {
         let killed_after = longest_deadline.min(MAX_COUNTED_DEADLINE) + KILL_DELAY;
         let fail_pending_after = killed_after - RESPONSE_FLUSH_PERIOD;
-        // In the last third only requests finish that arrived before, so that few have to fail.
+        // In the last third, only requests that arrived before it are finished, so that few have to fail.
         let close_connections_after = (fail_pending_after * 2 / 3).max(ACCEPT_PERIOD);
         ShutdownSchedule {
             close_connections_after,
--- a/balancer/src/process/shutdown_schedule/tests.rs
+++ b/balancer/src/process/shutdown_schedule/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// Where deadlines are short, SIGKILL comes sooner. Requests must not be left without a response there.
+/// Guards against requests that are left without a response because short deadlines make SIGKILL come sooner.
 #[test]
 fn shutdown_ends_before_kill_for_all_deadlines() {
     for deadline in [1, 100, 400, 1909, 2999, 3000, 6000, 1_000_000] {
--- a/balancer/src/process/signals.rs
+++ b/balancer/src/process/signals.rs
@@ -1,7 +1,7 @@
-//! The signals that the process handles, read from descriptors of its own.
+//! The signals that the process handles, read from signal descriptors.
 //!
-//! The signals are blocked, so that the system keeps them until they are read. A failed read is
-//! repeated, and loses nothing.
+//! The signals are blocked, so that the system keeps them pending until they are read. A failed
+//! read is repeated, and loses no signal.
 use crate::net::retry_io::retry_io;
 use crate::net::watched_descriptor::WatchedDescriptor;
 use crate::process::program_error::ProgramError;
@@ -28,8 +28,8 @@
 }
 
 impl Signals {
-    /// Blocks the signals for this thread and those that it starts: from now on none of them ends
-    /// the process, and each is kept until it is read.
+    /// Blocks the signals for this thread and the threads that it starts: from now on none of them
+    /// ends the process, and each is kept pending until it is read.
     pub fn block() -> Result<(), ProgramError> {
         let handled: SigSet = RELOAD_SIGNALS.into_iter().chain(SHUTDOWN_SIGNALS).collect();
         handled
@@ -37,8 +37,8 @@
             .map_err(|error| ProgramError::Signals(error.into()))
     }
 
-    /// Opens the descriptors from which the signals are read. Repeats this for `retry_limit` while
-    /// the system fails.
+    /// Opens the descriptors from which the signals are read. If that fails for a transient reason,
+    /// retries for up to `retry_limit`.
     pub async fn open(retry_limit: Duration) -> Result<Signals, ProgramError> {
         let open =
             |signals: &'static [Signal]| retry_io(retry_limit, || SignalStream::open(signals));
@@ -65,7 +65,7 @@
     /// Waits for the next signal.
     pub async fn received(&self) {
         while let Err(error) = self.0.read(read_signal).await {
-            log_line!("signals: {error}");
+            log_line!("cannot read signals: {error}");
             sleep(READ_RETRY_DELAY).await;
         }
     }
--- a/balancer/src/telemetry/log.rs
+++ b/balancer/src/telemetry/log.rs
@@ -7,9 +7,9 @@
 use thiserror::Error;
 use tracing::Level;
 
-/// The environment variable that turns structured events on.
+/// The environment variable that turns on structured events and sets their level.
 const LEVEL_VARIABLE: &str = "NODE_LOG";
-/// A pipe that is writable has space for this many bytes.
+/// `PIPE_BUF` of Linux, in bytes: a pipe that polls as writable has space for this many.
 const PIPE_BUF: usize = 4096;
 
 /// Writes one line to standard error, with the arguments of [`format!`].
@@ -21,14 +21,15 @@
 pub(crate) use log_line;
 
 /// Writes one line to standard error. A line that cannot be written is lost: `eprintln!` would panic
-/// where standard error is a pipe without a reader, or a full disk.
+/// if standard error is a pipe without a reader, or a file on a full disk.
 pub(crate) fn write_line(line: Arguments<'_>) {
     // One write for the whole line, so that lines of several processes do not mix.
     let line = format!("{line}\n");
     let _ = LogWriter.write_all(line.as_bytes());
 }
 
-/// Writes to standard error without blocking: what a pipe that nobody reads has no space for is lost.
+/// Writes to standard error without blocking: output for which a pipe has no space, because nobody
+/// reads it, is lost.
 struct LogWriter;
 
 impl Write for LogWriter {
@@ -45,7 +46,8 @@
     }
 }
 
-/// Whether a write of [`PIPE_BUF`] does not block. Where the system cannot tell, it is tried.
+/// Whether a write of [`PIPE_BUF`] bytes does not block. If the system cannot tell, the write is
+/// tried.
 fn is_writable(descriptor: BorrowedFd<'_>) -> bool {
     let mut polled = [PollFd::new(descriptor, PollFlags::POLLOUT)];
     let is_ready = poll(&mut polled, PollTimeout::ZERO).map(|ready| ready > 0);
@@ -72,10 +74,10 @@
     }
 }
 
-/// The value of [`LEVEL_VARIABLE`] is no level.
+/// The value of [`LEVEL_VARIABLE`] is not a log level.
 #[derive(Debug, PartialEq, Eq, Error)]
 #[error(
-    "{variable}: {0:?} is no level; there are error, warn, info, debug and trace",
+    "{variable}: {0:?} is not a log level; the levels are error, warn, info, debug and trace",
     variable = LEVEL_VARIABLE
 )]
 struct UnknownLevel(String);
--- a/balancer/src/telemetry/metrics.rs
+++ b/balancer/src/telemetry/metrics.rs
@@ -41,9 +41,9 @@
 pub enum CloseReason {
     /// The client closed it, a response announced its end, or it broke.
     Finished,
-    /// The client sent something that is no request, and got an error response.
+    /// The client sent input that is not a valid request, and got an error response.
     Malformed,
-    /// The balancer had waited long enough for the client.
+    /// The time limit for the client's next request had passed.
     TimedOut,
     /// It was idle, and a new connection needed its descriptor.
     Evicted,
@@ -73,7 +73,7 @@
     }
 }
 
-/// Present values that the metrics show beside the counts.
+/// Current values that the metrics show beside the counts.
 #[derive(Clone, Copy, Debug)]
 pub struct Gauges {
     /// Requests in progress.
@@ -156,7 +156,7 @@
         });
     }
 
-    /// The metrics as operators read them, with the present gauges.
+    /// The metrics as operators read them, with the current gauges.
     pub fn render(&self, gauges: &Gauges) -> String {
         let mut text = String::new();
         for outcome in RequestOutcome::ALL {
@@ -203,8 +203,8 @@
     }
 }
 
-/// A request that the driver has accepted. Its outcome is counted when this is dropped; without an
-/// outcome the client has disconnected, and nothing is counted.
+/// A request that the driver has accepted. Its outcome is counted when this is dropped. If no
+/// outcome was set, the client has disconnected, and nothing is counted.
 pub struct InFlightRequest {
     metrics: Rc<Metrics>,
     class: usize,
@@ -248,7 +248,7 @@
     format!("{name}{{{label}=\"{value}\"}}")
 }
 
-/// Escapes a label's value, which stands between quotes.
+/// Escapes a label's value for use between quotes.
 fn escape_label(value: &str) -> String {
     value
         .replace('\\', "\\\\")
--- a/balancer/src/telemetry/metrics/tests.rs
+++ b/balancer/src/telemetry/metrics/tests.rs
@@ -54,7 +54,7 @@
         metrics
             .render(&GAUGES)
             .contains("node_ok{kind=\"read\"} 0\n"),
-        "it is not counted before its end"
+        "a request is not counted before its end"
     );
     answered.set_outcome(RequestOutcome::Failed);
     drop(answered);
--- a/balancer/src/test_support.rs
+++ b/balancer/src/test_support.rs
@@ -52,15 +52,15 @@
         self.listener.local_addr().expect("an address")
     }
 
-    /// Empties the queue: from now on connections open, and dropped ones open when they are
-    /// retransmitted.
+    /// Empties the queue: from now on connections open, and those whose attempts were dropped open
+    /// with the retransmission.
     pub fn admit(&mut self) {
         for _ in 0..std::mem::take(&mut self.queued) {
             self.listener.accept().expect("accepts");
         }
     }
 
-    /// The next connection.
+    /// Accepts the next connection.
     pub fn accept(&self) -> TcpStream {
         self.listener.accept().expect("accepts").0
     }
--- a/balancer/src/time/sleep.rs
+++ b/balancer/src/time/sleep.rs
@@ -8,13 +8,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest wait. Points in time further away cannot always be represented.
+/// Longest sleep. Points in time that are further away cannot always be represented.
 const MAX_SLEEP: Duration = Duration::from_secs(365 * 24 * 3600);
 
 /// Waits until a point in time.
 #[expect(
     clippy::disallowed_methods,
-    reason = "there is no service to wait with"
+    reason = "without an installed timer service the runtime's timers are used"
 )]
 pub fn sleep_until(deadline: Instant) -> Sleep {
     Sleep(match TimerService::installed() {
@@ -51,11 +51,11 @@
     }
 }
 
-/// A wait that the timer service ends.
+/// A sleep whose timer the timer service fires.
 struct ServiceSleep {
     service: Rc<TimerService>,
     deadline: Instant,
-    /// Its timer, once it was polled.
+    /// Its timer; `None` until the first poll before the deadline.
     key: Option<TimerKey>,
 }
 
--- a/balancer/src/time/timeout.rs
+++ b/balancer/src/time/timeout.rs
@@ -27,7 +27,7 @@
     run_until(sleep_until(deadline), future)
 }
 
-/// The future is polled first: a result that is there at the deadline counts.
+/// Polls the future before the timer: a result that is ready at the deadline still counts.
 async fn run_until<F: IntoFuture>(end: Sleep, future: F) -> Result<F::Output, Elapsed> {
     let mut end = pin!(end);
     let mut future = pin!(future.into_future());
--- a/balancer/src/time/timer_queue.rs
+++ b/balancer/src/time/timer_queue.rs
@@ -30,7 +30,7 @@
         key
     }
 
-    /// Has a timer wake another task, unless it has fired.
+    /// Replaces the waker of a timer, unless it has fired.
     pub fn replace_waker(&mut self, key: TimerKey, waker: &Waker) {
         if let Some(current) = self.wakers.get_mut(&key) {
             current.clone_from(waker);
@@ -47,7 +47,7 @@
         self.wakers.first_key_value().map(|(key, _)| key.deadline)
     }
 
-    /// Removes the earliest timer if its deadline has passed, and returns what it wakes.
+    /// Removes the earliest timer if its deadline has passed, and returns its waker.
     pub fn pop_due(&mut self, now: Instant) -> Option<Waker> {
         let earliest = self.wakers.first_entry()?;
         if earliest.key().deadline > now {
--- a/balancer/src/time/timer_service.rs
+++ b/balancer/src/time/timer_service.rs
@@ -1,5 +1,5 @@
-//! Fires timers through a timer descriptor that the loop watches. Nothing here wakes the loop in
-//! any other way, and each error of the descriptor is handled.
+//! Fires timers through a timer descriptor that the event loop watches. Nothing here wakes the
+//! event loop in any other way, and each error of the descriptor is handled.
 use crate::net::socket_io::retry_interrupted;
 use crate::net::watched_descriptor::WatchedDescriptor;
 use crate::time::timer_queue::{TimerKey, TimerQueue};
@@ -66,12 +66,12 @@
         key
     }
 
-    /// Has a timer wake another task, unless it has fired.
+    /// Replaces the waker of a timer, unless it has fired.
     pub fn replace_waker(&self, key: TimerKey, waker: &Waker) {
         self.queue.borrow_mut().replace_waker(key, waker);
     }
 
-    /// Removes a timer, if it has not fired. The descriptor may expire for it all the same.
+    /// Removes a timer, if it has not fired. The descriptor may still expire at its deadline.
     pub fn remove(&self, key: TimerKey) {
         self.queue.borrow_mut().remove(key);
     }
@@ -80,8 +80,8 @@
     async fn run(&self) {
         loop {
             tokio::select! {
-                // After an error the descriptor is read again at once. Timers that are due fire all the
-                // same.
+                // After an error the descriptor is read again at once. Timers that are due fire even
+                // so.
                 _ = self.descriptor.read(read_expirations) => {}
                 // The other tasks run before the next attempt to arm the descriptor.
                 () = self.arming_failed.notified() => tokio::task::yield_now().await,
