--- a/balancer/src/inbound/server.rs
+++ b/balancer/src/inbound/server.rs
@@ -35,11 +35,11 @@
 }
 
 impl Server {
-    /// A server that submits requests to `driver`, and opens connections within `sockets`.
+    /// A server that submits requests to `driver`, and opens connections within `descriptors`.
     pub fn new(
         driver: DriverHandle,
         deployment: Deployment,
-        sockets: DescriptorBudget,
+        descriptors: DescriptorBudget,
         metrics: Rc<Metrics>,
         guard: Guard,
         phase: watch::Receiver<Phase>,
@@ -48,7 +48,7 @@
             context: Rc::new(ServerContext {
                 driver,
                 deployment,
-                sockets,
+                descriptors,
                 metrics,
                 guard,
                 phase,
@@ -64,7 +64,7 @@
         let queue_delay = AcceptLoop::new(&context, &listener).run().await;
         accept_remaining(&context, listener, queue_delay).await;
         context.is_listening.set(false);
-        context.sockets.all_clients_closed().await;
+        context.descriptors.all_clients_closed().await;
     }
 }
 
@@ -151,7 +151,7 @@
     /// disconnected at once.
     async fn handle_accept_error(&mut self, error: &io::Error) {
         if !self.is_failing {
-            log_line!("accept: {error}");
+            log_line!("cannot accept a client connection: {error}");
         }
         self.is_failing = true;
         if is_resource_shortage(error) {
@@ -191,20 +191,20 @@
     accepted_at.checked_sub(queue_delay).unwrap_or(accepted_at)
 }
 
-/// A permit for one more client. Evicts idle connections: a request written to a connection that
-/// waits to be accepted counts as accepted, and idle clients must not shut it out.
+/// Acquires a permit for one more client, and evicts idle connections for it: a request written to
+/// a connection that waits to be accepted counts as accepted, so idle clients must not block it.
 async fn acquire_permit(context: &ServerContext) -> Option<ConnectionPermit> {
     loop {
-        if let Some(permit) = context.sockets.try_acquire_client() {
+        if let Some(permit) = context.descriptors.try_acquire_client() {
             return Some(permit);
         }
         let has_evicted = context.idle_connections.evict_idle_connection();
-        if !has_evicted && context.sockets.is_exhausted() {
+        if !has_evicted && context.descriptors.is_exhausted() {
             context.driver.close_oldest_idle_connection();
         }
-        // A connection that closes returns its permit. While all are busy, the next attempt follows
-        // a little later.
-        let permit = timeout(PERMIT_RETRY_INTERVAL, context.sockets.acquire_client()).await;
+        // A connection that closes releases its permit. While all connections are busy, eviction is
+        // tried again after the interval.
+        let permit = timeout(PERMIT_RETRY_INTERVAL, context.descriptors.acquire_client()).await;
         if let Ok(permit) = permit {
             return permit;
         }
@@ -212,15 +212,16 @@
 }
 
 /// Starts the task of a connection that arrived in the listener's queue at `arrived_at` at the
-/// earliest. One that the loop cannot watch for a moment waits, as one does without a permit.
+/// earliest. A connection that cannot be registered with the event loop yet waits until it can, as
+/// one without a permit does.
 fn spawn_connection(
     context: &Rc<ServerContext>,
     stream: std::net::TcpStream,
     permit: ConnectionPermit,
     arrived_at: Instant,
 ) {
-    // Without this option responses wait for the client's acknowledgements. It fails if the client
-    // has disconnected.
+    // Without TCP_NODELAY, responses wait for the client's acknowledgements. Setting it fails if
+    // the client has disconnected.
     if stream.set_nodelay(true).is_err() {
         return;
     }
@@ -239,7 +240,8 @@
     });
 }
 
-/// Serves a connection. It counts as idle at once, so that it is evicted before an older one in use.
+/// Serves a connection. It counts as idle from the start, so that it is evicted before an older
+/// connection that is in use.
 fn serve_registered(
     context: Rc<ServerContext>,
     stream: TcpStream,
--- a/balancer/src/time/timer_queue.rs
+++ b/balancer/src/time/timer_queue.rs
@@ -8,14 +8,14 @@
 pub struct TimerKey {
     deadline: Instant,
     /// Tells timers with the same deadline apart.
-    number: u64,
+    sequence: u64,
 }
 
 /// The timers that have not fired.
 #[derive(Debug, Default)]
 pub struct TimerQueue {
     wakers: BTreeMap<TimerKey, Waker>,
-    next_number: u64,
+    next_sequence: u64,
 }
 
 impl TimerQueue {
@@ -23,14 +23,14 @@
     pub fn insert(&mut self, deadline: Instant, waker: Waker) -> TimerKey {
         let key = TimerKey {
             deadline,
-            number: self.next_number,
+            sequence: self.next_sequence,
         };
-        self.next_number += 1;
+        self.next_sequence += 1;
         self.wakers.insert(key, waker);
         key
     }
 
-    /// Has a timer wake another task, unless it has fired.
+    /// Replaces the waker of a timer, unless it has fired.
     pub fn replace_waker(&mut self, key: TimerKey, waker: &Waker) {
         if let Some(current) = self.wakers.get_mut(&key) {
             current.clone_from(waker);
@@ -47,7 +47,7 @@
         self.wakers.first_key_value().map(|(key, _)| key.deadline)
     }
 
-    /// Removes the earliest timer if its deadline has passed, and returns what it wakes.
+    /// Removes the earliest timer if its deadline has passed, and returns its waker.
     pub fn pop_due(&mut self, now: Instant) -> Option<Waker> {
         let earliest = self.wakers.first_entry()?;
         if earliest.key().deadline > now {
