--- a/balancer-core/tests/capacity.rs
+++ b/balancer-core/tests/capacity.rs
@@ -5,8 +5,8 @@
     Action, AttemptOutcome, Class, EndpointEvent, Idempotency, Settings, UpstreamId,
 };
 use common::{
-    class_with_late_value, draining, endpoints, no_response, outcome_after, settings_for_tenants,
-    settings_with_late_value, success_after, Response, TestHarness,
+    class_that_values_late_responses, draining, endpoints, no_response, outcome_after,
+    settings_for_tenants, settings_that_value_late_responses, success_after, Response, TestHarness,
 };
 
 /// Guards against capacity that recovers slowly because old latencies still count.
@@ -31,7 +31,7 @@
     let class = Class {
         objective: 1000.0,
         deadline: 3000.0,
-        ..class_with_late_value(Idempotency::Idempotent)
+        ..class_that_values_late_responses(Idempotency::Idempotent)
     };
     let settings = Settings {
         classes: vec![class],
@@ -71,7 +71,7 @@
 #[test]
 fn capacity_decreases_at_once_when_endpoints_drain() {
     let burst = |drained: &[u64]| {
-        let settings = settings_with_late_value(Idempotency::NonIdempotent);
+        let settings = settings_that_value_late_responses(Idempotency::NonIdempotent);
         let mut harness = TestHarness::with_endpoints(settings, 4);
         harness.run_traffic(5000.0, 60.0, &[0], &success_after(150.0));
         harness.advance(1000.0);
@@ -141,7 +141,7 @@
     let burst = |drained: &[u64]| {
         let settings = Settings {
             tier: 1,
-            ..settings_with_late_value(Idempotency::NonIdempotent)
+            ..settings_that_value_late_responses(Idempotency::NonIdempotent)
         };
         let mut harness = TestHarness::with_endpoints(settings, 4);
         harness.run_traffic(5000.0, 60.0, &[0], &success_after(150.0));
--- a/balancer-core/tests/classes.rs
+++ b/balancer-core/tests/classes.rs
@@ -27,7 +27,7 @@
 
 /// Requests of one class, and how many of them succeeded.
 #[derive(Debug)]
-struct Served {
+struct ClassSummary {
     requests: usize,
     succeeded: usize,
 }
@@ -82,7 +82,7 @@
     duration: f64,
     requests_per_s: f64,
     latency: impl Fn(usize, usize) -> Option<f64>,
-) -> [Served; 2] {
+) -> [ClassSummary; 2] {
     let mut schedule = ResponseSchedule {
         latency,
         scheduled: Vec::new(),
@@ -108,11 +108,16 @@
         }
         harness.advance((next - harness.now).max(0.0));
     }
-    [LIGHT, HEAVY].map(|class| served(harness, class, first_id, until - 3000.0))
+    [LIGHT, HEAVY].map(|class| class_summary(harness, class, first_id, until - 3000.0))
 }
 
 /// What happened to the requests of a class from `first_id` on that were sent before `sent_before`.
-fn served(harness: &TestHarness, class: usize, first_id: u32, sent_before: f64) -> Served {
+fn class_summary(
+    harness: &TestHarness,
+    class: usize,
+    first_id: u32,
+    sent_before: f64,
+) -> ClassSummary {
     let deadline = harness.settings.classes[class].deadline;
     let requests: Vec<&RequestRecord> = harness
         .requests
@@ -120,7 +125,7 @@
         .map(|(_, record)| record)
         .filter(|record| record.class == class && record.deadline - deadline < sent_before)
         .collect();
-    Served {
+    ClassSummary {
         requests: requests.len(),
         succeeded: requests.iter().filter(|record| record.succeeded()).count(),
     }
--- a/balancer-core/tests/common/checker.rs
+++ b/balancer-core/tests/common/checker.rs
@@ -33,7 +33,7 @@
     }
 
     fn check_send(&mut self, request: RequestId, upstream: UpstreamId, timeout: f64) {
-        let endpoint = &self.listed[&upstream];
+        let endpoint = &self.known_endpoints[&upstream];
         let record = &self.requests[&request];
         let class = &self.settings.classes[record.class];
         self.check_endpoint(request, class, endpoint);
@@ -108,7 +108,7 @@
             Idempotency::Idempotent => {}
             Idempotency::NonIdempotent => panic!("{request:?} retried although it may have run"),
             Idempotency::IdempotencyKey { scope, window } => {
-                let first = &self.listed[&first_run.upstream];
+                let first = &self.known_endpoints[&first_run.upstream];
                 assert!(
                     self.now < first_run.sent_at + window,
                     "{request:?} retried after its idempotency window"
--- a/balancer-core/tests/common/fixtures.rs
+++ b/balancer-core/tests/common/fixtures.rs
@@ -43,7 +43,7 @@
 }
 
 /// The same class, but late responses have half of their value, so that requests last until their deadline.
-pub fn class_with_late_value(idempotency: Idempotency) -> Class {
+pub fn class_that_values_late_responses(idempotency: Idempotency) -> Class {
     Class {
         late_weight: 0.5,
         ..class(idempotency)
@@ -71,17 +71,17 @@
 }
 
 /// One class whose late responses have value, and one tenant with a quota of 60 requests per second.
-pub fn settings_with_late_value(idempotency: Idempotency) -> Settings {
+pub fn settings_that_value_late_responses(idempotency: Idempotency) -> Settings {
     Settings {
-        classes: vec![class_with_late_value(idempotency)],
+        classes: vec![class_that_values_late_responses(idempotency)],
         ..settings_for_tenants(&[1.0])
     }
 }
 
 /// One class whose late responses have value, and no tenants.
-pub fn settings_without_tenants(idempotency: Idempotency) -> Settings {
+pub fn tenantless_settings_that_value_late_responses(idempotency: Idempotency) -> Settings {
     Settings {
-        classes: vec![class_with_late_value(idempotency)],
+        classes: vec![class_that_values_late_responses(idempotency)],
         ..Settings::default()
     }
 }
--- a/balancer-core/tests/common/harness.rs
+++ b/balancer-core/tests/common/harness.rs
@@ -105,7 +105,7 @@
     }
 
     /// Attempts to the upstream that received most.
-    pub fn max_attempts(&self) -> usize {
+    pub fn attempts_to_busiest_upstream(&self) -> usize {
         self.by_upstream.values().max().copied().unwrap_or(0)
     }
 }
@@ -130,7 +130,7 @@
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: f64,
-    pub listed: BTreeMap<UpstreamId, Endpoint>,
+    pub known_endpoints: BTreeMap<UpstreamId, Endpoint>,
     pub suspended: BTreeSet<UpstreamId>,
     pub requests: BTreeMap<RequestId, RequestRecord>,
     /// When timers expire, and their tokens.
@@ -148,7 +148,7 @@
             balancer,
             settings,
             now: 0.0,
-            listed: BTreeMap::new(),
+            known_endpoints: BTreeMap::new(),
             suspended: BTreeSet::new(),
             requests: BTreeMap::new(),
             timers: Vec::new(),
@@ -170,7 +170,7 @@
             EndpointEvent::Snapshot(_) | EndpointEvent::CachedSnapshot(_)
         );
         if is_complete {
-            for endpoint in self.listed.values_mut() {
+            for endpoint in self.known_endpoints.values_mut() {
                 endpoint.availability = Availability::Gone;
             }
         }
@@ -179,7 +179,7 @@
         | EndpointEvent::Delta(endpoints) = &update
         {
             for endpoint in endpoints {
-                self.listed.insert(endpoint.id, endpoint.clone());
+                self.known_endpoints.insert(endpoint.id, endpoint.clone());
             }
         }
         self.handle(Event::Endpoints(update));
--- a/balancer-core/tests/common/mod.rs
+++ b/balancer-core/tests/common/mod.rs
@@ -7,9 +7,9 @@
 mod harness;
 
 pub use fixtures::{
-    class, class_with_late_value, counts, draining, endpoint, endpoints, no_response,
-    outcome_after, settings_for_tenants, settings_with_late_value, settings_without_tenants,
-    slow_start_settings, success_after, tenants, SLOW_START_DURATION, SLOW_START_INITIAL_FRACTION,
-    SLOW_START_OVERLOAD_FACTOR,
+    class, class_that_values_late_responses, counts, draining, endpoint, endpoints, no_response,
+    outcome_after, settings_for_tenants, settings_that_value_late_responses, slow_start_settings,
+    success_after, tenantless_settings_that_value_late_responses, tenants, SLOW_START_DURATION,
+    SLOW_START_INITIAL_FRACTION, SLOW_START_OVERLOAD_FACTOR,
 };
 pub use harness::{AttemptRecord, RequestRecord, Response, SentSummary, TestHarness};
--- a/balancer-core/tests/endpoint_choice.rs
+++ b/balancer-core/tests/endpoint_choice.rs
@@ -9,9 +9,9 @@
 use std::collections::BTreeMap;
 
 /// An endpoint in one of `zones` zones.
-fn endpoint_in_zone(id: u64, zones: u64) -> Endpoint {
+fn endpoint_in_one_of_zones(id: u64, zone_count: u64) -> Endpoint {
     Endpoint {
-        zone: (id % zones) as u16,
+        zone: (id % zone_count) as u16,
         ..endpoint(id)
     }
 }
@@ -22,7 +22,7 @@
         cross_zone_price: 0.2,
         ..settings_for_tenants(&[1.0])
     };
-    let list = (1..=12).map(|id| endpoint_in_zone(id, 2)).collect();
+    let list = (1..=12).map(|id| endpoint_in_one_of_zones(id, 2)).collect();
     let mut harness = TestHarness::new(settings, 4, list);
     harness.run_traffic(10_000.0, 40.0, &[0], &success_after(50.0));
     let sent = harness.sent_since(0.0);
@@ -33,7 +33,7 @@
     );
     let other_zone = (1..=12)
         .filter(|id| id % 2 == 1)
-        .map(|id| endpoint_in_zone(id, 2))
+        .map(|id| endpoint_in_one_of_zones(id, 2))
         .collect();
     harness.update_endpoints(EndpointEvent::Snapshot(other_zone));
     let from = harness.now;
@@ -53,7 +53,7 @@
         tenants: tenants(&[1.0], 900.0),
         ..settings_for_tenants(&[1.0])
     };
-    let list = (1..=36).map(|id| endpoint_in_zone(id, 3)).collect();
+    let list = (1..=36).map(|id| endpoint_in_one_of_zones(id, 3)).collect();
     let mut harness = TestHarness::new(settings, 4, list);
     let in_own_zone = |sent: &SentSummary| sent.attempts_where(|id| id % 3 == 0);
     // Less than this replica's even part of the quotas, which is 100 requests per second.
@@ -107,7 +107,7 @@
     harness.run_traffic(60_000.0, 1.0, &[0], &success_after(50.0));
     let sent = harness.sent_since(0.0);
     assert!(
-        sent.by_upstream.len() == 5 && sent.max_attempts() * 3 < sent.requests,
+        sent.by_upstream.len() == 5 && sent.attempts_to_busiest_upstream() * 3 < sent.requests,
         "an endpoint was not used, or too often: {:?}",
         sent.by_upstream
     );
--- a/balancer-core/tests/endpoint_list.rs
+++ b/balancer-core/tests/endpoint_list.rs
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn new_incarnation_starts_with_only_its_cached_list() {
+fn new_replica_starts_with_only_its_cached_list() {
     let settings = Settings {
         poll_endpoints: true,
         ..Settings::default()
--- a/balancer-core/tests/health.rs
+++ b/balancer-core/tests/health.rs
@@ -3,13 +3,14 @@
 
 use balancer_core::{AttemptOutcome, Endpoint, Idempotency, UpstreamId};
 use common::{
-    endpoint, settings_for_tenants, settings_with_late_value, success_after, Response, TestHarness,
+    endpoint, settings_for_tenants, settings_that_value_late_responses, success_after, Response,
+    TestHarness,
 };
 use std::cell::Cell;
 use std::collections::BTreeSet;
 
 #[test]
-fn endpoint_that_fails_fast_does_not_attract_requests() {
+fn endpoint_that_fails_fast_receives_few_requests() {
     let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 6);
     let upstream = |id| {
         if id == UpstreamId(2) {
@@ -88,7 +89,7 @@
 /// Guards against further requests to an endpoint that does not respond, until its first attempt times out.
 #[test]
 fn endpoint_with_an_overdue_response_is_avoided_before_the_first_timeout() {
-    let settings = settings_with_late_value(Idempotency::NonIdempotent);
+    let settings = settings_that_value_late_responses(Idempotency::NonIdempotent);
     let mut harness = TestHarness::with_endpoints(settings, 3);
     harness.run_traffic(3000.0, 60.0, &[0], &success_after(50.0));
     let from = harness.now;
@@ -154,7 +155,7 @@
 /// are chance, and each ejection overloads the others.
 #[test]
 fn failures_shared_by_all_endpoints_eject_few() {
-    let settings = settings_with_late_value(Idempotency::NonIdempotent);
+    let settings = settings_that_value_late_responses(Idempotency::NonIdempotent);
     let mut harness = TestHarness::with_endpoints(settings, 4);
     let random = Cell::new(1u32);
     let upstream = |_| {
@@ -192,7 +193,7 @@
 /// of one endpoint are chance, and no endpoint is worse than the others.
 #[test]
 fn endpoints_that_all_fail_every_other_request_are_not_ejected() {
-    let settings = settings_with_late_value(Idempotency::NonIdempotent);
+    let settings = settings_that_value_late_responses(Idempotency::NonIdempotent);
     let mut harness = TestHarness::with_endpoints(settings, 4);
     let attempts = Cell::new(0u32);
     let upstream = |_| {
--- a/balancer-core/tests/inflight_limits.rs
+++ b/balancer-core/tests/inflight_limits.rs
@@ -5,8 +5,9 @@
     Action, AttemptOutcome, Class, EndpointEvent, Idempotency, Settings, UpstreamId,
 };
 use common::{
-    class_with_late_value, draining, endpoint, no_response, settings_with_late_value,
-    settings_without_tenants, success_after, tenants, Response, TestHarness,
+    class_that_values_late_responses, draining, endpoint, no_response,
+    settings_that_value_late_responses, success_after,
+    tenantless_settings_that_value_late_responses, tenants, Response, TestHarness,
 };
 
 /// Settings of one of several replicas that share a quota of 60 requests per second each.
@@ -14,14 +15,14 @@
     Settings {
         tenants: tenants(&[1.0], 60.0 * f64::from(balancers)),
         balancers,
-        ..settings_without_tenants(Idempotency::NonIdempotent)
+        ..tenantless_settings_that_value_late_responses(Idempotency::NonIdempotent)
     }
 }
 
 /// Guards against admission by responses alone: it notices a tier that stops responding only when attempts time out.
 #[test]
 fn limits_requests_in_flight_before_any_response_is_late() {
-    let settings = settings_with_late_value(Idempotency::Idempotent);
+    let settings = settings_that_value_late_responses(Idempotency::Idempotent);
     let mut harness = TestHarness::with_endpoints(settings, 4);
     harness.run_traffic(5000.0, 60.0, &[0], &success_after(50.0));
     let from = harness.now;
@@ -39,7 +40,7 @@
     let burst = |tier| {
         let settings = Settings {
             tier,
-            ..settings_with_late_value(Idempotency::NonIdempotent)
+            ..settings_that_value_late_responses(Idempotency::NonIdempotent)
         };
         let mut harness = TestHarness::with_endpoints(settings, 4);
         harness.run_traffic(20_000.0, 60.0, &[0], &success_after(50.0));
@@ -67,7 +68,7 @@
 /// Guards against rejections of requests that other endpoints could serve.
 #[test]
 fn requests_in_flight_to_draining_endpoints_do_not_count() {
-    let settings = settings_with_late_value(Idempotency::NonIdempotent);
+    let settings = settings_that_value_late_responses(Idempotency::NonIdempotent);
     let mut harness = TestHarness::with_endpoints(settings, 2);
     harness.run_traffic(5000.0, 60.0, &[0], &success_after(150.0));
     harness.run_traffic(900.0, 100.0, &[0], &no_response);
@@ -85,7 +86,7 @@
 /// Guards against an unloaded latency that grows in an overload, and raises the limit with it.
 #[test]
 fn overload_does_not_raise_the_limit() {
-    let settings = settings_with_late_value(Idempotency::Idempotent);
+    let settings = settings_that_value_late_responses(Idempotency::Idempotent);
     let mut harness = TestHarness::with_endpoints(settings, 4);
     harness.run_traffic(5000.0, 60.0, &[0], &success_after(150.0));
     // Three of four responses are within the objective.
@@ -170,7 +171,7 @@
 fn requests_in_flight_to_overloaded_endpoints_do_not_count() {
     let class = Class {
         deadline: 6000.0,
-        ..class_with_late_value(Idempotency::NonIdempotent)
+        ..class_that_values_late_responses(Idempotency::NonIdempotent)
     };
     let settings = Settings {
         classes: vec![class],
--- a/balancer-core/tests/random_events.rs
+++ b/balancer-core/tests/random_events.rs
@@ -152,8 +152,8 @@
         Availability::Gone,
     ];
     let availability = pick(rng, &availabilities);
-    let is_listed = harness.listed.contains_key(&UpstreamId(id));
-    if availability != Availability::Gone || is_listed {
+    let is_known = harness.known_endpoints.contains_key(&UpstreamId(id));
+    if availability != Availability::Gone || is_known {
         let changed = Endpoint {
             availability,
             started_at,
--- a/balancer-core/tests/retries.rs
+++ b/balancer-core/tests/retries.rs
@@ -5,8 +5,9 @@
     Action, AttemptOutcome, Class, DedupScope, Endpoint, Idempotency, Settings, UpstreamId,
 };
 use common::{
-    class, endpoint, endpoints, outcome_after, settings_for_tenants, settings_with_late_value,
-    settings_without_tenants, RequestRecord, Response, TestHarness,
+    class, endpoint, endpoints, outcome_after, settings_for_tenants,
+    settings_that_value_late_responses, tenantless_settings_that_value_late_responses,
+    RequestRecord, Response, TestHarness,
 };
 use std::cell::Cell;
 
@@ -80,7 +81,7 @@
 
 /// Guards against a subset without other endpoints that share the memory of the idempotency key.
 #[test]
-fn keyed_retry_finds_another_endpoint_of_its_group() {
+fn retry_with_idempotency_key_finds_another_endpoint_of_its_group() {
     let key = Idempotency::IdempotencyKey {
         scope: DedupScope::Group,
         window: 5000.0,
@@ -88,7 +89,7 @@
     let settings = Settings {
         balancers: 10,
         index: 3,
-        ..settings_with_late_value(key)
+        ..settings_that_value_late_responses(key)
     };
     let list = (1..=60)
         .map(|id| endpoint_of_group(id, (id % 10) as u16))
@@ -173,7 +174,7 @@
 
 #[test]
 fn non_idempotent_request_is_retried_only_if_it_never_ran() {
-    let settings = settings_without_tenants(Idempotency::NonIdempotent);
+    let settings = tenantless_settings_that_value_late_responses(Idempotency::NonIdempotent);
     let mut harness = TestHarness::new(settings, 1, endpoints(4));
     harness.send_request(1, 0, 0);
     assert!(
@@ -200,7 +201,7 @@
 fn rejection_proves_nothing_if_upstreams_reject_after_start() {
     let settings = Settings {
         rejects_after_start: true,
-        ..settings_without_tenants(Idempotency::NonIdempotent)
+        ..tenantless_settings_that_value_late_responses(Idempotency::NonIdempotent)
     };
     let mut harness = TestHarness::new(settings, 1, endpoints(4));
     harness.send_request(1, 0, 0);
@@ -216,7 +217,7 @@
 
     let settings = Settings {
         rejects_after_start: true,
-        ..settings_without_tenants(idempotency_key(DedupScope::Group))
+        ..tenantless_settings_that_value_late_responses(idempotency_key(DedupScope::Group))
     };
     let list = (1..=8)
         .map(|id| endpoint_of_group(id, (id % 2) as u16))
@@ -235,11 +236,11 @@
 
 /// Guards against retries that wait for a connection, and arrive when upstreams no longer discard repeats.
 #[test]
-fn keyed_request_is_not_retried_if_connecting_could_outlast_its_window() {
+fn request_with_idempotency_key_is_not_retried_if_connecting_could_outlast_its_window() {
     for (elapsed, is_retried) in [(550.0, true), (620.0, false)] {
         let settings = Settings {
             connect_timeout: 100.0,
-            ..settings_without_tenants(idempotency_key(DedupScope::All))
+            ..tenantless_settings_that_value_late_responses(idempotency_key(DedupScope::All))
         };
         let mut harness = TestHarness::new(settings, 1, endpoints(4));
         harness.send_request(1, 0, 0);
@@ -256,8 +257,9 @@
 }
 
 #[test]
-fn keyed_request_is_retried_only_within_its_group_and_window() {
-    let settings = settings_without_tenants(idempotency_key(DedupScope::Group));
+fn request_with_idempotency_key_is_retried_only_within_its_group_and_window() {
+    let settings =
+        tenantless_settings_that_value_late_responses(idempotency_key(DedupScope::Group));
     let same_group = (1..=4).map(|id| endpoint_of_group(id, 4)).collect();
     let mut harness = TestHarness::new(settings.clone(), 1, same_group);
     harness.send_request(1, 0, 0);
--- a/balancer-core/tests/slow_start.rs
+++ b/balancer-core/tests/slow_start.rs
@@ -3,8 +3,8 @@
 
 use balancer_core::{Endpoint, EndpointEvent, Idempotency};
 use common::{
-    endpoint, endpoints, no_response, settings_with_late_value, slow_start_settings, success_after,
-    TestHarness, SLOW_START_DURATION,
+    endpoint, endpoints, no_response, settings_that_value_late_responses, slow_start_settings,
+    success_after, TestHarness, SLOW_START_DURATION,
 };
 
 /// When harnesses start, in milliseconds; far from zero.
@@ -17,7 +17,7 @@
     harness
 }
 
-fn started_at(id: u64, started_at: f64) -> Endpoint {
+fn endpoint_started_at(id: u64, started_at: f64) -> Endpoint {
     Endpoint {
         started_at,
         ..endpoint(id)
@@ -37,7 +37,7 @@
     let mut harness = harness_at_start();
     harness.update_endpoints(EndpointEvent::CachedSnapshot(endpoints(4)));
     harness.run_traffic(3000.0, 100.0, &[0], &success_after(20.0));
-    let restarted = started_at(1, harness.now - clock_ahead);
+    let restarted = endpoint_started_at(1, harness.now - clock_ahead);
     harness.update_endpoints(EndpointEvent::Delta(vec![restarted]));
     sent_to_first_endpoint(harness)
 }
@@ -46,7 +46,7 @@
 fn sent_after_first_list(clock_ahead: f64) -> usize {
     let mut harness = harness_at_start();
     let mut list = endpoints(4);
-    list[0] = started_at(1, START - clock_ahead);
+    list[0] = endpoint_started_at(1, START - clock_ahead);
     harness.update_endpoints(EndpointEvent::CachedSnapshot(list));
     sent_to_first_endpoint(harness)
 }
@@ -72,7 +72,9 @@
 #[test]
 fn endpoint_that_seems_to_start_in_the_future_completes_its_slow_start() {
     let mut harness = TestHarness::new(slow_start_settings(0, 1, 150.0), 1, Vec::new());
-    let list = (1..=4).map(|id| started_at(id, 3_600_000.0)).collect();
+    let list = (1..=4)
+        .map(|id| endpoint_started_at(id, 3_600_000.0))
+        .collect();
     harness.update_endpoints(EndpointEvent::CachedSnapshot(list));
     harness.run_traffic(SLOW_START_DURATION, 100.0, &[0], &success_after(20.0));
     let earlier_requests = harness.requests.len();
@@ -96,7 +98,7 @@
     settings.slow_start_duration = 9000.0;
     let mut harness = TestHarness::new(settings, 1, endpoints(4));
     harness.run_traffic(5000.0, 150.0, &[0], &success_after(5.0));
-    let restarted = started_at(1, harness.now);
+    let restarted = endpoint_started_at(1, harness.now);
     harness.update_endpoints(EndpointEvent::Delta(vec![restarted]));
     for second in 1..=4 {
         let from = harness.now;
@@ -114,11 +116,13 @@
 #[test]
 fn rejections_do_not_reduce_what_endpoints_in_slow_start_receive() {
     let sent_after_overload = |overload_duration: f64| {
-        let settings = settings_with_late_value(Idempotency::NonIdempotent);
+        let settings = settings_that_value_late_responses(Idempotency::NonIdempotent);
         let mut harness = TestHarness::with_endpoints(settings, 4);
         harness.run_traffic(5000.0, 60.0, &[0], &success_after(50.0));
         harness.run_traffic(overload_duration, 60.0, &[0], &no_response);
-        let restarted = (1..=3).map(|id| started_at(id, harness.now)).collect();
+        let restarted = (1..=3)
+            .map(|id| endpoint_started_at(id, harness.now))
+            .collect();
         harness.update_endpoints(EndpointEvent::Delta(restarted));
         let from = harness.now;
         harness.run_traffic(5000.0, 60.0, &[0], &success_after(50.0));
--- a/balancer-core/tests/slow_start_fleet.rs
+++ b/balancer-core/tests/slow_start_fleet.rs
@@ -57,7 +57,7 @@
         .sum()
 }
 
-fn started_at(id: u64, started_at: f64) -> Endpoint {
+fn endpoint_started_at(id: u64, started_at: f64) -> Endpoint {
     Endpoint {
         started_at,
         ..endpoint(id)
@@ -65,13 +65,13 @@
 }
 
 fn restart_first_endpoint(harness: &mut TestHarness) {
-    let restarted = started_at(1, harness.now);
+    let restarted = endpoint_started_at(1, harness.now);
     harness.update_endpoints(EndpointEvent::Delta(vec![restarted]));
 }
 
 /// Clients return at once, after a pause in which each replica could collect send tokens.
 #[test]
-fn clients_that_return_at_once_do_not_overload_an_endpoint_in_slow_start() {
+fn clients_that_return_together_do_not_overload_an_endpoint_in_slow_start() {
     for (replicas, quota) in [(20, 60.0), (30, 60.0), (100, 120.0), (350, 240.0)] {
         let mut fleet = fleet_with_quota(replicas, quota);
         for harness in &mut fleet {
@@ -124,10 +124,14 @@
 /// All endpoints are in slow start, as after the return of a zone, and each replica is replaced in the middle of
 /// the window by one that knows the list and has learned nothing.
 #[test]
-fn new_replicas_do_not_overload_a_list_that_is_all_in_slow_start() {
+fn new_replicas_do_not_overload_endpoints_that_are_all_in_slow_start() {
     for (replicas, quota) in [(30, 60.0), (350, 240.0)] {
         let mut fleet = fleet_with_quota(replicas, quota);
-        let all_started_at = |time: f64| (1..=UPSTREAMS).map(|id| started_at(id, time)).collect();
+        let all_started_at = |time: f64| {
+            (1..=UPSTREAMS)
+                .map(|id| endpoint_started_at(id, time))
+                .collect()
+        };
         for harness in &mut fleet {
             let list = all_started_at(harness.now);
             harness.update_endpoints(EndpointEvent::Delta(list));
--- a/balancer-core/tests/streaming.rs
+++ b/balancer-core/tests/streaming.rs
@@ -6,13 +6,13 @@
 use balancer_core::{
     Action, AttemptOutcome, Balancer, EndpointEvent, Event, Idempotency, Request, RequestId,
 };
-use common::{counts, endpoints, settings_without_tenants};
+use common::{counts, endpoints, tenantless_settings_that_value_late_responses};
 
 const REQUEST: RequestId = RequestId(1);
 
 /// A balancer with two endpoints.
 fn balancer(idempotency: Idempotency) -> Balancer {
-    let settings = settings_without_tenants(idempotency);
+    let settings = tenantless_settings_that_value_late_responses(idempotency);
     let mut balancer = Balancer::new(settings, 3, 0.0).expect("valid settings");
     let list = EndpointEvent::Snapshot(endpoints(2));
     balancer.handle(0.0, Event::Endpoints(list), &mut Vec::new());
--- a/balancer-core/tests/unusual_input.rs
+++ b/balancer-core/tests/unusual_input.rs
@@ -5,7 +5,9 @@
     Action, AttemptOutcome, Balancer, Endpoint, EndpointEvent, Event, Idempotency, Request,
     RequestId, Settings,
 };
-use common::{endpoint, settings_without_tenants, success_after, tenants, TestHarness};
+use common::{
+    endpoint, success_after, tenantless_settings_that_value_late_responses, tenants, TestHarness,
+};
 
 /// The field that the error names if a change makes settings invalid.
 fn invalid_field(change: impl Fn(&mut Settings)) -> Option<&'static str> {
@@ -99,7 +101,7 @@
     for (description, change) in UNUSUAL_SETTINGS {
         let mut settings = Settings {
             tenants: tenants(&[0.7, 0.3], 90.0),
-            ..settings_without_tenants(Idempotency::Idempotent)
+            ..tenantless_settings_that_value_late_responses(Idempotency::Idempotent)
         };
         settings.cross_zone_price = 0.01;
         change(&mut settings);
@@ -195,7 +197,7 @@
         1e300,
         40.0,
     ];
-    let settings = settings_without_tenants(Idempotency::Idempotent);
+    let settings = tenantless_settings_that_value_late_responses(Idempotency::Idempotent);
     let mut balancer = Balancer::new(settings, 3, 0.0).expect("valid settings");
     let mut actions = Vec::new();
     for (step, &now) in numbers.iter().cycle().take(500).enumerate() {
