--- a/balancer-core/tests/admission.rs
+++ b/balancer-core/tests/admission.rs
@@ -120,8 +120,8 @@
     }
 }
 
-/// Guards against an initial capacity of the stated quotas below the first tier, where each request of a client may
-/// cause several: a rejection there wastes the work of the tiers above.
+/// Guards against an initial capacity below the first tier that is only as large as the stated quotas. There, each
+/// request of a client may cause several requests, and a rejection wastes the work of the tiers above.
 #[test]
 fn lower_tier_that_receives_twice_the_quotas_rejects_none_at_start() {
     let settings = Settings {
--- a/balancer-core/tests/capacity.rs
+++ b/balancer-core/tests/capacity.rs
@@ -89,7 +89,8 @@
     );
 }
 
-/// Guards against blaming failures of all endpoints on each of them, which would not reduce capacity.
+/// Guards against counting failures that all endpoints share as each endpoint's own: an endpoint's own failures do not
+/// reduce capacity.
 #[test]
 fn shared_failures_reduce_capacity_below_the_quotas() {
     let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 6);
@@ -105,16 +106,17 @@
     );
     assert!(
         sent > 0,
-        "no requests were sent, so that the balancer learns nothing"
+        "no requests were sent: the balancer learns nothing"
     );
     let lines = harness.count_actions(|action| matches!(action, Action::Log(_)));
     assert!(
         (1..=3).contains(&lines),
-        "a change of state should be logged once: {lines} lines"
+        "the change of state should be logged, and at most two further ones: {lines} lines"
     );
 }
 
-/// Guards against capacity that grows so slowly after a queue that requests are still rejected long after it is gone.
+/// Guards against capacity that grows so slowly after a queue that requests are still rejected long after the queue is
+/// gone.
 #[test]
 fn capacity_grows_within_seconds_to_a_load_above_the_quotas() {
     let settings = Settings {
@@ -134,8 +136,8 @@
     );
 }
 
-/// Guards against sending the last endpoint of a lower tier what four carried: there, learned capacity alone limits
-/// requests in flight.
+/// Guards against sending as many requests to the one endpoint that remains in a lower tier as to four before: there,
+/// learned capacity alone limits requests in flight.
 #[test]
 fn capacity_of_a_lower_tier_decreases_at_once_when_endpoints_drain() {
     let burst = |drained: &[u64]| {
--- a/balancer-core/tests/classes.rs
+++ b/balancer-core/tests/classes.rs
@@ -25,7 +25,7 @@
     TestHarness::new(settings, 4, endpoints(12))
 }
 
-/// Requests of one class, and how many of them succeeded.
+/// The number of requests of one class, and how many of them succeeded.
 #[derive(Debug)]
 struct ClassSummary {
     requests: usize,
@@ -40,7 +40,8 @@
 
 /// Schedules responses to attempts as they are sent.
 struct ResponseSchedule<F> {
-    /// Latency in milliseconds by class and by number of the attempt over all requests; `None`: no response.
+    /// Latency in milliseconds, by the class and by the attempt's number, counted over all requests; `None`: no
+    /// response.
     latency: F,
     scheduled: Vec<ScheduledResponse>,
     attempts_by_request: BTreeMap<RequestId, usize>,
--- a/balancer-core/tests/common/checker.rs
+++ b/balancer-core/tests/common/checker.rs
@@ -21,7 +21,14 @@
             Action::Fail { request } => self.record_final_response(*request),
             Action::Cancel { request, attempt } => {
                 let sent = self.requests[request].attempts.len();
-                assert!(self.settings.cancel && (*attempt as usize) < sent);
+                assert!(
+                    self.settings.cancel,
+                    "{request:?}: attempt {attempt} cancelled, which the settings do not allow"
+                );
+                assert!(
+                    (*attempt as usize) < sent,
+                    "{request:?}: attempt {attempt} cancelled, but only {sent} were sent"
+                );
             }
             Action::SetTimer { after, token } => self.timers.push((self.now + after, *token)),
             Action::PollEndpoints => assert!(
@@ -39,7 +46,7 @@
         self.check_endpoint(request, class, endpoint);
         assert!(
             !record.is_completed,
-            "{request:?} sent after its final response"
+            "{request:?} sent after its final response or after its client had left"
         );
         assert!(
             self.now < record.deadline,
@@ -113,11 +120,14 @@
                     self.now < first_run.sent_at + window,
                     "{request:?} retried after its idempotency window"
                 );
-                assert!(match scope {
-                    DedupScope::All => true,
-                    DedupScope::Zone => first.zone == endpoint.zone,
-                    DedupScope::Group => first.group == endpoint.group,
-                });
+                assert!(
+                    match scope {
+                        DedupScope::All => true,
+                        DedupScope::Zone => first.zone == endpoint.zone,
+                        DedupScope::Group => first.group == endpoint.group,
+                    },
+                    "{request:?} retried at {endpoint:?}, outside the scope {scope:?} of its idempotency key"
+                );
             }
         }
     }
@@ -143,7 +153,10 @@
             .requests
             .get_mut(&request)
             .expect("request should be in the records");
-        assert!(!record.is_completed, "{request:?} has two final responses");
+        assert!(
+            !record.is_completed,
+            "{request:?} has a second final response, or one after its client had left"
+        );
         record.is_completed = true;
     }
 
--- a/balancer-core/tests/common/harness.rs
+++ b/balancer-core/tests/common/harness.rs
@@ -32,7 +32,7 @@
     pub outcome: Option<AttemptOutcome>,
 }
 
-/// A request, as its client sees it.
+/// A request, and what has happened to it so far.
 pub struct RequestRecord {
     pub class: usize,
     pub deadline: f64,
@@ -104,7 +104,7 @@
             .sum()
     }
 
-    /// Attempts to the upstream that received most.
+    /// Attempts to the upstream that received the most.
     pub fn attempts_to_busiest_upstream(&self) -> usize {
         self.by_upstream.values().max().copied().unwrap_or(0)
     }
@@ -130,6 +130,7 @@
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: f64,
+    /// All endpoints that were ever listed; those that left the list are `Gone`.
     pub known_endpoints: BTreeMap<UpstreamId, Endpoint>,
     pub suspended: BTreeSet<UpstreamId>,
     pub requests: BTreeMap<RequestId, RequestRecord>,
@@ -143,7 +144,8 @@
 impl TestHarness {
     /// A harness that starts with these endpoints as its cached list.
     pub fn new(settings: Settings, seed: u64, endpoints: Vec<Endpoint>) -> Self {
-        let balancer = Balancer::new(settings.clone(), seed, 0.0).expect("valid settings");
+        let balancer =
+            Balancer::new(settings.clone(), seed, 0.0).expect("settings should be valid");
         let mut harness = TestHarness {
             balancer,
             settings,
@@ -253,8 +255,8 @@
         self.handle(Event::ClientDisconnected(id))
     }
 
-    /// Sends `requests_per_s` requests per second for `duration`, for each tenant in turn. `upstream` decides how
-    /// each attempt ends and after how long; `None`: it gets no response.
+    /// Sends `requests_per_s` requests per second in total for `duration`, each for the next of `tenants` in turn.
+    /// `upstream` decides how each attempt ends and after how long; `None`: it gets no response.
     pub fn run_traffic(
         &mut self,
         duration: f64,
--- a/balancer-core/tests/common/mod.rs
+++ b/balancer-core/tests/common/mod.rs
@@ -1,5 +1,5 @@
 //! Shared parts of the tests: a harness that drives one balancer, and fixtures. All times are in milliseconds.
-// A helper function that panics fails its test, as an assertion does.
+// A panic in a helper function fails the test that calls it, as an assertion does, so `expect` is allowed.
 #![allow(clippy::expect_used)]
 #![allow(dead_code, unused_imports)] // each test file uses only some of it
 mod checker;
--- a/balancer-core/tests/early_timeouts.rs
+++ b/balancer-core/tests/early_timeouts.rs
@@ -5,7 +5,7 @@
 use common::{class, success_after, Response, TestHarness};
 use std::cell::Cell;
 
-/// Time that requests have, in milliseconds; much longer than an early timeout.
+/// Time from a request to its deadline, in milliseconds; much longer than an early timeout.
 const DEADLINE: f64 = 12_000.0;
 /// Time that timers, schedulers and a new connection may take on a busy machine, in milliseconds.
 const BUSY_MACHINE_DELAY: f64 = 100.0;
--- a/balancer-core/tests/endpoint_choice.rs
+++ b/balancer-core/tests/endpoint_choice.rs
@@ -8,7 +8,7 @@
 };
 use std::collections::BTreeMap;
 
-/// An endpoint in one of `zones` zones.
+/// An endpoint in zone `id % zone_count`.
 fn endpoint_in_one_of_zones(id: u64, zone_count: u64) -> Endpoint {
     Endpoint {
         zone: (id % zone_count) as u16,
--- a/balancer-core/tests/endpoint_list.rs
+++ b/balancer-core/tests/endpoint_list.rs
@@ -76,11 +76,14 @@
         harness.send_request(id, 0, 0);
         harness.end_attempt(id, 0, AttemptOutcome::Success);
     }
-    assert!(harness
-        .requests
-        .values()
-        .flat_map(|record| &record.attempts)
-        .all(|attempt| attempt.upstream == UpstreamId(3)));
+    assert!(
+        harness
+            .requests
+            .values()
+            .flat_map(|record| &record.attempts)
+            .all(|attempt| attempt.upstream == UpstreamId(3)),
+        "a request was sent to an endpoint that is draining or gone"
+    );
     harness.update_endpoints(EndpointEvent::Snapshot(Vec::new()));
     assert!(
         is_rejected(&harness.send_request(99, 0, 0)),
@@ -168,7 +171,7 @@
     let mut harness = TestHarness::new(settings, 6, endpoints(1));
     assert!(
         harness.actions.contains(&Action::PollEndpoints),
-        "a new instance should poll the list at once"
+        "a new replica should poll the list at once"
     );
     let late = Event::AttemptEnded {
         request: RequestId(1),
@@ -179,7 +182,7 @@
     };
     assert!(
         harness.handle(late).is_empty(),
-        "outcomes of an earlier instance should be ignored"
+        "outcomes of an earlier replica's attempts should be ignored"
     );
     assert!(matches!(
         harness.send_request(2, 0, 0)[..],
--- a/balancer-core/tests/endpoint_polling.rs
+++ b/balancer-core/tests/endpoint_polling.rs
@@ -11,7 +11,7 @@
     }
 }
 
-/// The time until the first timer that is set expires, in milliseconds, and its token.
+/// The first timer that `actions` set: the milliseconds until it expires, and its token.
 fn first_timer(actions: &[Action]) -> Option<(f64, u32)> {
     actions.iter().find_map(|action| match action {
         Action::SetTimer { after, token } => Some((*after, *token)),
@@ -82,9 +82,12 @@
     let mut harness = TestHarness::new(settings, 1, Vec::new());
     for _ in 0..10 {
         let actions = harness.handle(Event::Endpoints(EndpointEvent::DiscoveryRejected));
-        assert!(actions
-            .iter()
-            .all(|action| !matches!(action, Action::SetTimer { after, .. } if *after > 1000.0)));
+        assert!(
+            actions
+                .iter()
+                .all(|action| !matches!(action, Action::SetTimer { after, .. } if *after > 1000.0)),
+            "a replica without endpoints should poll again within 1000 ms: {actions:?}"
+        );
     }
 }
 
@@ -101,7 +104,7 @@
         let actions = harness.send_request(id, 0, 0);
         assert!(
             matches!(actions[..], [.., Action::Send { .. }]),
-            "{actions:?}"
+            "request {id} was not sent: {actions:?}"
         );
         harness.end_attempt(id, 0, AttemptOutcome::Rejected);
         harness.end_attempt(id, 1, AttemptOutcome::Success);
--- a/balancer-core/tests/endpoint_polling_fleet.rs
+++ b/balancer-core/tests/endpoint_polling_fleet.rs
@@ -1,13 +1,13 @@
 //! Polling with many replicas: discovery serves a fleet from one queue, and must answer each replica before the
 //! replica counts as notified. All times are in milliseconds.
-// A helper function that panics fails its test, as an assertion does.
+// A panic in a helper function fails the test that calls it, as an assertion does, so `expect` is allowed.
 #![allow(clippy::expect_used)]
 mod common;
 
 use balancer_core::{Action, EndpointEvent, Event, Settings};
 use common::{endpoints, TestHarness};
 
-/// A change counts as notified this long after discovery had it and could be reached.
+/// A replica counts as notified of a change this long after discovery had the change and could be reached.
 const NOTIFICATION_DEADLINE: f64 = 6000.0;
 /// Discovery rejects calls that have waited this long.
 const QUEUE_TIMEOUT: f64 = 2000.0;
--- a/balancer-core/tests/health.rs
+++ b/balancer-core/tests/health.rs
@@ -50,7 +50,7 @@
     );
     assert!(
         sent.requests > 900,
-        "the others did not serve the rest: {} of 960 sent",
+        "the other endpoints did not serve the remaining requests: {} of 960 sent",
         sent.requests
     );
 }
@@ -86,7 +86,8 @@
     );
 }
 
-/// Guards against further requests to an endpoint that does not respond, until its first attempt times out.
+/// Guards against avoiding an unresponsive endpoint only once its first attempt has timed out: until then, it would
+/// receive further requests.
 #[test]
 fn endpoint_with_an_overdue_response_is_avoided_before_the_first_timeout() {
     let settings = settings_that_value_late_responses(Idempotency::NonIdempotent);
@@ -103,7 +104,8 @@
     assert_eq!(
         late_attempts.count(),
         0,
-        "attempts sent to the endpoint after its response was overdue by six times the expected latency"
+        "attempts sent to the endpoint over 600 ms after it stopped responding: after six times the expected latency, \
+         it should be avoided"
     );
 }
 
@@ -185,7 +187,7 @@
     let seconds_unused = 4 * 35 - seconds_in_use.len();
     assert!(
         seconds_unused <= 14,
-        "endpoints were not used in {seconds_unused} of 140 seconds"
+        "seconds in which an endpoint was not used: {seconds_unused} of 140 (35 s of 4 endpoints)"
     );
 }
 
--- a/balancer-core/tests/idle_connections.rs
+++ b/balancer-core/tests/idle_connections.rs
@@ -61,7 +61,7 @@
 }
 
 /// One request in ten on idle connections is reset immediately, too few for the rate of lost requests to show it.
-/// These requests must not run twice, so that a reset fails them, and a new connection avoids the failure.
+/// These requests must not run twice: a reset makes them fail, and a new connection avoids the failure.
 #[test]
 fn one_immediate_reset_on_an_idle_connection_closes_idle_connections() {
     let settings = Settings {
@@ -162,14 +162,15 @@
     }
 }
 
-/// Guards against malformed responses that are taken for stale connections.
+/// Guards against taking late resets for a sign of stale connections: a reset after this time shows that the connection
+/// was usable.
 #[test]
 fn late_resets_close_no_idle_connections() {
     let summary = send_with_resets(|id| id % 3 == 0, 100.0);
     assert_eq!(summary.closes_of_idle_connections, 0);
 }
 
-/// Guards against responses that break off early and are taken for stale connections.
+/// Guards against taking responses that break off early for a sign of stale connections.
 #[test]
 fn responses_that_break_off_now_and_then_close_no_idle_connections() {
     let summary = send_with_resets(|id| id % 20 == 19, 30.0);
--- a/balancer-core/tests/inflight_limits.rs
+++ b/balancer-core/tests/inflight_limits.rs
@@ -141,13 +141,13 @@
     };
     assert!(
         sent_at_latency(50.0).0 > 1850,
-        "{:?} of 1920 and of the last 480 admitted at low latency",
+        "admitted at low latency, of 1920 and of the last 480: {:?}",
         sent_at_latency(50.0)
     );
     // When latency rises, the replica returns to its even quota of 60 per second.
     assert!(
         sent_at_latency(190.0).1 < 240,
-        "{:?} of 1920 and of the last 480 admitted though latency rises",
+        "admitted although latency rose, of 1920 and of the last 480: {:?}",
         sent_at_latency(190.0)
     );
 }
--- a/balancer-core/tests/poll_schedule.rs
+++ b/balancer-core/tests/poll_schedule.rs
@@ -1,13 +1,14 @@
-//! The schedule of calls for the endpoint list. A change counts as notified 6 s after discovery had it and could be
-//! reached. The next complete response has to arrive within that time, whatever preceded it and however many replicas
-//! discovery serves from its queue. All times are in milliseconds, unless stated otherwise.
+//! The schedule of calls for the endpoint list. A replica counts as notified of a change 6 s after discovery had the
+//! change and could be reached. The next complete response has to arrive within that time, whatever preceded it and
+//! however many replicas discovery serves from its queue. All times are in milliseconds, unless stated otherwise.
 mod common;
 
 use balancer_core::{Action, EndpointEvent, Event, Settings};
 use common::{endpoints, TestHarness};
 use std::collections::BTreeMap;
 
-/// A change counts as notified at the latest this long after discovery had it and could be reached.
+/// A replica counts as notified of a change at the latest this long after discovery had the change and could be
+/// reached.
 const NOTIFICATION_DEADLINE: f64 = 6000.0;
 /// Discovery rejects a call that has waited in its queue for this long.
 const QUEUE_TIMEOUT: f64 = 2000.0;
@@ -19,7 +20,7 @@
 const WATCH_TIMEOUT: f64 = 2500.0;
 /// Discovery holds a watch's call for this long if nothing changes.
 const LONG_POLL_TIMEOUT: f64 = 1500.0;
-/// How long a response takes that does not wait in the queue.
+/// How long discovery takes to respond to a call that does not wait in the queue.
 const IMMEDIATE_RESPONSE_TIME: f64 = 5.0;
 /// Longest time in which discovery serves a call; it needs less where it serves large fleets.
 const MAX_SERVICE_TIME: f64 = 500.0;
@@ -289,8 +290,8 @@
     }
 }
 
-/// Settings may state a shorter acknowledge timeout: after a failed call, a replica counts as notified after four times
-/// that.
+/// Settings may state a shorter acknowledge timeout: a replica counts as notified once four times that timeout
+/// have passed since a failed call.
 #[test]
 fn calls_start_sooner_with_a_shorter_acknowledge_timeout() {
     for seed in 0..200 {
--- a/balancer-core/tests/random_events.rs
+++ b/balancer-core/tests/random_events.rs
@@ -41,7 +41,7 @@
         scope,
         window: 700.0,
     };
-    // Requests whose late responses have no value end before the idempotency window: half of the seeds give late
+    // Requests whose late responses have no value end before the idempotency window ends: half of the seeds give late
     // responses some value.
     let late_weight = if seed.is_multiple_of(2) { 0.5 } else { 0.0 };
     let class = |idempotency| Class {
@@ -109,7 +109,7 @@
     harness.advance(10_000.0);
     assert!(
         harness.requests.values().all(|record| record.is_completed),
-        "a request has no final response"
+        "seed {seed}: a request has no final response"
     );
     harness.actions
 }
--- a/balancer-core/tests/retries.rs
+++ b/balancer-core/tests/retries.rs
@@ -79,7 +79,7 @@
     assert!(is_retried_in_time, "no lost request was retried in time");
 }
 
-/// Guards against a subset without other endpoints that share the memory of the idempotency key.
+/// Guards against a subset without other endpoints that share the record of idempotency keys.
 #[test]
 fn retry_with_idempotency_key_finds_another_endpoint_of_its_group() {
     let key = Idempotency::IdempotencyKey {
@@ -124,7 +124,7 @@
     let sent = harness.sent_since(0.0);
     let requests = sent.requests;
     let attempts = sent.attempts();
-    // A fifth of all requests, including rejected ones, and the ten available at the start.
+    // Retries are allowed for a fifth of all requests, including rejected ones, and ten are available at the start.
     assert!(
         attempts <= requests + 800 / 5 + 10,
         "{attempts} attempts for {requests} requests"
--- a/balancer-core/tests/slow_start.rs
+++ b/balancer-core/tests/slow_start.rs
@@ -51,7 +51,7 @@
     sent_to_first_endpoint(harness)
 }
 
-/// Guards against a clock that is ahead and makes a restarted endpoint seem fully warmed up.
+/// Guards against a clock that is ahead and makes a restarted endpoint seem to have completed its slow start.
 #[test]
 fn restarted_endpoint_is_in_slow_start_however_far_the_clock_is_ahead() {
     let usual = sent_after_restart(0.0);
@@ -86,11 +86,16 @@
         .filter(|record| !record.was_sent())
         .count();
     assert!(rejected <= 10, "{rejected} of 200 rejected");
-    assert!(sent_after_first_list(-3_600_000.0) <= 2 * sent_after_first_list(0.0));
+    let behind = sent_after_first_list(-3_600_000.0);
+    let exact = sent_after_first_list(0.0);
+    assert!(
+        behind <= 2 * exact,
+        "{behind} requests with a clock an hour behind, {exact} with an exact clock"
+    );
 }
 
-/// Guards against sending an endpoint in slow start a part of the quotas rather than of the traffic, where the quotas
-/// are far above the traffic.
+/// Guards against an endpoint in slow start that receives an even part of the quotas rather than of the traffic, where
+/// the quotas are far above the traffic.
 #[test]
 fn endpoint_in_slow_start_gets_at_most_an_even_part_of_the_traffic() {
     let mut settings = slow_start_settings(0, 1, 400.0);
--- a/balancer-core/tests/slow_start_fleet.rs
+++ b/balancer-core/tests/slow_start_fleet.rs
@@ -69,7 +69,7 @@
     harness.update_endpoints(EndpointEvent::Delta(vec![restarted]));
 }
 
-/// Clients return at once, after a pause in which each replica could collect send tokens.
+/// All clients return at the same time, after a pause in which each replica could collect send tokens.
 #[test]
 fn clients_that_return_together_do_not_overload_an_endpoint_in_slow_start() {
     for (replicas, quota) in [(20, 60.0), (30, 60.0), (100, 120.0), (350, 240.0)] {
--- a/balancer-core/tests/streaming.rs
+++ b/balancer-core/tests/streaming.rs
@@ -1,5 +1,5 @@
 //! Streamed requests and responses.
-// A helper function that panics fails its test, as an assertion does.
+// A panic in a helper function fails the test that calls it, as an assertion does, so `expect` is allowed.
 #![allow(clippy::expect_used)]
 mod common;
 
@@ -13,7 +13,7 @@
 /// A balancer with two endpoints.
 fn balancer(idempotency: Idempotency) -> Balancer {
     let settings = tenantless_settings_that_value_late_responses(idempotency);
-    let mut balancer = Balancer::new(settings, 3, 0.0).expect("valid settings");
+    let mut balancer = Balancer::new(settings, 3, 0.0).expect("settings should be valid");
     let list = EndpointEvent::Snapshot(endpoints(2));
     balancer.handle(0.0, Event::Endpoints(list), &mut Vec::new());
     balancer
--- a/balancer-core/tests/tenant_limits.rs
+++ b/balancer-core/tests/tenant_limits.rs
@@ -3,7 +3,7 @@
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Compares with a tolerance, because the worked example states loosely rounded whole numbers.
+/// Compares with a tolerance, because the expected values of the worked example are loosely rounded whole numbers.
 fn assert_near(limits: &[f64], expected: &[f64]) {
     for (limit, value) in limits.iter().zip(expected) {
         assert!(
@@ -71,12 +71,14 @@
             limits
                 .iter()
                 .all(|&limit| limit >= 0.0 && limit.is_finite()),
-            "capacity {capacity}, demands {demands:?}, weights {weights:?}: limits {limits:?}"
+            "a limit is negative or not finite: capacity {capacity}, demands {demands:?}, weights {weights:?}, \
+             limits {limits:?}"
         );
         let sum: f64 = limits.iter().sum();
         assert!(
             sum <= capacity * (1.0 + 1e-9) + 1e-9,
-            "capacity {capacity}, demands {demands:?}, weights {weights:?}: limits {limits:?}"
+            "limits sum to {sum}, more than the capacity {capacity}: demands {demands:?}, weights {weights:?}, \
+             limits {limits:?}"
         );
     }
 }
--- a/balancer-core/tests/unusual_input.rs
+++ b/balancer-core/tests/unusual_input.rs
@@ -91,11 +91,11 @@
         s.slow_start_overload_window = 1e15;
     }),
     ("one attempt", |s| s.max_attempts = 1),
-    ("connections that are never idle", |s| s.idle_close = 0.0),
+    ("connections closed once idle", |s| s.idle_close = 0.0),
     ("a lower tier", |s| s.tier = 7),
 ];
 
-/// Requests are served according to the rules, whatever the settings leave out.
+/// Requests are served according to the rules, however unusual the settings are.
 #[test]
 fn unusual_settings_are_served() {
     for (description, change) in UNUSUAL_SETTINGS {
@@ -198,7 +198,7 @@
         40.0,
     ];
     let settings = tenantless_settings_that_value_late_responses(Idempotency::Idempotent);
-    let mut balancer = Balancer::new(settings, 3, 0.0).expect("valid settings");
+    let mut balancer = Balancer::new(settings, 3, 0.0).expect("settings should be valid");
     let mut actions = Vec::new();
     for (step, &now) in numbers.iter().cycle().take(500).enumerate() {
         for event in events_with_time(step, numbers[step / 7 % 7]) {
