--- a/balancer-core/tests/capacity.rs
+++ b/balancer-core/tests/capacity.rs
@@ -5,8 +5,8 @@
     Action, AttemptOutcome, Class, EndpointEvent, Idempotency, Settings, UpstreamId,
 };
 use common::{
-    class_with_late_value, draining, endpoints, no_response, outcome_after, settings_for_tenants,
-    settings_with_late_value, success_after, Response, TestHarness,
+    class_that_values_late_responses, draining, endpoints, no_response, outcome_after,
+    settings_for_tenants, settings_that_value_late_responses, success_after, Response, TestHarness,
 };
 
 /// Guards against capacity that recovers slowly because old latencies still count.
@@ -31,7 +31,7 @@
     let class = Class {
         objective: 1000.0,
         deadline: 3000.0,
-        ..class_with_late_value(Idempotency::Idempotent)
+        ..class_that_values_late_responses(Idempotency::Idempotent)
     };
     let settings = Settings {
         classes: vec![class],
@@ -71,7 +71,7 @@
 #[test]
 fn capacity_decreases_at_once_when_endpoints_drain() {
     let burst = |drained: &[u64]| {
-        let settings = settings_with_late_value(Idempotency::NonIdempotent);
+        let settings = settings_that_value_late_responses(Idempotency::NonIdempotent);
         let mut harness = TestHarness::with_endpoints(settings, 4);
         harness.run_traffic(5000.0, 60.0, &[0], &success_after(150.0));
         harness.advance(1000.0);
@@ -89,7 +89,8 @@
     );
 }
 
-/// Guards against blaming failures of all endpoints on each of them, which would not reduce capacity.
+/// Guards against counting failures that all endpoints share as each endpoint's own: an endpoint's own failures do not
+/// reduce capacity.
 #[test]
 fn shared_failures_reduce_capacity_below_the_quotas() {
     let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 6);
@@ -105,16 +106,17 @@
     );
     assert!(
         sent > 0,
-        "no requests were sent, so that the balancer learns nothing"
+        "no requests were sent: the balancer learns nothing"
     );
     let lines = harness.count_actions(|action| matches!(action, Action::Log(_)));
     assert!(
         (1..=3).contains(&lines),
-        "a change of state should be logged once: {lines} lines"
+        "the change of state should be logged, and at most two further ones: {lines} lines"
     );
 }
 
-/// Guards against capacity that grows so slowly after a queue that requests are still rejected long after it is gone.
+/// Guards against capacity that grows so slowly after a queue that requests are still rejected long after the queue is
+/// gone.
 #[test]
 fn capacity_grows_within_seconds_to_a_load_above_the_quotas() {
     let settings = Settings {
@@ -134,14 +136,14 @@
     );
 }
 
-/// Guards against sending the last endpoint of a lower tier what four carried: there, learned capacity alone limits
-/// requests in flight.
+/// Guards against sending as many requests to the one endpoint that remains in a lower tier as to four before: there,
+/// learned capacity alone limits requests in flight.
 #[test]
 fn capacity_of_a_lower_tier_decreases_at_once_when_endpoints_drain() {
     let burst = |drained: &[u64]| {
         let settings = Settings {
             tier: 1,
-            ..settings_with_late_value(Idempotency::NonIdempotent)
+            ..settings_that_value_late_responses(Idempotency::NonIdempotent)
         };
         let mut harness = TestHarness::with_endpoints(settings, 4);
         harness.run_traffic(5000.0, 60.0, &[0], &success_after(150.0));
--- a/balancer-core/tests/common/checker.rs
+++ b/balancer-core/tests/common/checker.rs
@@ -21,7 +21,14 @@
             Action::Fail { request } => self.record_final_response(*request),
             Action::Cancel { request, attempt } => {
                 let sent = self.requests[request].attempts.len();
-                assert!(self.settings.cancel && (*attempt as usize) < sent);
+                assert!(
+                    self.settings.cancel,
+                    "{request:?}: attempt {attempt} cancelled, which the settings do not allow"
+                );
+                assert!(
+                    (*attempt as usize) < sent,
+                    "{request:?}: attempt {attempt} cancelled, but only {sent} were sent"
+                );
             }
             Action::SetTimer { after, token } => self.timers.push((self.now + after, *token)),
             Action::PollEndpoints => assert!(
@@ -33,13 +40,13 @@
     }
 
     fn check_send(&mut self, request: RequestId, upstream: UpstreamId, timeout: f64) {
-        let endpoint = &self.listed[&upstream];
+        let endpoint = &self.known_endpoints[&upstream];
         let record = &self.requests[&request];
         let class = &self.settings.classes[record.class];
         self.check_endpoint(request, class, endpoint);
         assert!(
             !record.is_completed,
-            "{request:?} sent after its final response"
+            "{request:?} sent after its final response or after its client had left"
         );
         assert!(
             self.now < record.deadline,
@@ -108,16 +115,19 @@
             Idempotency::Idempotent => {}
             Idempotency::NonIdempotent => panic!("{request:?} retried although it may have run"),
             Idempotency::IdempotencyKey { scope, window } => {
-                let first = &self.listed[&first_run.upstream];
+                let first = &self.known_endpoints[&first_run.upstream];
                 assert!(
                     self.now < first_run.sent_at + window,
                     "{request:?} retried after its idempotency window"
                 );
-                assert!(match scope {
-                    DedupScope::All => true,
-                    DedupScope::Zone => first.zone == endpoint.zone,
-                    DedupScope::Group => first.group == endpoint.group,
-                });
+                assert!(
+                    match scope {
+                        DedupScope::All => true,
+                        DedupScope::Zone => first.zone == endpoint.zone,
+                        DedupScope::Group => first.group == endpoint.group,
+                    },
+                    "{request:?} retried at {endpoint:?}, outside the scope {scope:?} of its idempotency key"
+                );
             }
         }
     }
@@ -143,7 +153,10 @@
             .requests
             .get_mut(&request)
             .expect("request should be in the records");
-        assert!(!record.is_completed, "{request:?} has two final responses");
+        assert!(
+            !record.is_completed,
+            "{request:?} has a second final response, or one after its client had left"
+        );
         record.is_completed = true;
     }
 
--- a/balancer-core/tests/common/harness.rs
+++ b/balancer-core/tests/common/harness.rs
@@ -32,7 +32,7 @@
     pub outcome: Option<AttemptOutcome>,
 }
 
-/// A request, as its client sees it.
+/// A request, and what has happened to it so far.
 pub struct RequestRecord {
     pub class: usize,
     pub deadline: f64,
@@ -104,8 +104,8 @@
             .sum()
     }
 
-    /// Attempts to the upstream that received most.
-    pub fn max_attempts(&self) -> usize {
+    /// Attempts to the upstream that received the most.
+    pub fn attempts_to_busiest_upstream(&self) -> usize {
         self.by_upstream.values().max().copied().unwrap_or(0)
     }
 }
@@ -130,7 +130,8 @@
     pub balancer: Balancer,
     pub settings: Settings,
     pub now: f64,
-    pub listed: BTreeMap<UpstreamId, Endpoint>,
+    /// All endpoints that were ever listed; those that left the list are `Gone`.
+    pub known_endpoints: BTreeMap<UpstreamId, Endpoint>,
     pub suspended: BTreeSet<UpstreamId>,
     pub requests: BTreeMap<RequestId, RequestRecord>,
     /// When timers expire, and their tokens.
@@ -143,12 +144,13 @@
 impl TestHarness {
     /// A harness that starts with these endpoints as its cached list.
     pub fn new(settings: Settings, seed: u64, endpoints: Vec<Endpoint>) -> Self {
-        let balancer = Balancer::new(settings.clone(), seed, 0.0).expect("valid settings");
+        let balancer =
+            Balancer::new(settings.clone(), seed, 0.0).expect("settings should be valid");
         let mut harness = TestHarness {
             balancer,
             settings,
             now: 0.0,
-            listed: BTreeMap::new(),
+            known_endpoints: BTreeMap::new(),
             suspended: BTreeSet::new(),
             requests: BTreeMap::new(),
             timers: Vec::new(),
@@ -170,7 +172,7 @@
             EndpointEvent::Snapshot(_) | EndpointEvent::CachedSnapshot(_)
         );
         if is_complete {
-            for endpoint in self.listed.values_mut() {
+            for endpoint in self.known_endpoints.values_mut() {
                 endpoint.availability = Availability::Gone;
             }
         }
@@ -179,7 +181,7 @@
         | EndpointEvent::Delta(endpoints) = &update
         {
             for endpoint in endpoints {
-                self.listed.insert(endpoint.id, endpoint.clone());
+                self.known_endpoints.insert(endpoint.id, endpoint.clone());
             }
         }
         self.handle(Event::Endpoints(update));
@@ -253,8 +255,8 @@
         self.handle(Event::ClientDisconnected(id))
     }
 
-    /// Sends `requests_per_s` requests per second for `duration`, for each tenant in turn. `upstream` decides how
-    /// each attempt ends and after how long; `None`: it gets no response.
+    /// Sends `requests_per_s` requests per second in total for `duration`, each for the next of `tenants` in turn.
+    /// `upstream` decides how each attempt ends and after how long; `None`: it gets no response.
     pub fn run_traffic(
         &mut self,
         duration: f64,
--- a/balancer-core/tests/health.rs
+++ b/balancer-core/tests/health.rs
@@ -3,13 +3,14 @@
 
 use balancer_core::{AttemptOutcome, Endpoint, Idempotency, UpstreamId};
 use common::{
-    endpoint, settings_for_tenants, settings_with_late_value, success_after, Response, TestHarness,
+    endpoint, settings_for_tenants, settings_that_value_late_responses, success_after, Response,
+    TestHarness,
 };
 use std::cell::Cell;
 use std::collections::BTreeSet;
 
 #[test]
-fn endpoint_that_fails_fast_does_not_attract_requests() {
+fn endpoint_that_fails_fast_receives_few_requests() {
     let mut harness = TestHarness::with_endpoints(settings_for_tenants(&[1.0]), 6);
     let upstream = |id| {
         if id == UpstreamId(2) {
@@ -49,7 +50,7 @@
     );
     assert!(
         sent.requests > 900,
-        "the others did not serve the rest: {} of 960 sent",
+        "the other endpoints did not serve the remaining requests: {} of 960 sent",
         sent.requests
     );
 }
@@ -85,10 +86,11 @@
     );
 }
 
-/// Guards against further requests to an endpoint that does not respond, until its first attempt times out.
+/// Guards against avoiding an unresponsive endpoint only once its first attempt has timed out: until then, it would
+/// receive further requests.
 #[test]
 fn endpoint_with_an_overdue_response_is_avoided_before_the_first_timeout() {
-    let settings = settings_with_late_value(Idempotency::NonIdempotent);
+    let settings = settings_that_value_late_responses(Idempotency::NonIdempotent);
     let mut harness = TestHarness::with_endpoints(settings, 3);
     harness.run_traffic(3000.0, 60.0, &[0], &success_after(50.0));
     let from = harness.now;
@@ -102,7 +104,8 @@
     assert_eq!(
         late_attempts.count(),
         0,
-        "attempts sent to the endpoint after its response was overdue by six times the expected latency"
+        "attempts sent to the endpoint over 600 ms after it stopped responding: after six times the expected latency, \
+         it should be avoided"
     );
 }
 
@@ -154,7 +157,7 @@
 /// are chance, and each ejection overloads the others.
 #[test]
 fn failures_shared_by_all_endpoints_eject_few() {
-    let settings = settings_with_late_value(Idempotency::NonIdempotent);
+    let settings = settings_that_value_late_responses(Idempotency::NonIdempotent);
     let mut harness = TestHarness::with_endpoints(settings, 4);
     let random = Cell::new(1u32);
     let upstream = |_| {
@@ -184,7 +187,7 @@
     let seconds_unused = 4 * 35 - seconds_in_use.len();
     assert!(
         seconds_unused <= 14,
-        "endpoints were not used in {seconds_unused} of 140 seconds"
+        "seconds in which an endpoint was not used: {seconds_unused} of 140 (35 s of 4 endpoints)"
     );
 }
 
@@ -192,7 +195,7 @@
 /// of one endpoint are chance, and no endpoint is worse than the others.
 #[test]
 fn endpoints_that_all_fail_every_other_request_are_not_ejected() {
-    let settings = settings_with_late_value(Idempotency::NonIdempotent);
+    let settings = settings_that_value_late_responses(Idempotency::NonIdempotent);
     let mut harness = TestHarness::with_endpoints(settings, 4);
     let attempts = Cell::new(0u32);
     let upstream = |_| {
--- a/balancer-core/tests/streaming.rs
+++ b/balancer-core/tests/streaming.rs
@@ -1,19 +1,19 @@
 //! Streamed requests and responses.
-// A helper function that panics fails its test, as an assertion does.
+// A panic in a helper function fails the test that calls it, as an assertion does, so `expect` is allowed.
 #![allow(clippy::expect_used)]
 mod common;
 
 use balancer_core::{
     Action, AttemptOutcome, Balancer, EndpointEvent, Event, Idempotency, Request, RequestId,
 };
-use common::{counts, endpoints, settings_without_tenants};
+use common::{counts, endpoints, tenantless_settings_that_value_late_responses};
 
 const REQUEST: RequestId = RequestId(1);
 
 /// A balancer with two endpoints.
 fn balancer(idempotency: Idempotency) -> Balancer {
-    let settings = settings_without_tenants(idempotency);
-    let mut balancer = Balancer::new(settings, 3, 0.0).expect("valid settings");
+    let settings = tenantless_settings_that_value_late_responses(idempotency);
+    let mut balancer = Balancer::new(settings, 3, 0.0).expect("settings should be valid");
     let list = EndpointEvent::Snapshot(endpoints(2));
     balancer.handle(0.0, Event::Endpoints(list), &mut Vec::new());
     balancer
--- a/balancer-core/tests/unusual_input.rs
+++ b/balancer-core/tests/unusual_input.rs
@@ -5,7 +5,9 @@
     Action, AttemptOutcome, Balancer, Endpoint, EndpointEvent, Event, Idempotency, Request,
     RequestId, Settings,
 };
-use common::{endpoint, settings_without_tenants, success_after, tenants, TestHarness};
+use common::{
+    endpoint, success_after, tenantless_settings_that_value_late_responses, tenants, TestHarness,
+};
 
 /// The field that the error names if a change makes settings invalid.
 fn invalid_field(change: impl Fn(&mut Settings)) -> Option<&'static str> {
@@ -89,17 +91,17 @@
         s.slow_start_overload_window = 1e15;
     }),
     ("one attempt", |s| s.max_attempts = 1),
-    ("connections that are never idle", |s| s.idle_close = 0.0),
+    ("connections closed once idle", |s| s.idle_close = 0.0),
     ("a lower tier", |s| s.tier = 7),
 ];
 
-/// Requests are served according to the rules, whatever the settings leave out.
+/// Requests are served according to the rules, however unusual the settings are.
 #[test]
 fn unusual_settings_are_served() {
     for (description, change) in UNUSUAL_SETTINGS {
         let mut settings = Settings {
             tenants: tenants(&[0.7, 0.3], 90.0),
-            ..settings_without_tenants(Idempotency::Idempotent)
+            ..tenantless_settings_that_value_late_responses(Idempotency::Idempotent)
         };
         settings.cross_zone_price = 0.01;
         change(&mut settings);
@@ -195,8 +197,8 @@
         1e300,
         40.0,
     ];
-    let settings = settings_without_tenants(Idempotency::Idempotent);
-    let mut balancer = Balancer::new(settings, 3, 0.0).expect("valid settings");
+    let settings = tenantless_settings_that_value_late_responses(Idempotency::Idempotent);
+    let mut balancer = Balancer::new(settings, 3, 0.0).expect("settings should be valid");
     let mut actions = Vec::new();
     for (step, &now) in numbers.iter().cycle().take(500).enumerate() {
         for event in events_with_time(step, numbers[step / 7 % 7]) {
