--- a/balancer/src/admin/process_coordinator.rs
+++ b/balancer/src/admin/process_coordinator.rs
@@ -101,7 +101,7 @@
 
     /// Waits until discovery has confirmed or updated the endpoint list, or no other process serves any more.
     async fn endpoints_or_lock(&self) {
-        while timeout(REFRESH_INTERVAL, self.driver.endpoints_notified())
+        while timeout(REFRESH_INTERVAL, self.driver.discovery_responded())
             .await
             .is_err()
         {
--- a/balancer/src/control/attempts.rs
+++ b/balancer/src/control/attempts.rs
@@ -22,7 +22,11 @@
 
 impl Attempt {
     /// An attempt whose request's body is still incomplete: it has no time-out.
-    pub fn streaming(upstream: UpstreamId, started_at: Instant, task: AbortHandle) -> Attempt {
+    pub fn with_incomplete_body(
+        upstream: UpstreamId,
+        started_at: Instant,
+        task: AbortHandle,
+    ) -> Attempt {
         Attempt {
             upstream,
             started_at,
@@ -34,7 +38,7 @@
     }
 
     /// An attempt whose request's body is complete.
-    pub fn complete(
+    pub fn with_complete_body(
         upstream: UpstreamId,
         started_at: Instant,
         task: AbortHandle,
@@ -43,7 +47,7 @@
         Attempt {
             sent_at: Some(started_at),
             timeout: Some(timeout),
-            ..Attempt::streaming(upstream, started_at, task)
+            ..Attempt::with_incomplete_body(upstream, started_at, task)
         }
     }
 
@@ -117,7 +121,7 @@
     }
 
     /// Whether any attempt to this endpoint is in flight.
-    pub fn any_to(&self, upstream: UpstreamId) -> bool {
+    pub fn has_attempt_to(&self, upstream: UpstreamId) -> bool {
         self.by_id
             .values()
             .any(|attempt| attempt.upstream == upstream)
--- a/balancer/src/control/control_plane.rs
+++ b/balancer/src/control/control_plane.rs
@@ -78,7 +78,8 @@
         clock: options.clock,
         dispatch: options.dispatch.clone(),
         drain_grace: deployment.drain_grace,
-        max_open: usize::try_from(deployment.max_requests_in_flight).unwrap_or(usize::MAX),
+        max_pending_requests: usize::try_from(deployment.max_requests_in_flight)
+            .unwrap_or(usize::MAX),
         idempotency_by_class,
         rejects_after_start,
         guard: options.guard.clone(),
--- a/balancer/src/control/driver.rs
+++ b/balancer/src/control/driver.rs
@@ -25,7 +25,7 @@
     /// Notified when the decision module wants to know the endpoints.
     poll_requested: Notify,
     /// Notified when discovery has updated or confirmed the endpoints.
-    endpoints_updated: Notify,
+    discovery_responded: Notify,
 }
 
 /// A handle to the driver. Clones refer to the same driver.
@@ -39,7 +39,7 @@
             state: RefCell::new(DriverState::new(options)),
             timers_changed: Notify::new(),
             poll_requested: Notify::new(),
-            endpoints_updated: Notify::new(),
+            discovery_responded: Notify::new(),
         }))
     }
 
@@ -59,8 +59,8 @@
     }
 
     /// Requests whose body is complete from now on have their response after this time at the latest.
-    pub fn set_response_deadline(&self, time: Duration) {
-        self.0.state.borrow_mut().set_response_deadline(time);
+    pub fn set_response_deadline(&self, within: Duration) {
+        self.0.state.borrow_mut().set_response_deadline(within);
     }
 
     /// Ends each pending request with a failure: its own response does not come in time. It may have run.
@@ -78,8 +78,8 @@
     }
 
     /// Waits until an update from discovery is in force, or discovery has responded that there is none.
-    pub async fn endpoints_notified(&self) {
-        self.0.endpoints_updated.notified().await;
+    pub async fn discovery_responded(&self) {
+        self.0.discovery_responded.notified().await;
     }
 
     /// Puts the cached snapshot of the endpoints in force; `None` if there is no snapshot.
--- a/balancer/src/control/driver/endpoint_updates.rs
+++ b/balancer/src/control/driver/endpoint_updates.rs
@@ -26,12 +26,12 @@
             EndpointEvent::Delta(members)
         };
         self.handle_event(Event::Endpoints(event));
-        self.0.endpoints_updated.notify_one();
+        self.0.discovery_responded.notify_one();
     }
 
     fn endpoints_unchanged(&self) {
         self.handle_event(Event::Endpoints(EndpointEvent::Unchanged));
-        self.0.endpoints_updated.notify_one();
+        self.0.discovery_responded.notify_one();
     }
 
     fn discovery_migrated(&self) {
--- a/balancer/src/control/driver/event_loop.rs
+++ b/balancer/src/control/driver/event_loop.rs
@@ -55,12 +55,12 @@
         let mut actions = Vec::new();
         while state.handle_next_event(&mut actions) {
             for action in actions.drain(..) {
-                self.perform(state, action);
+                self.perform_action(state, action);
             }
         }
     }
 
-    fn perform(&self, state: &mut DriverState, action: Action) {
+    fn perform_action(&self, state: &mut DriverState, action: Action) {
         match action {
             Action::Send {
                 request,
--- a/balancer/src/control/driver/submission.rs
+++ b/balancer/src/control/driver/submission.rs
@@ -12,21 +12,21 @@
     handle: DriverHandle,
     id: RequestId,
     response: oneshot::Receiver<FinalResponse>,
-    is_done: bool,
+    has_response: bool,
 }
 
 impl ResponseFuture {
     /// Waits for the final response.
     pub async fn response(mut self) -> FinalResponse {
         let response = (&mut self.response).await.unwrap_or(FinalResponse::Failed);
-        self.is_done = true;
+        self.has_response = true;
         response
     }
 }
 
 impl Drop for ResponseFuture {
     fn drop(&mut self) {
-        if !self.is_done {
+        if !self.has_response {
             self.handle.client_disconnected(self.id);
         }
     }
@@ -81,7 +81,7 @@
             handle: self.clone(),
             id,
             response: submitted.response,
-            is_done: false,
+            has_response: false,
         })
     }
 
--- a/balancer/src/control/driver/tests.rs
+++ b/balancer/src/control/driver/tests.rs
@@ -45,7 +45,7 @@
         clock,
         dispatch: Dispatch::Sockets(Transport::new(connector, guard.clone())),
         drain_grace: LONG_TIMEOUT,
-        max_open: 10,
+        max_pending_requests: 10,
         idempotency_by_class: vec![Idempotency::Idempotent],
         rejects_after_start: false,
         guard,
--- a/balancer/src/control/driver_options.rs
+++ b/balancer/src/control/driver_options.rs
@@ -17,7 +17,7 @@
     /// Attempts to an upstream that drains must end this long after the update that reported it.
     pub drain_grace: Duration,
     /// Most requests that may be pending at once.
-    pub max_open: usize,
+    pub max_pending_requests: usize,
     /// The idempotency of each class, by the class's position in the settings.
     pub idempotency_by_class: Vec<Idempotency>,
     /// Whether upstreams also reject requests that they have started to process.
--- a/balancer/src/control/driver_state.rs
+++ b/balancer/src/control/driver_state.rs
@@ -49,7 +49,7 @@
             idempotency_by_class: options.idempotency_by_class,
             rejects_after_start: options.rejects_after_start,
             latest_deadline: f64::INFINITY,
-            pending: PendingRequests::new(options.max_open),
+            pending: PendingRequests::new(options.max_pending_requests),
             attempts: Attempts::default(),
             endpoints: EndpointTable::new(options.drain_grace),
             timers: TimerQueue::default(),
--- a/balancer/src/control/driver_state/attempt_lifecycle.rs
+++ b/balancer/src/control/driver_state/attempt_lifecycle.rs
@@ -43,8 +43,8 @@
     ) -> Option<PreparedAttempt> {
         let started_at = Instant::now();
         let now = self.now();
-        let id = self.book_attempt_start(request)?;
-        let Some(upstream) = self.attempt_target(request, upstream_id) else {
+        let id = self.record_attempt_start(request)?;
+        let Some(upstream) = self.attempt_upstream(request, upstream_id) else {
             self.attempt_not_sent(id, started_at);
             return None;
         };
@@ -72,7 +72,7 @@
     }
 
     /// Books the start of an attempt, unless the guard denies it.
-    fn book_attempt_start(&mut self, request: RequestId) -> Option<AttemptId> {
+    fn record_attempt_start(&mut self, request: RequestId) -> Option<AttemptId> {
         let pending = self.pending.get_mut(request)?;
         let number = pending.attempts_started();
         if pending.attempt_started(&self.guard).is_err() {
@@ -85,7 +85,11 @@
     }
 
     /// Where an attempt goes; `None` if the endpoint is unknown or the request has ended.
-    fn attempt_target(&self, request: RequestId, upstream_id: UpstreamId) -> Option<Rc<Upstream>> {
+    fn attempt_upstream(
+        &self,
+        request: RequestId,
+        upstream_id: UpstreamId,
+    ) -> Option<Rc<Upstream>> {
         if self.pending.get(request)?.is_answered() {
             return None;
         }
@@ -127,9 +131,9 @@
             let timeout = self
                 .timers
                 .set(prepared.deadline, TimerEvent::AttemptTimeout(id));
-            Attempt::complete(upstream_id, started_at, task, timeout)
+            Attempt::with_complete_body(upstream_id, started_at, task, timeout)
         } else {
-            Attempt::streaming(upstream_id, started_at, task)
+            Attempt::with_incomplete_body(upstream_id, started_at, task)
         };
         self.attempts.insert(id, attempt);
     }
@@ -180,7 +184,7 @@
         );
         let never_ran = never_ran(outcome, self.rejects_after_start);
         let request_completed =
-            self.settle_attempt(id.request, attempt.started_at(), never_ran, response);
+            self.record_attempt_end(id.request, attempt.started_at(), never_ran, response);
         self.push_event(Event::AttemptEnded {
             request: id.request,
             attempt: id.number,
@@ -192,7 +196,7 @@
     }
 
     /// Books the end of an attempt at its request, with the response it brought. Returns whether the request is over.
-    fn settle_attempt(
+    fn record_attempt_end(
         &mut self,
         request: RequestId,
         started_at: Instant,
--- a/balancer/src/control/driver_state/endpoints.rs
+++ b/balancer/src/control/driver_state/endpoints.rs
@@ -40,7 +40,7 @@
 
     /// Forgets an endpoint that is no longer listed and has no attempt in flight.
     pub(super) fn forget_endpoint_if_unused(&mut self, id: UpstreamId) {
-        if self.endpoints.is_removed(id) && !self.attempts.any_to(id) {
+        if self.endpoints.is_removed(id) && !self.attempts.has_attempt_to(id) {
             self.endpoints.forget(id);
         }
     }
--- a/balancer/src/control/driver_state/requests.rs
+++ b/balancer/src/control/driver_state/requests.rs
@@ -79,8 +79,8 @@
     }
 
     /// Requests whose body is complete from now on have their response after this time at the latest.
-    pub fn set_response_deadline(&mut self, time: Duration) {
-        self.latest_deadline = self.now() + to_millis(time);
+    pub fn set_response_deadline(&mut self, within: Duration) {
+        self.latest_deadline = self.now() + to_millis(within);
     }
 
     /// Gives each request without a final response a failure. Returns their ids.
--- a/balancer/src/control/pending_requests.rs
+++ b/balancer/src/control/pending_requests.rs
@@ -31,7 +31,7 @@
     deadline: Millis,
     history: AttemptHistory,
     /// Whether a response is being relayed to the client.
-    relays_response: bool,
+    is_relaying_response: bool,
 }
 
 impl PendingRequest {
@@ -49,7 +49,7 @@
             client_timeout,
             deadline,
             history: AttemptHistory::new(idempotency),
-            relays_response: false,
+            is_relaying_response: false,
         }
     }
 
@@ -70,7 +70,7 @@
 
     /// Whether it is complete and waits for its response or for the end of it.
     pub fn is_active(&self) -> bool {
-        self.is_body_complete() && (!self.is_answered() || self.relays_response)
+        self.is_body_complete() && (!self.is_answered() || self.is_relaying_response)
     }
 
     /// How long an attempt may take from now on. `limit_ms` of zero means no limit besides the client's timeout.
@@ -87,9 +87,9 @@
         }
     }
 
-    /// The body is complete. The client's timeout starts; `latest` limits the deadline, which is returned.
-    pub fn request_body_complete(&mut self, now: Millis, latest: Millis) -> Millis {
-        self.deadline = (now + self.client_timeout).min(latest);
+    /// The body is complete. The client's timeout starts; `latest_deadline` limits the deadline, which is returned.
+    pub fn request_body_complete(&mut self, now: Millis, latest_deadline: Millis) -> Millis {
+        self.deadline = (now + self.client_timeout).min(latest_deadline);
         self.deadline
     }
 
@@ -143,7 +143,7 @@
     pub fn respond_and_relay(&mut self, response: FinalResponse) {
         match self.respond(response) {
             Delivery::AlreadyAnswered => {}
-            delivery => self.relays_response = delivery == Delivery::Delivered,
+            delivery => self.is_relaying_response = delivery == Delivery::Delivered,
         }
     }
 
@@ -243,8 +243,10 @@
             return;
         }
         let removed = self.by_id.remove(&id);
-        if let Some(name) = removed.and_then(|pending| pending.request.request_id.clone()) {
-            self.client_request_ids.remove(&name);
+        if let Some(client_request_id) =
+            removed.and_then(|pending| pending.request.request_id.clone())
+        {
+            self.client_request_ids.remove(&client_request_id);
         }
     }
 }
