--- a/balancer/src/control/attempts.rs
+++ b/balancer/src/control/attempts.rs
@@ -11,8 +11,8 @@
 pub struct Attempt {
     upstream: UpstreamId,
     started_at: Instant,
-    /// The latest of: start of the attempt, end of the request's body, connection ready. `None` while the request's
-    /// body is incomplete.
+    /// When the request was sent: the latest of the attempt's start, the end of the request's body, and the moment the
+    /// connection was ready. `None` while the request's body is incomplete.
     sent_at: Option<Instant>,
     /// Time from `sent_at` to the start of a streamed response, once it has started.
     response_started_after: Option<Duration>,
@@ -21,7 +21,7 @@
 }
 
 impl Attempt {
-    /// An attempt whose request's body is still incomplete: it has no time-out.
+    /// An attempt whose request's body is still incomplete: it has no timeout.
     pub fn with_incomplete_body(
         upstream: UpstreamId,
         started_at: Instant,
@@ -66,7 +66,7 @@
         self.response_started_after.is_some()
     }
 
-    /// The body of the request is complete: the attempt has a time-out from now on.
+    /// The body of the request is complete: the attempt has a timeout from now on.
     pub fn request_body_complete(&mut self, now: Instant, timeout: TimerId) {
         self.sent_at = Some(now);
         self.timeout = Some(timeout);
@@ -78,20 +78,20 @@
         self.sent_at = self.sent_at.map(|sent_at| sent_at.max(now));
     }
 
-    /// A streamed response has started. Returns the time-out, which no longer applies.
+    /// A streamed response has started. Returns the timer of its timeout, which no longer applies.
     pub fn response_started(&mut self) -> Option<TimerId> {
         self.response_started_after = Some(self.response_time());
         self.timeout.take()
     }
 
-    /// Time since the request was sent, up to the start of a streamed response; zero while it is not sent.
+    /// Time from sending the request to the start of a streamed response, or to now; zero until the request is sent.
     pub fn response_time(&self) -> Duration {
         self.response_started_after
             .or(self.sent_at.map(|sent_at| sent_at.elapsed()))
             .unwrap_or_default()
     }
 
-    /// Stops the attempt's task, which closes its connection. Returns the time-out if it is still set.
+    /// Stops the attempt's task, which closes its connection. Returns the timer of its timeout if it is still set.
     pub fn stop(&mut self) -> Option<TimerId> {
         self.task.abort();
         self.timeout.take()
@@ -110,7 +110,7 @@
         self.by_id.insert(id, attempt);
     }
 
-    /// Removes an attempt; `None` if it has ended before.
+    /// Removes an attempt; `None` if it has already ended.
     pub fn remove(&mut self, id: AttemptId) -> Option<Attempt> {
         self.by_id.remove(&id)
     }
--- a/balancer/src/control/control_plane.rs
+++ b/balancer/src/control/control_plane.rs
@@ -1,5 +1,5 @@
-//! The control plane of a balancer: the driver of the decision module, and the discovery client that feeds it. The
-//! process and the hollow balancers start it alike.
+//! The control plane of a balancer: the driver of the decision module, and the discovery client that feeds it. It is
+//! the same in the process and in hollow balancers.
 use crate::clock::{to_millis, Clock};
 use crate::control::driver::{DriverHandle, DriverOptions};
 use crate::discovery::endpoints::EndpointUpdate;
@@ -13,7 +13,7 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// What a control plane starts from.
+/// What a control plane is built from.
 pub struct ControlPlaneOptions<'a> {
     /// The settings.
     pub deployment: &'a Deployment,
@@ -27,13 +27,13 @@
     pub guard: Guard,
     /// The cached snapshot of the endpoints, if there is one.
     pub cached_snapshot: Option<&'a EndpointUpdate>,
-    /// The newest value is discovery's address.
+    /// Holds the current address of discovery.
     pub discovery: watch::Receiver<SocketAddr>,
     /// Receives log lines.
     pub log: LogOutput,
 }
 
-/// A control plane whose timers run. The discovery client is still to be started.
+/// A control plane whose timers run. Its discovery client is not started yet.
 pub struct ControlPlane {
     /// The driver of the decision module.
     pub handle: DriverHandle,
@@ -87,8 +87,8 @@
     })
 }
 
-/// The settings of the decision module for a balancer on sockets. The time-out in the settings is that of the
-/// simulator; on sockets discovery counts a change as acknowledged sooner.
+/// The settings of the decision module for a balancer on sockets. The acknowledge timeout in the settings is
+/// that of the simulator; on sockets discovery counts a change as acknowledged sooner.
 fn socket_settings(policy: &Settings) -> Settings {
     let mut settings = policy.clone();
     settings.poll_acknowledge_timeout = settings
--- a/balancer/src/control/driver.rs
+++ b/balancer/src/control/driver.rs
@@ -1,7 +1,7 @@
-//! The driver: the one owner of the decision module.
+//! The driver: the sole owner of the decision module.
 //!
-//! It feeds the decision module events in order and carries out its actions. It also keeps the module's clock, its
-//! timers, and the ids of requests and attempts. It decides nothing.
+//! It passes events to the decision module in order and carries out its actions. It also keeps the module's clock, its
+//! timers, and the ids of requests and attempts. It makes no decisions itself.
 use crate::control::driver_state::DriverState;
 use crate::discovery::endpoints::{upstream_id, EndpointUpdate};
 use crate::telemetry::metrics::Gauges;
@@ -22,7 +22,7 @@
     state: RefCell<DriverState>,
     /// Notified when a timer is set.
     timers_changed: Notify,
-    /// Notified when the decision module wants to know the endpoints.
+    /// Notified when the decision module requests a poll of the endpoints.
     poll_requested: Notify,
     /// Notified when discovery has updated or confirmed the endpoints.
     discovery_responded: Notify,
@@ -53,17 +53,17 @@
         self.0.state.borrow().has_endpoints()
     }
 
-    /// How many requests with a complete body wait for their response or for the end of it.
+    /// How many requests with a complete body wait for their response or are still receiving it.
     pub fn active_requests(&self) -> usize {
         self.0.state.borrow().active_requests()
     }
 
-    /// Requests whose body is complete from now on have their response after this time at the latest.
+    /// Limits the deadline of each request whose body is completed from now on: it is at most `within` from now.
     pub fn set_response_deadline(&self, within: Duration) {
         self.0.state.borrow_mut().set_response_deadline(within);
     }
 
-    /// Ends each pending request with a failure: its own response does not come in time. It may have run.
+    /// Fails each request that waits for its response, because it would not arrive in time. The request may have run.
     pub fn fail_pending(&self) {
         let failed = self.0.state.borrow_mut().fail_pending();
         for id in failed {
@@ -72,17 +72,17 @@
         }
     }
 
-    /// Closes the connection to an upstream that has been idle longest, as its descriptor is needed elsewhere.
+    /// Closes the upstream connection that has been idle longest, because its descriptor is needed elsewhere.
     pub fn close_oldest_idle_connection(&self) {
         self.0.state.borrow().close_oldest_idle_connection();
     }
 
-    /// Waits until an update from discovery is in force, or discovery has responded that there is none.
+    /// Waits until an update from discovery has been applied, or discovery has responded that nothing has changed.
     pub async fn discovery_responded(&self) {
         self.0.discovery_responded.notified().await;
     }
 
-    /// Puts the cached snapshot of the endpoints in force; `None` if there is no snapshot.
+    /// Applies the cached snapshot of the endpoints. Without one, the decision module receives an empty snapshot.
     pub fn apply_cached(&self, snapshot: Option<&EndpointUpdate>) {
         let members = snapshot
             .iter()
@@ -94,19 +94,20 @@
         self.handle_event(Event::Endpoints(EndpointEvent::CachedSnapshot(members)));
     }
 
-    /// Whether an upstream of this name is listed, or suspended by staff.
+    /// Whether an upstream with this name is listed, or suspended by an operator.
     pub fn is_known_upstream(&self, name: &str) -> bool {
         self.0.state.borrow().is_known_upstream(upstream_id(name))
     }
 
-    /// Staff suspend an upstream. Attempts in flight may end; nothing more is written to it.
+    /// Suspends an upstream on behalf of an operator. Attempts in flight may end; nothing more is written to it.
     pub fn suspend(&self, name: &str) {
         let id = upstream_id(name);
         self.0.state.borrow().suspend(id);
         self.handle_event(Event::Suspend(id));
     }
 
-    /// Staff have restored an upstream at this time. It was restarted while it was suspended.
+    /// Restores an upstream on behalf of an operator, as of `restored_at`. The upstream was restarted while
+    /// it was suspended.
     pub fn restore(&self, name: &str, restored_at: Millis) {
         let upstream = upstream_id(name);
         self.0.state.borrow().restore(upstream);
@@ -116,7 +117,7 @@
         });
     }
 
-    /// The present values that the metrics show.
+    /// The current values of the gauges among the metrics.
     pub fn gauges(&self) -> Gauges {
         Gauges {
             active_requests: self.active_requests(),
@@ -125,7 +126,7 @@
         }
     }
 
-    /// How many upstreams are listed, and how many of them requests avoid now.
+    /// How many upstreams are listed, and how many of them requests currently avoid.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         self.0.state.borrow().endpoint_counts()
     }
--- a/balancer/src/control/driver/endpoint_updates.rs
+++ b/balancer/src/control/driver/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! What the discovery client reports to the driver.
+//! Passes what the discovery client reports to the decision module.
 use super::DriverHandle;
 use crate::discovery::consumer::{CallFailure, EndpointConsumer};
 use crate::discovery::endpoints::EndpointUpdate;
--- a/balancer/src/control/driver/event_loop.rs
+++ b/balancer/src/control/driver/event_loop.rs
@@ -1,4 +1,4 @@
-//! Where events go into the decision module and its actions come out.
+//! Passes events to the decision module and carries out its actions.
 use super::DriverHandle;
 use crate::control::attempt_id::AttemptId;
 use crate::control::driver_state::attempt_lifecycle::PreparedAttempt;
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 impl DriverHandle {
-    /// Fires timers forever.
+    /// Fires timers when they are due. Never returns.
     pub async fn run(&self) {
         self.0.state.borrow_mut().schedule_idle_connection_check();
         loop {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Has the decision module handle an event, and carries out its actions and those of the events that follow at once.
+    /// Passes an event to the decision module, then carries out its actions and those of the events that they cause.
     pub(super) fn handle_event(&self, event: Event) {
         let mut state = self.0.state.borrow_mut();
         state.push_event(event);
@@ -123,7 +123,7 @@
         }
     }
 
-    /// An attempt has ended. Does nothing if it has ended before.
+    /// An attempt has ended. Does nothing if it had already ended.
     fn attempt_ended(
         &self,
         id: AttemptId,
--- a/balancer/src/control/driver/submission.rs
+++ b/balancer/src/control/driver/submission.rs
@@ -32,7 +32,7 @@
     }
 }
 
-/// Reports how the streamed body of a request proceeds.
+/// Reports the progress of a request's streamed body to the driver.
 struct PendingUpload {
     handle: DriverHandle,
     id: RequestId,
@@ -49,8 +49,8 @@
 }
 
 impl DriverHandle {
-    /// Submits a request of a class and tenant, given by their positions in the settings. It receives one
-    /// final response. The client waits `client_timeout` milliseconds after the end of its request.
+    /// Submits a request of a class and tenant, given by their positions in the settings. It receives one final
+    /// response. The client waits `client_timeout` milliseconds after the end of its request.
     pub fn submit(
         &self,
         class: usize,
--- a/balancer/src/control/driver_options.rs
+++ b/balancer/src/control/driver_options.rs
@@ -14,9 +14,9 @@
     pub clock: Clock,
     /// Carries out attempts.
     pub dispatch: Dispatch,
-    /// Attempts to an upstream that drains must end this long after the update that reported it.
+    /// Attempts to a draining upstream must end at most this long after the update that reported it as draining.
     pub drain_grace: Duration,
-    /// Most requests that may be pending at once.
+    /// Maximum number of pending requests.
     pub max_pending_requests: usize,
     /// The idempotency of each class, by the class's position in the settings.
     pub idempotency_by_class: Vec<Idempotency>,
--- a/balancer/src/control/driver_state.rs
+++ b/balancer/src/control/driver_state.rs
@@ -1,6 +1,6 @@
 //! The driver's state: the decision module, the pending requests, the attempts in flight, the timers and the endpoints.
 //!
-//! Each method keeps these tables in step with one another. None of them decides anything.
+//! Each method keeps these tables consistent with one another. None of them makes a decision.
 use crate::clock::Clock;
 use crate::control::attempts::Attempts;
 use crate::control::driver_options::DriverOptions;
@@ -27,7 +27,7 @@
     guard: Guard,
     idempotency_by_class: Vec<Idempotency>,
     rejects_after_start: bool,
-    /// No request's deadline is later.
+    /// Upper limit of the deadlines that are set from now on; infinite until shutdown begins.
     latest_deadline: Millis,
     pending: PendingRequests,
     attempts: Attempts,
@@ -67,7 +67,7 @@
         self.events.push_back(event);
     }
 
-    /// Has the decision module handle the next event, and adds its actions. Returns whether there was an event.
+    /// Passes the next event to the decision module and adds its actions to `actions`. Returns whether there was one.
     pub fn handle_next_event(&mut self, actions: &mut Vec<Action>) -> bool {
         let Some(event) = self.events.pop_front() else {
             return false;
@@ -77,7 +77,7 @@
         true
     }
 
-    /// Carries out attempts.
+    /// What carries out attempts.
     pub fn dispatch(&self) -> &Dispatch {
         &self.dispatch
     }
--- a/balancer/src/control/driver_state/attempt_lifecycle.rs
+++ b/balancer/src/control/driver_state/attempt_lifecycle.rs
@@ -1,4 +1,4 @@
-//! The driver's attempts, from their start to their end.
+//! Starts and ends attempts, and keeps the driver's tables up to date meanwhile.
 use super::DriverState;
 use crate::clock::{from_millis, to_millis};
 use crate::control::attempt_id::AttemptId;
@@ -14,7 +14,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// An attempt that is to be started.
+/// An attempt that is about to start.
 pub struct PreparedAttempt {
     /// Its id.
     pub id: AttemptId,
@@ -33,8 +33,8 @@
 }
 
 impl DriverState {
-    /// Prepares an attempt that the decision module wants started. `timeout_ms` of zero means no limit of its own. If
-    /// the attempt cannot start, the events that say so are added.
+    /// Prepares an attempt that the decision module wants started. A `timeout_ms` of zero means that the
+    /// attempt has no limit of its own. If it cannot start, this queues the events that report it, and returns `None`.
     pub fn prepare_attempt(
         &mut self,
         request: RequestId,
@@ -71,7 +71,7 @@
         Some(prepared)
     }
 
-    /// Books the start of an attempt, unless the guard denies it.
+    /// Records the start of an attempt. If the guard denies it, fails the request.
     fn record_attempt_start(&mut self, request: RequestId) -> Option<AttemptId> {
         let pending = self.pending.get_mut(request)?;
         let number = pending.attempts_started();
@@ -84,7 +84,7 @@
         Some(AttemptId { request, number })
     }
 
-    /// Where an attempt goes; `None` if the endpoint is unknown or the request has ended.
+    /// The upstream of an attempt; `None` if it is unknown or the request has ended.
     fn attempt_upstream(
         &self,
         request: RequestId,
@@ -96,7 +96,7 @@
         self.endpoints.upstream(upstream_id).cloned()
     }
 
-    /// Books an attempt as ended for which nothing was sent.
+    /// Records that an attempt has ended before anything was sent.
     fn attempt_not_sent(&mut self, id: AttemptId, started_at: Instant) {
         let Some(pending) = self.pending.get_mut(id.request) else {
             return;
@@ -112,14 +112,14 @@
         });
     }
 
-    /// Closes an idle connection if an attempt to `upstream` needs a descriptor and none is free.
+    /// Closes an idle connection if an attempt to `upstream` needs a new descriptor and none is free.
     fn free_descriptor_for(&self, upstream: &Upstream) {
         if self.dispatch.sockets_exhausted() && !upstream.has_usable_idle(Instant::now()) {
             self.endpoints.close_oldest_idle();
         }
     }
 
-    /// Books a prepared attempt as started; `task` carries it out.
+    /// Records that a prepared attempt has started; `task` carries it out.
     pub fn attempt_started(&mut self, prepared: PreparedAttempt, task: AbortHandle) {
         let PreparedAttempt {
             id,
@@ -159,8 +159,8 @@
         true
     }
 
-    /// Books the end of an attempt. Only the first end counts: the attempt's task stops and its connection closes. Adds
-    /// the event for the decision module. Returns whether the attempt was in flight.
+    /// Ends an attempt: stops its task, which closes its connection, and queues the event for the decision module. Only
+    /// the first end counts. Returns whether the attempt was in flight.
     pub fn attempt_ended(
         &mut self,
         id: AttemptId,
@@ -195,7 +195,8 @@
         true
     }
 
-    /// Books the end of an attempt at its request, with the response it brought. Returns whether the request is over.
+    /// Records the end of an attempt in its request, with the response if there is one. Returns whether the request is
+    /// over.
     fn record_attempt_end(
         &mut self,
         request: RequestId,
--- a/balancer/src/control/driver_state/endpoints.rs
+++ b/balancer/src/control/driver_state/endpoints.rs
@@ -9,27 +9,27 @@
         self.endpoints.has_ever_listed()
     }
 
-    /// How many endpoints are listed, and how many of them requests avoid now.
+    /// How many endpoints are listed, and how many of them requests currently avoid.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         self.balancer.endpoint_counts(self.now())
     }
 
-    /// Whether an endpoint is listed, or suspended by staff.
+    /// Whether an endpoint is listed, or suspended by an operator.
     pub fn is_known_upstream(&self, id: UpstreamId) -> bool {
         self.balancer.is_suspended(id) || self.endpoints.is_listed(id)
     }
 
-    /// Staff have suspended an endpoint: nothing more is written to it.
+    /// An operator has suspended an endpoint: nothing more is written to it.
     pub fn suspend(&self, id: UpstreamId) {
         self.endpoints.suspend(id);
     }
 
-    /// Staff have restored an endpoint.
+    /// An operator has restored an endpoint.
     pub fn restore(&self, id: UpstreamId) {
         self.endpoints.restore(id);
     }
 
-    /// Takes over the addresses of an update, either as the complete list or as changes.
+    /// Applies an update to the table of endpoints, either as the complete list or as changes.
     pub fn apply_endpoints(&mut self, update: &EndpointUpdate, full: bool) {
         self.endpoints
             .apply(update, full, |id| self.balancer.is_suspended(id));
@@ -45,7 +45,7 @@
         }
     }
 
-    /// How many upstreams have connections that carry one request each.
+    /// How many upstreams have connections that carry only one request each.
     pub fn single_use_upstreams(&self) -> usize {
         self.endpoints.single_use_count()
     }
--- a/balancer/src/control/driver_state/requests.rs
+++ b/balancer/src/control/driver_state/requests.rs
@@ -12,7 +12,7 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// Subtracted from a client's timeout, so that the final response reaches the client before it stops waiting.
+/// Milliseconds subtracted from a client's timeout, so that the final response arrives before the client stops waiting.
 const RESPONSE_DELIVERY_MARGIN_MS: Millis = 5.0;
 
 /// A request as the connection's task hands it over.
@@ -21,7 +21,7 @@
     pub class: usize,
     /// Position of its tenant in the settings.
     pub tenant: usize,
-    /// How long the client waits after the end of its request.
+    /// How long the client waits after the end of its request, in milliseconds.
     pub client_timeout: Millis,
     /// The request as attempts send it.
     pub request: OutboundRequest,
@@ -73,17 +73,17 @@
         })
     }
 
-    /// How many complete requests wait for their response or for the end of it.
+    /// How many complete requests wait for their response or are still receiving it.
     pub fn active_requests(&self) -> usize {
         self.pending.active()
     }
 
-    /// Requests whose body is complete from now on have their response after this time at the latest.
+    /// Limits the deadline of each request whose body is completed from now on: it is at most `within` from now.
     pub fn set_response_deadline(&mut self, within: Duration) {
         self.latest_deadline = self.now() + to_millis(within);
     }
 
-    /// Gives each request without a final response a failure. Returns their ids.
+    /// Fails each request without a final response. Returns their ids.
     pub fn fail_pending(&mut self) -> Vec<RequestId> {
         self.pending.fail_all()
     }
@@ -93,7 +93,7 @@
         self.pending.remove_if_finished(id);
     }
 
-    /// The body of a request is complete. Its deadline and the time-out of its attempt in flight start. Returns the
+    /// The body of a request is complete. Sets its deadline and the timeout of its attempt in flight. Returns the
     /// deadline; `None` if the request is over.
     pub fn request_body_complete(&mut self, request: RequestId) -> Option<Millis> {
         let now = self.now();
@@ -114,7 +114,7 @@
 
     /// The client has disconnected. Returns whether its request still waited for a response.
     pub fn client_disconnected(&mut self, id: RequestId) -> bool {
-        // A request that was answered in the same moment has ended for the decision module already.
+        // For the decision module, a request that was answered at the same moment has already ended.
         let was_waiting = self
             .pending
             .get_mut(id)
@@ -126,7 +126,7 @@
         was_waiting
     }
 
-    /// Gives a request the final response that the decision module wants, as far as the guard allows it.
+    /// Answers a request as the decision module requested. The guard may replace a rejection by a failure.
     pub fn respond(&mut self, id: RequestId, response: FinalResponse) {
         let now = self.now();
         tracing::debug!(request = id.0, answer = ?response, "request answered");
--- a/balancer/src/control/driver_state/timers.rs
+++ b/balancer/src/control/driver_state/timers.rs
@@ -7,7 +7,7 @@
 
 /// How often connections that have been idle for too long are closed.
 const IDLE_CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest timer that the decision module may set.
+/// Longest timer that the decision module may set; longer ones fire after this time.
 const MAX_TIMER_MS: Millis = 71.0 * 60_000.0;
 
 impl DriverState {
--- a/balancer/src/control/pending_requests.rs
+++ b/balancer/src/control/pending_requests.rs
@@ -9,12 +9,12 @@
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
-/// What became of a final response.
+/// The result of delivering a final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     /// The request already had its final response.
     AlreadyAnswered,
-    /// The connection's task has it.
+    /// The task of the client's connection has received it.
     Delivered,
     /// The client disconnected at the same moment.
     ClientDisconnected,
@@ -25,7 +25,7 @@
     /// `None` once the final response is given or the client has disconnected.
     reply: Option<oneshot::Sender<FinalResponse>>,
     request: Rc<OutboundRequest>,
-    /// How long the client waits after the end of its request.
+    /// How long the client waits after the end of its request, in milliseconds.
     client_timeout: Millis,
     /// When the client stops waiting; infinite while the request's body is incomplete.
     deadline: Millis,
@@ -68,12 +68,12 @@
         self.deadline.is_finite()
     }
 
-    /// Whether it is complete and waits for its response or for the end of it.
+    /// Whether its body is complete and it waits for its response or is still receiving it.
     pub fn is_active(&self) -> bool {
         self.is_body_complete() && (!self.is_answered() || self.is_relaying_response)
     }
 
-    /// How long an attempt may take from now on. `limit_ms` of zero means no limit besides the client's timeout.
+    /// How long an attempt may take from now on. A `limit_ms` of zero means no limit besides the client's timeout.
     pub fn attempt_timeout_ms(&self, limit_ms: Millis, now: Millis) -> Millis {
         let remaining_ms = if self.is_body_complete() {
             (self.deadline - now).max(0.0)
@@ -98,17 +98,18 @@
         self.history.started()
     }
 
-    /// Books the start of an attempt, unless the guard denies it.
+    /// Records the start of an attempt, unless the guard denies it.
     pub fn attempt_started(&mut self, guard: &Guard) -> Result<(), Rule> {
         guard.start_attempt(&mut self.history, &self.request.label())
     }
 
-    /// Books the end of an attempt.
+    /// Records the end of an attempt; `never_ran` is proof that the upstream did not run the request.
     pub fn attempt_ended(&mut self, started_at: Instant, never_ran: bool) {
         self.history.attempt_ended(started_at, never_ran);
     }
 
-    /// Checks a response that the decision module wants given now. Returns the response that may be given.
+    /// Checks a response that the decision module requests now. Returns the response to give, another one if the guard
+    /// denies it.
     pub fn check_response(
         &self,
         response: FinalResponse,
@@ -128,7 +129,7 @@
         }
     }
 
-    /// Gives the final response, unless there was one.
+    /// Gives the final response, unless the request already has one.
     pub fn respond(&mut self, response: FinalResponse) -> Delivery {
         let Some(reply) = self.take_reply() else {
             return Delivery::AlreadyAnswered;
@@ -139,7 +140,7 @@
         }
     }
 
-    /// Gives the final response, whose body is relayed from now on.
+    /// Gives the final response, whose body is being relayed from now on.
     pub fn respond_and_relay(&mut self, response: FinalResponse) {
         match self.respond(response) {
             Delivery::AlreadyAnswered => {}
@@ -152,7 +153,7 @@
         self.take_reply().is_some()
     }
 
-    /// Marks the request as over, so that no attempt writes it any more.
+    /// Marks the request as ended, so that no attempt writes it any more.
     fn take_reply(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.request.ended.set(true);
         self.reply.take()
@@ -163,7 +164,7 @@
     }
 }
 
-/// All pending requests, each with an id of its own, and the clients' ids that are in use.
+/// All pending requests by internal id, and the request ids in use that clients chose.
 pub struct PendingRequests {
     max_requests: usize,
     next_id: u32,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Adds a request. Fails if the table is full or the client's id for the request is in use.
+    /// Adds a request. Fails if the table is full or the client's id for the request is already in use.
     pub fn insert(&mut self, pending: PendingRequest) -> Result<RequestId, SubmitError> {
         if self.by_id.len() >= self.max_requests {
             return Err(SubmitError::AtCapacity);
@@ -226,7 +227,7 @@
             .count()
     }
 
-    /// Gives each request without a final response a failure. Returns their ids.
+    /// Fails each request without a final response. Returns their ids.
     pub fn fail_all(&mut self) -> Vec<RequestId> {
         let mut failed = Vec::new();
         for (&id, pending) in &mut self.by_id {
--- a/balancer/src/control/timers.rs
+++ b/balancer/src/control/timers.rs
@@ -50,7 +50,7 @@
         self.by_id.first_key_value().map(|(id, _)| id.due_at)
     }
 
-    /// Removes the timer that is due next, due already or not, and returns its event.
+    /// Removes the timer with the earliest due time, whether or not it is due yet, and returns its event.
     pub fn pop_next(&mut self) -> Option<TimerEvent> {
         self.by_id.pop_first().map(|(_, event)| event)
     }
