--- a/balancer/src/admin/disk_worker.rs
+++ b/balancer/src/admin/disk_worker.rs
@@ -30,18 +30,18 @@
 pub async fn run_on_disk_thread<T: Send + 'static>(
     work: impl FnOnce() -> T + Send + 'static,
 ) -> Result<T, DiskWorkerError> {
-    let (ended, running) = retry_io(START_RETRY_LIMIT, open_pipe).await?;
-    let (result_sender, result) = sync_channel(1);
+    let (pipe_reader, pipe_writer) = retry_io(START_RETRY_LIMIT, open_pipe).await?;
+    let (result_sender, result_receiver) = sync_channel(1);
     let mut job = Some(move || {
         // Dropped last, and so after the result was sent, even if the work panics.
-        let _running = running;
+        let _pipe_writer = pipe_writer;
         let result_sender = result_sender;
         // Fails if nothing waits for the result any more.
         let _ = result_sender.send(work());
     });
     retry_io(START_RETRY_LIMIT, || start_thread(&mut job)).await?;
-    ended
-        .read(|_| take_result(&result))
+    pipe_reader
+        .read(|_| take_result(&result_receiver))
         .await?
         .ok_or(DiskWorkerError::Panicked)
 }
@@ -54,10 +54,10 @@
 
 /// Starts a thread that takes the job. Without a thread the job stays where it is.
 fn start_thread<J: FnOnce() + Send + 'static>(job: &mut Option<J>) -> io::Result<()> {
-    let (job_sender, next_job) = sync_channel(1);
+    let (job_sender, job_receiver) = sync_channel(1);
     thread::Builder::new()
         .name("disk".to_string())
-        .spawn(move || next_job.into_iter().for_each(|job: J| job()))?;
+        .spawn(move || job_receiver.into_iter().for_each(|job: J| job()))?;
     if let Some(job) = job.take() {
         // The thread waits for it.
         let _ = job_sender.send(job);
@@ -66,8 +66,8 @@
 }
 
 /// The result of a job whose pipe has ended; `None` if it has none. Fails with `WouldBlock` before.
-fn take_result<T>(result: &Receiver<T>) -> io::Result<Option<T>> {
-    match result.try_recv() {
+fn take_result<T>(result_receiver: &Receiver<T>) -> io::Result<Option<T>> {
+    match result_receiver.try_recv() {
         Ok(result) => Ok(Some(result)),
         Err(TryRecvError::Empty) => Err(io::ErrorKind::WouldBlock.into()),
         Err(TryRecvError::Disconnected) => Ok(None),
--- a/balancer/src/admin/disk_worker/tests.rs
+++ b/balancer/src/admin/disk_worker/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[tokio::test(flavor = "local")]
-async fn returns_results_while_the_loop_and_other_jobs_go_on() {
+async fn slow_job_blocks_neither_the_event_loop_nor_other_jobs() {
     let slow = run_on_disk_thread(|| {
         thread::sleep(Duration::from_millis(50));
         "slow"
--- a/balancer/src/admin/override_store.rs
+++ b/balancer/src/admin/override_store.rs
@@ -48,7 +48,7 @@
         let stored = read_file(&folder.join(OVERRIDES_FILE))?;
         let mut newest = self.newest();
         if let Some(stored) = stored {
-            if stored.newer_than(&newest) {
+            if stored.is_newer_than(&newest) {
                 *newest = stored;
             }
         }
@@ -110,24 +110,24 @@
         file_name: OVERRIDES_FILE,
         source,
     };
-    let path_buf = || path.to_path_buf();
+    let owned_path = || path.to_path_buf();
     let size = match std::fs::metadata(path) {
         Ok(metadata) => metadata.len(),
         Err(error) if error.kind() == ErrorKind::NotFound => return Ok(None),
         Err(error) => return Err(unreadable(error)),
     };
     if size > MAX_FILE_SIZE {
-        return Err(OverrideReadError::TooLarge { path: path_buf() });
+        return Err(OverrideReadError::TooLarge { path: owned_path() });
     }
     let text = std::fs::read(path).map_err(unreadable)?;
     let overrides: Overrides =
         serde_json::from_slice(&text).map_err(|source| OverrideReadError::Malformed {
-            path: path_buf(),
+            path: owned_path(),
             source,
         })?;
     if overrides.format_version() != FORMAT_VERSION {
         return Err(OverrideReadError::UnsupportedVersion {
-            path: path_buf(),
+            path: owned_path(),
             found: overrides.format_version(),
             supported: FORMAT_VERSION,
         });
--- a/balancer/src/admin/override_store/tests.rs
+++ b/balancer/src/admin/override_store/tests.rs
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn overrides_hold_for_every_process_and_the_next_one() {
+fn shares_overrides_with_other_and_later_processes() {
     let folder = empty_folder("hold");
     let first = OverrideStore::new(Some(folder.clone()));
     let second = OverrideStore::new(Some(folder.clone()));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn names_invalid_file_and_replaces_it_with_the_next_change() {
+fn reports_invalid_file_and_replaces_it_on_next_change() {
     let folder = empty_folder("torn");
     for text in ["", "{\"version\":1,\"rev", "{}", "\u{0}"] {
         std::fs::write(folder.join(OVERRIDES_FILE), text).expect("writes");
@@ -72,7 +72,7 @@
 
 /// A file that the system fails to read for a moment may be valid. Overwriting it would lose all overrides.
 #[test]
-fn does_not_overwrite_file_that_cannot_be_read_for_a_moment() {
+fn does_not_overwrite_file_that_is_temporarily_unreadable() {
     let folder = empty_folder("moment");
     OverrideStore::new(Some(folder.clone()))
         .change(|o| o.suspend("s-1"))
@@ -105,7 +105,7 @@
 
 /// Guards against taking a folder that cannot be written for another process that serves.
 #[test]
-fn distinguishes_a_lock_that_another_process_holds_from_one_that_cannot_be_asked_for() {
+fn distinguishes_a_held_process_lock_from_one_that_cannot_be_opened() {
     let missing = std::env::temp_dir().join("balancer-no-such-folder");
     let store = OverrideStore::new(Some(missing));
     assert!(store.try_lock_process().is_err());
--- a/balancer/src/admin/override_sync.rs
+++ b/balancer/src/admin/override_sync.rs
@@ -39,8 +39,8 @@
     }
 
     /// How many processes of this balancer have started to serve.
-    pub fn processes(&self) -> u64 {
-        self.applied.borrow().processes()
+    pub fn started_processes(&self) -> u64 {
+        self.applied.borrow().started_processes()
     }
 
     /// Whether clients are sent away.
@@ -99,7 +99,7 @@
 
     fn apply(&self, overrides: Overrides) {
         let mut applied = self.applied.borrow_mut();
-        if !overrides.newer_than(&applied) {
+        if !overrides.is_newer_than(&applied) {
             return;
         }
         for name in overrides.suspended().difference(applied.suspended()) {
--- a/balancer/src/admin/overrides.rs
+++ b/balancer/src/admin/overrides.rs
@@ -14,7 +14,8 @@
     /// Grows with each change.
     revision: u64,
     /// How many processes of this balancer have started to serve.
-    processes: u64,
+    #[serde(rename = "processes")]
+    started_processes: u64,
     /// Whether clients are sent away.
     paused: bool,
     /// Names of the suspended upstreams.
@@ -28,7 +29,7 @@
         Overrides {
             format_version: FORMAT_VERSION,
             revision: 0,
-            processes: 0,
+            started_processes: 0,
             paused: false,
             suspended: BTreeSet::new(),
             restored: BTreeMap::new(),
@@ -43,8 +44,8 @@
     }
 
     /// How many processes of this balancer have started to serve.
-    pub fn processes(&self) -> u64 {
-        self.processes
+    pub fn started_processes(&self) -> u64 {
+        self.started_processes
     }
 
     /// Whether clients are sent away.
@@ -64,7 +65,7 @@
 
     /// Counts a process that starts to serve.
     pub fn register_process(&mut self) {
-        self.processes += 1;
+        self.started_processes += 1;
     }
 
     /// Sends clients away, or accepts them again.
@@ -94,7 +95,7 @@
     }
 
     /// Whether these are of a later revision than `other`.
-    pub fn newer_than(&self, other: &Overrides) -> bool {
+    pub fn is_newer_than(&self, other: &Overrides) -> bool {
         self.revision > other.revision
     }
 }
--- a/balancer/src/admin/process_coordinator.rs
+++ b/balancer/src/admin/process_coordinator.rs
@@ -41,7 +41,7 @@
     /// Held once no other process of this balancer runs.
     process_lock: RefCell<Option<ProcessLock>>,
     /// Whether half of the descriptors was left to a successor.
-    has_yielded: Cell<bool>,
+    has_yielded_descriptors: Cell<bool>,
     /// Until this process drains.
     accepts_clients: Cell<bool>,
 }
@@ -63,7 +63,7 @@
             endpoint_list_timeout,
             process_number: Cell::new(0),
             process_lock: RefCell::default(),
-            has_yielded: Cell::new(false),
+            has_yielded_descriptors: Cell::new(false),
             accepts_clients: Cell::new(true),
         })
     }
@@ -81,7 +81,11 @@
         log_line!("another process of this balancer serves");
         self.sockets.yield_half().await;
         // Without a list by then the cached one is used.
-        let _ = timeout(self.endpoint_list_timeout, self.endpoints_or_lock()).await;
+        let _ = timeout(
+            self.endpoint_list_timeout,
+            self.wait_for_endpoints_or_lock(),
+        )
+        .await;
     }
 
     /// Takes the process lock, or finds that another process has it. Where the system cannot tell until `deadline`,
@@ -100,7 +104,7 @@
     }
 
     /// Waits until discovery has confirmed or updated the endpoint list, or no other process serves any more.
-    async fn endpoints_or_lock(&self) {
+    async fn wait_for_endpoints_or_lock(&self) {
         while timeout(REFRESH_INTERVAL, self.driver.discovery_responded())
             .await
             .is_err()
@@ -138,7 +142,7 @@
         self.overrides
             .change(|overrides| overrides.register_process())
             .await?;
-        self.process_number.set(self.overrides.processes());
+        self.process_number.set(self.overrides.started_processes());
         Ok(())
     }
 
@@ -147,7 +151,7 @@
     }
 
     fn has_successor(&self) -> bool {
-        self.is_registered() && self.overrides.processes() > self.process_number.get()
+        self.is_registered() && self.overrides.started_processes() > self.process_number.get()
     }
 
     /// Puts overrides in force that were set at another process, and notices when such a process starts or ends.
@@ -165,8 +169,8 @@
             if may_lock && matches!(self.try_lock_process().await, Ok(true)) {
                 self.sockets.reclaim();
             }
-            if !self.has_yielded.get() && self.has_successor() {
-                self.has_yielded.set(true);
+            if !self.has_yielded_descriptors.get() && self.has_successor() {
+                self.has_yielded_descriptors.set(true);
                 let sockets = self.sockets.clone();
                 tokio::task::spawn_local(async move { sockets.yield_half().await });
             }
--- a/balancer/src/admin/server.rs
+++ b/balancer/src/admin/server.rs
@@ -106,10 +106,10 @@
             stream.shutdown().await
         })
         .await;
-        let mut rest = stream.take(MAX_DRAINED_BYTES);
+        let mut unread_input = stream.take(MAX_DRAINED_BYTES);
         let _ = timeout(
             DRAIN_TIMEOUT,
-            tokio::io::copy(&mut rest, &mut tokio::io::sink()),
+            tokio::io::copy(&mut unread_input, &mut tokio::io::sink()),
         )
         .await;
     }
@@ -163,7 +163,7 @@
     }
 
     async fn suspend(&self, upstream: String) -> Result<AdminResponse, AdminError> {
-        self.check_known(&upstream)?;
+        self.check_known_upstream(&upstream)?;
         let name = upstream.clone();
         self.overrides
             .change(move |overrides| overrides.suspend(&name))
@@ -172,7 +172,7 @@
     }
 
     async fn restore(&self, upstream: String) -> Result<AdminResponse, AdminError> {
-        self.check_known(&upstream)?;
+        self.check_known_upstream(&upstream)?;
         let name = upstream.clone();
         let now = self.driver.now();
         let slow_start_duration = self.slow_start_duration;
@@ -182,7 +182,7 @@
         Ok(AdminResponse::Restored(upstream))
     }
 
-    fn check_known(&self, upstream: &str) -> Result<(), AdminError> {
+    fn check_known_upstream(&self, upstream: &str) -> Result<(), AdminError> {
         if self.driver.is_known_upstream(upstream) {
             return Ok(());
         }
--- a/balancer/src/discovery/watch.rs
+++ b/balancer/src/discovery/watch.rs
@@ -102,7 +102,7 @@
                     // The process is shutting down.
                     Err(_) => return,
                 },
-                () = self.serve(&consumer, migrated) => {}
+                () = self.poll_and_watch(&consumer, migrated) => {}
             }
         }
     }
@@ -116,17 +116,17 @@
 
     /// Polls and watches forever. After a migration the first call does not wait to be requested: until the complete
     /// list has arrived, the balancer uses the old one.
-    async fn serve(&mut self, consumer: &impl EndpointConsumer, migrated: bool) {
-        let mut watch_stands =
+    async fn poll_and_watch(&mut self, consumer: &impl EndpointConsumer, migrated: bool) {
+        let mut is_watching =
             migrated && self.complete_migration(consumer).await == Migration::Completed;
         loop {
-            if self.mode == UpdateMode::Polled && !watch_stands {
+            if self.mode == UpdateMode::Polled && !is_watching {
                 consumer.poll_requested().await;
             }
-            let error = self.watch_until_failure(consumer, watch_stands).await;
-            watch_stands = false;
-            self.call_failed(&error);
-            consumer.update_failed(failure(&error));
+            let error = self.watch_until_failure(consumer, is_watching).await;
+            is_watching = false;
+            self.handle_call_error(&error);
+            consumer.update_failed(call_failure(&error));
             if self.mode == UpdateMode::Pushed {
                 sleep(self.pushed_retry_pause).await;
             }
@@ -137,10 +137,10 @@
     async fn watch_until_failure(
         &mut self,
         consumer: &impl EndpointConsumer,
-        mut watch_stands: bool,
+        mut is_watching: bool,
     ) -> CallError {
         loop {
-            let limits = self.timeouts.limits(self.next_call(watch_stands));
+            let limits = self.timeouts.limits(self.next_call(is_watching));
             match self.call(limits).await {
                 Ok(update) if update.full || !update.endpoints.is_empty() => {
                     consumer.apply(&update);
@@ -148,15 +148,15 @@
                 Ok(_) => consumer.endpoints_unchanged(),
                 Err(error) => return error,
             }
-            watch_stands = true;
+            is_watching = true;
         }
     }
 
-    fn next_call(&self, watch_stands: bool) -> CallKind {
+    fn next_call(&self, is_watching: bool) -> CallKind {
         if self.version.is_none() {
             return CallKind::Snapshot;
         }
-        if watch_stands {
+        if is_watching {
             CallKind::NextOfWatch
         } else {
             CallKind::FirstOfWatch
@@ -176,8 +176,8 @@
                 }
                 Err(error) => error,
             };
-            self.call_failed(&error);
-            let failure = failure(&error);
+            self.handle_call_error(&error);
+            let failure = call_failure(&error);
             if failure == CallFailure::Rejected && self.mode == UpdateMode::Polled {
                 consumer.update_failed(failure);
                 return Migration::Rejected;
@@ -188,7 +188,7 @@
     }
 
     /// Logs an error once, so that the log does not fill with one line while discovery is down.
-    fn call_failed(&mut self, error: &CallError) {
+    fn handle_call_error(&mut self, error: &CallError) {
         self.client.disconnect();
         let error = error.to_string();
         if self.logged_error.as_ref() != Some(&error) {
@@ -247,7 +247,7 @@
 }
 
 /// What the consumer learns of an error.
-fn failure(error: &CallError) -> CallFailure {
+fn call_failure(error: &CallError) -> CallFailure {
     match error {
         CallError::Rejected(_) => CallFailure::Rejected,
         _ => CallFailure::Failed,
