--- a/balancer/src/discovery/call_timeouts.rs
+++ b/balancer/src/discovery/call_timeouts.rs
@@ -15,7 +15,7 @@
 /// How endpoint updates reach this balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UpdateMode {
-    /// An agent on this machine receives updates; a watch at the agent always stands.
+    /// An agent on this machine receives updates. The balancer keeps a watch open at the agent at all times.
     Pushed,
     /// Discovery has to be polled when the decision module requests it.
     Polled,
@@ -28,7 +28,7 @@
     Snapshot,
     /// The first call of a watch.
     FirstOfWatch,
-    /// The next call of a watch that stands.
+    /// A further call of a watch that is established.
     NextOfWatch,
 }
 
@@ -37,17 +37,17 @@
 pub struct CallLimits {
     /// How long discovery may hold the call until something changes.
     pub long_poll_timeout: Duration,
-    /// When the call counts as failed, from its start.
+    /// How long after its start the call counts as failed.
     pub call_timeout: Duration,
 }
 
-/// Time limits of the calls. Discovery holds a call of a watch until something changes, and nothing distinguishes a
-/// broken watch from one without changes until that time is over.
+/// Time limits of the calls. Discovery holds a call of a watch until something changes. Until the time for which it may
+/// hold the call is over, nothing distinguishes a broken watch from one without changes.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTimeouts {
     /// How long discovery may hold a call of a watch.
     long_poll_timeout: Duration,
-    /// The same for the first call of a watch: discovery responds to it at once if there are changes.
+    /// The same for the first call of a watch, to which discovery responds immediately if there are changes.
     initial_long_poll_timeout: Duration,
     /// Time for the response after `long_poll_timeout`.
     response_timeout: Duration,
@@ -82,7 +82,7 @@
         migration_timeout: Duration::from_millis(2200),
     };
 
-    /// The time limits for a way in which updates reach this balancer.
+    /// The time limits for an update mode.
     pub fn of(mode: UpdateMode) -> CallTimeouts {
         match mode {
             UpdateMode::Pushed => CallTimeouts::PUSHED,
@@ -108,7 +108,8 @@
         }
     }
 
-    /// The limits of a call after discovery has migrated. It is for the complete list, so discovery does not hold it.
+    /// The limits of a call after discovery has migrated. The call is for the complete list, so discovery does not hold
+    /// it.
     pub fn migration_limits(&self) -> CallLimits {
         CallLimits {
             long_poll_timeout: Duration::ZERO,
--- a/balancer/src/discovery/client.rs
+++ b/balancer/src/discovery/client.rs
@@ -15,44 +15,44 @@
 use thiserror::Error;
 use tokio::task::AbortHandle;
 
-/// Time to connect. It is short, so that a failed attempt to connect leaves time for the call.
+/// Longest time to connect. It is short, so that a failed attempt to connect leaves time for the call.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Largest list that is accepted, in bytes.
 const MAX_LIST_SIZE: usize = 4 << 20;
 
-/// Why a call brought no list.
+/// Why a call returned no list.
 #[derive(Debug, Error)]
 pub enum CallError {
-    /// No connection came up in time.
-    #[error("not connected in time")]
+    /// No connection was established in time.
+    #[error("connecting timed out")]
     ConnectTimeout,
     /// The connection was refused or failed.
-    #[error("{0}")]
+    #[error("could not connect: {0}")]
     Connect(#[source] io::Error),
     /// The connection broke, or discovery did not speak HTTP.
-    #[error("{0}")]
+    #[error("connection failed: {0}")]
     Connection(#[from] hyper::Error),
     /// The complete response did not arrive in time.
-    #[error("no answer in time")]
+    #[error("no complete response in time")]
     Timeout,
-    /// Discovery responded that it does not serve the call.
-    #[error("answered {0}")]
+    /// Discovery responded with a status other than 200.
+    #[error("call rejected with status {0}")]
     Rejected(StatusCode),
     /// The request could not be built.
-    #[error("{0}")]
+    #[error("could not build the request: {0}")]
     Request(#[from] hyper::http::Error),
-    /// The body of the response broke off or is too large.
-    #[error("{0}")]
+    /// The body of the response was cut off or is too large.
+    #[error("could not read the response body: {0}")]
     Body(#[source] Box<dyn Error + Send + Sync>),
-    /// The response is no endpoint list.
-    #[error("{0}")]
+    /// The response is not a valid endpoint list.
+    #[error("invalid endpoint list: {0}")]
     List(#[from] EndpointListError),
-    /// The list does not follow the one that is known.
-    #[error("version {version} does not follow {known}")]
+    /// The list is older than the known one, or is a delta although no list is known.
+    #[error("list version {version} does not follow known version {known}")]
     Stale {
         /// The version of the list.
         version: u64,
-        /// The version that is known; zero if none is.
+        /// The known version; zero if none is known.
         known: u64,
     },
 }
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Goes over to another address.
+    /// Switches to another address, and closes the connection to the old one.
     pub fn migrate(&mut self, address: SocketAddr) {
         self.address = address;
         self.disconnect();
@@ -143,8 +143,8 @@
         self.read_list(response).await
     }
 
-    /// The connection for the next call. One that discovery closed after its last response is replaced: that is no
-    /// failed call.
+    /// The connection for the next call. One that discovery closed after its last response is replaced, which does not
+    /// count as a failed call.
     async fn connect(&mut self) -> Result<&mut Connection, CallError> {
         let connection = match self.connection.take() {
             Some(mut kept) => {
--- a/balancer/src/discovery/consumer.rs
+++ b/balancer/src/discovery/consumer.rs
@@ -1,8 +1,8 @@
-//! The receiver of what the discovery client learns.
+//! The interface through which the discovery client reports updates and failures.
 use crate::discovery::endpoints::EndpointUpdate;
 use std::future::Future;
 
-/// Why a call for the endpoints brought nothing.
+/// Why a call for the endpoints returned no list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
     /// Discovery responded that it does not serve the call.
@@ -13,16 +13,16 @@
 
 /// Receives endpoint updates from the discovery client.
 pub trait EndpointConsumer {
-    /// Waits until the endpoints are to be polled.
+    /// Waits until a poll of the endpoints is requested.
     fn poll_requested(&self) -> impl Future<Output = ()>;
 
-    /// Puts an update in force; it is in force once this returns.
+    /// Applies an update. It is in force once this returns.
     fn apply(&self, update: &EndpointUpdate);
 
     /// Discovery responded that nothing has changed.
     fn endpoints_unchanged(&self);
 
-    /// Discovery is at another address from now on.
+    /// The discovery client has switched to another address.
     fn discovery_migrated(&self);
 
     /// A call failed.
--- a/balancer/src/discovery/endpoints.rs
+++ b/balancer/src/discovery/endpoints.rs
@@ -11,7 +11,7 @@
 /// What is wrong with an endpoint list.
 #[derive(Debug, Error)]
 pub enum EndpointListError {
-    /// The text is no JSON, or not of the expected form.
+    /// The text is not JSON, or not of the expected form.
     #[error("{0}")]
     Json(#[from] serde_json::Error),
     /// An endpoint's state is unknown.
@@ -23,7 +23,7 @@
         state: String,
     },
     /// An endpoint has no name, or its start time is out of range.
-    #[error("upstream {upstream:?}: started_ms reads {started_ms}")]
+    #[error("upstream {upstream:?}: empty id, or started_ms {started_ms} out of range")]
     Malformed {
         /// The endpoint's name.
         upstream: String,
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Position of a zone. A zone that the settings do not list gets a position that no class is bound to.
+    /// Position of a zone. A zone that the settings do not list gets a position that no class is restricted to.
     fn zone(&self, name: &str) -> u16 {
         self.zones
             .iter()
@@ -56,7 +56,7 @@
             .map_or(u16::MAX, |index| index as u16)
     }
 
-    /// Position of a machine kind, likewise.
+    /// Position of a machine kind. One that the settings do not list gets a position that no class is restricted to.
     fn kind(&self, name: &str) -> u8 {
         self.kinds
             .iter()
@@ -132,7 +132,7 @@
     pub address: SocketAddr,
 }
 
-/// One response of discovery: the complete list of endpoints, or those that changed.
+/// One response of discovery: the complete list of endpoints, or only those that changed.
 #[derive(Clone, Debug)]
 pub struct EndpointUpdate {
     /// Grows with each change.
--- a/balancer/src/discovery/watch.rs
+++ b/balancer/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! The watch that keeps the endpoint list up to date.
 //!
 //! The decision module decides when to poll ([`balancer_core::Action::PollEndpoints`]); the consumer of the updates
-//! passes that on. A watch that stands is kept up here.
+//! passes the request on. An established watch is kept open here without further requests.
 use crate::discovery::call_timeouts::{CallKind, CallLimits, CallTimeouts, UpdateMode};
 use crate::discovery::client::{CallError, DiscoveryClient};
 use crate::discovery::consumer::{CallFailure, EndpointConsumer};
@@ -16,11 +16,11 @@
 
 pub use crate::discovery::call_timeouts::POLL_ACKNOWLEDGE_TIMEOUT;
 
-/// First pause before another call to a new address that failed; it doubles with each failure up to
+/// First pause before a failed call to a new address is repeated. It doubles with each failure, up to
 /// [`MAX_MIGRATION_BACKOFF`]. A change counts as notified 4 s after the signal that announced the migration.
 const INITIAL_MIGRATION_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_MIGRATION_BACKOFF: Duration = Duration::from_millis(500);
-/// Limits of the pause before a pushed list is fetched again after a failure.
+/// Limits of the pause before a pushed list is fetched again after a failure. See [`Discovery::new`].
 const MIN_PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(20);
 const MAX_PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
@@ -33,9 +33,9 @@
     Rejected,
 }
 
-/// What a discovery client starts from.
+/// What a discovery client is built from.
 pub struct DiscoveryOptions<'a> {
-    /// The newest value is discovery's address.
+    /// Holds the current address of discovery.
     pub addresses: watch::Receiver<SocketAddr>,
     /// The settings.
     pub deployment: &'a Deployment,
@@ -45,7 +45,7 @@
     pub log: LogOutput,
 }
 
-/// Keeps the endpoint list up to date: polls when requested and keeps a watch that stands.
+/// Keeps the endpoint list up to date: polls when requested, and then keeps a watch open.
 pub struct Discovery {
     client: DiscoveryClient,
     addresses: watch::Receiver<SocketAddr>,
@@ -55,7 +55,7 @@
     pushed_retry_pause: Duration,
     /// The version of the newest list.
     version: Option<u64>,
-    /// The error that was logged last, unless a call has succeeded since.
+    /// The last logged error; `None` once a call has succeeded since.
     logged_error: Option<String>,
     log: LogOutput,
 }
@@ -70,7 +70,7 @@
             UpdateMode::Pushed
         };
         let address = *options.addresses.borrow();
-        // The agent acknowledges a change also while this watch is broken. The next call has to bring the change well
+        // The agent acknowledges a change even while this watch is broken. The next call has to return the change well
         // before attempts to a draining upstream must end.
         let drain_grace = deployment.drain_grace;
         Discovery {
@@ -91,7 +91,7 @@
         let mut addresses = self.addresses.clone();
         let mut migrated = false;
         loop {
-            // A migration interrupts whatever is under way at the old address: connecting, a call or a pause.
+            // A migration interrupts whatever is in progress at the old address: connecting, a call or a pause.
             tokio::select! {
                 biased;
                 changed = addresses.changed() => match changed {
@@ -107,14 +107,14 @@
         }
     }
 
-    /// Goes over to another address, where the versions of the old one mean nothing.
+    /// Switches to another address. The versions of the old one have no meaning there.
     fn migrate(&mut self, address: SocketAddr) {
         self.log.write_line(&format!("discovery: now at {address}"));
         self.client.migrate(address);
         self.version = None;
     }
 
-    /// Polls and watches forever. After a migration the first call does not wait to be requested: until the complete
+    /// Polls and watches; never returns. After a migration the first call is made without a request: until the complete
     /// list has arrived, the balancer uses the old one.
     async fn poll_and_watch(&mut self, consumer: &impl EndpointConsumer, migrated: bool) {
         let mut is_watching =
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Calls again and again, and passes updates on, until a call fails.
+    /// Calls repeatedly, and passes updates on, until a call fails.
     async fn watch_until_failure(
         &mut self,
         consumer: &impl EndpointConsumer,
@@ -163,8 +163,8 @@
         }
     }
 
-    /// Calls a new address until it responds. If polled discovery rejects the call, it serves a fleet of balancers that
-    /// migrated together, and the decision module decides when to poll again.
+    /// Calls a new address until it responds. If polled discovery rejects the call, it is busy with a fleet of
+    /// balancers that migrated together, and the decision module decides when to poll again.
     async fn complete_migration(&mut self, consumer: &impl EndpointConsumer) -> Migration {
         consumer.discovery_migrated();
         let mut backoff = INITIAL_MIGRATION_BACKOFF;
@@ -187,7 +187,8 @@
         }
     }
 
-    /// Logs an error once, so that the log does not fill with one line while discovery is down.
+    /// Closes the connection and logs the error. An error that repeats is logged once, so that the log does not fill
+    /// with it while discovery is down.
     fn handle_call_error(&mut self, error: &CallError) {
         self.client.disconnect();
         let error = error.to_string();
@@ -197,9 +198,9 @@
         }
     }
 
-    /// One call. A malformed response is an error and changes nothing, and so is an update that does not follow the
-    /// known version: discovery may have been restarted, but a response may also be stale. The next call is then for
-    /// the complete list, which is accepted whatever its version.
+    /// Makes one call. A malformed response is an error and changes nothing. An update that does not follow the known
+    /// version is an error too: discovery may have been restarted, but the response may also be stale. The next call is
+    /// then for the complete list, which is accepted whatever its version.
     async fn call(&mut self, limits: CallLimits) -> Result<EndpointUpdate, CallError> {
         let started_at = Instant::now();
         let fetch = self.client.fetch(self.version, limits.long_poll_timeout);
@@ -246,7 +247,7 @@
     }
 }
 
-/// What the consumer learns of an error.
+/// The failure that is reported to the consumer for an error.
 fn call_failure(error: &CallError) -> CallFailure {
     match error {
         CallError::Rejected(_) => CallFailure::Rejected,
