--- a/balancer/src/admin/command.rs
+++ b/balancer/src/admin/command.rs
@@ -1,7 +1,7 @@
 //! The commands of the admin protocol.
 use thiserror::Error;
 
-/// Longest line that is accepted, in bytes.
+/// Longest line that is accepted, in bytes, with its line feed.
 pub const MAX_LINE_LENGTH: usize = 512;
 
 /// A command.
@@ -11,9 +11,9 @@
     Status,
     /// Asks for the metrics.
     Metrics,
-    /// Sends clients away.
+    /// Pauses this balancer: closes idle client connections, and the others with their next response.
     Pause,
-    /// Accepts clients again.
+    /// Ends a pause.
     Resume,
     /// Suspends an upstream.
     Suspend(String),
@@ -24,10 +24,10 @@
 /// What is wrong with a line.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum CommandError {
-    /// It is too long, no text, or has no end.
+    /// It is too long, is not UTF-8, or has no line feed.
     #[error("a call is one line of text of at most {MAX_LINE_LENGTH} bytes")]
     NotOneLine,
-    /// It has no words.
+    /// It is empty.
     #[error("the line is empty")]
     Empty,
     /// The command has no parameter.
@@ -42,7 +42,7 @@
 }
 
 impl AdminCommand {
-    /// Parses a line without its end.
+    /// Parses a line without its line feed.
     pub fn parse(line: &str) -> Result<AdminCommand, CommandError> {
         if line.trim() == "METRICS" {
             return Ok(AdminCommand::Metrics);
--- a/balancer/src/admin/disk_worker/tests.rs
+++ b/balancer/src/admin/disk_worker/tests.rs
@@ -1,4 +1,4 @@
-//! Jobs on the worker's thread.
+//! Tests of jobs on disk threads.
 use super::*;
 
 #[tokio::test(flavor = "local")]
--- a/balancer/src/admin/mod.rs
+++ b/balancer/src/admin/mod.rs
@@ -1,7 +1,7 @@
-//! The admin endpoint, and the administrative overrides that staff set through it.
+//! The admin endpoint, and the administrative overrides that operators set through it.
 //!
-//! An override holds for every process of this balancer, so that it outlasts an upgrade. [`override_store`] keeps the
-//! overrides in a file, [`override_sync`] puts them in force, and [`process_coordinator`] hands over between processes.
+//! An override applies to every process of this balancer, so that it outlasts an upgrade. [`override_store`] stores the
+//! overrides in a file, [`override_sync`] applies them, and [`process_coordinator`] hands over between processes.
 
 pub(crate) mod override_store;
 pub(crate) mod override_sync;
--- a/balancer/src/admin/override_error.rs
+++ b/balancer/src/admin/override_error.rs
@@ -4,11 +4,11 @@
 use std::path::PathBuf;
 use thiserror::Error;
 
-/// Why the overrides were not read.
+/// Why the overrides could not be read.
 #[derive(Debug, Error)]
 pub enum OverrideReadError {
-    /// The system failed to read the file, perhaps only for a moment.
-    #[error("{file_name}: {source}")]
+    /// The system failed to read the file, perhaps only temporarily.
+    #[error("cannot read {file_name}: {source}")]
     Unreadable {
         /// The name of the file.
         file_name: &'static str,
@@ -16,13 +16,13 @@
         source: io::Error,
     },
     /// The file is larger than any that the balancer writes.
-    #[error("{}: too large", .path.display())]
+    #[error("{}: the file is too large", .path.display())]
     TooLarge {
         /// The file.
         path: PathBuf,
     },
-    /// The file holds no overrides.
-    #[error("{}: {source}", .path.display())]
+    /// The content of the file is not valid overrides.
+    #[error("{}: invalid content: {source}", .path.display())]
     Malformed {
         /// The file.
         path: PathBuf,
@@ -30,7 +30,7 @@
         source: serde_json::Error,
     },
     /// The file has a format version that this program does not know.
-    #[error("{}: has version {found}, not {supported}", .path.display())]
+    #[error("{}: format version {found} is not supported, only {supported} is", .path.display())]
     UnsupportedVersion {
         /// The file.
         path: PathBuf,
@@ -42,24 +42,24 @@
 }
 
 impl OverrideReadError {
-    /// Whether the content of the file is wrong, so that reading it again brings nothing else.
+    /// Whether the content of the file is invalid, so that reading it again would give the same error.
     pub fn is_content_invalid(&self) -> bool {
         !matches!(self, OverrideReadError::Unreadable { .. })
     }
 }
 
-/// Why an override was not stored.
+/// Why a change of the overrides was not stored.
 #[derive(Debug, Error)]
 pub enum OverrideError {
-    /// The file could not be written, or not read before.
-    #[error("the order is not kept: {}: {source}", .folder.display())]
+    /// The file could not be written, or could not be read before the change.
+    #[error("could not store overrides in {}: {source}", .folder.display())]
     NotStored {
         /// The folder of the file.
         folder: PathBuf,
         /// The system's error.
         source: io::Error,
     },
-    /// The job that stores it did not run, or failed.
-    #[error("the order is not kept: {0}")]
+    /// The job that stores the change did not run, or panicked.
+    #[error("could not store overrides: {0}")]
     Worker(#[from] DiskWorkerError),
 }
--- a/balancer/src/admin/override_store.rs
+++ b/balancer/src/admin/override_store.rs
@@ -6,28 +6,29 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The overrides. The name stays: processes of other versions share the file during an upgrade.
+/// Holds the overrides. Its name must not change: processes of other versions share the file during an upgrade.
 const OVERRIDES_FILE: &str = "herondock-orders.json";
-/// The next overrides until they are complete. The name stays: it belongs to [`OVERRIDES_FILE`].
+/// Holds new overrides until they are completely written and renamed to [`OVERRIDES_FILE`]. Its name must not change.
 const NEW_OVERRIDES_FILE: &str = "herondock-orders.new";
-/// Locked during a change. The name stays: processes of other versions take the same lock.
+/// Locked during a change. Its name must not change: processes of other versions take the same lock.
 const CHANGE_LOCK_FILE: &str = "herondock-orders.lock";
-/// Locked by the process that serves alone. The name stays: processes of other versions take the same lock.
+/// Locked by at most one process of this balancer; see [`ProcessLock`]. Its name must not change: processes of other
+/// versions take the same lock.
 const PROCESS_LOCK_FILE: &str = "herondock-process.lock";
 /// Largest file that is read, in bytes: enough for thousands of upstreams.
 const MAX_FILE_SIZE: u64 = 1 << 20;
 
-/// Keeps the overrides. Its methods block on the disk.
+/// Stores the overrides. Its methods block on the disk.
 #[derive(Clone)]
 pub struct OverrideStore {
-    /// Where the files are; `None` keeps the overrides in this process only.
+    /// The folder of the files. If `None`, the overrides are kept in this process only.
     folder: Option<PathBuf>,
-    /// The newest overrides that this process has seen.
+    /// The newest overrides that this process has read or stored.
     newest: Arc<Mutex<Overrides>>,
 }
 
 impl OverrideStore {
-    /// A store in a folder that all processes of this balancer share, and no other balancer.
+    /// A store in a folder that all processes of this balancer share. No other balancer may use the folder.
     pub fn new(folder: Option<PathBuf>) -> OverrideStore {
         OverrideStore {
             folder,
@@ -36,11 +37,11 @@
     }
 
     fn newest(&self) -> MutexGuard<'_, Overrides> {
-        // Overrides are replaced as a whole, so they are valid after a panic elsewhere.
+        // Overrides are replaced as a whole, so they are valid even if another thread panicked while it held the lock.
         self.newest.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Reads the newest overrides. After an error those that were read before stay in force.
+    /// Reads the newest overrides. After an error the overrides that were read before stay in force.
     pub fn read(&self) -> Result<Overrides, OverrideReadError> {
         let Some(folder) = &self.folder else {
             return Ok(self.newest().clone());
@@ -55,7 +56,7 @@
         Ok(newest.clone())
     }
 
-    /// Changes the overrides. They are stored once this returns.
+    /// Changes the overrides. The change is stored once this returns without an error.
     pub fn change(&self, change: impl FnOnce(&mut Overrides)) -> Result<Overrides, OverrideError> {
         let Some(folder) = &self.folder else {
             let mut newest = self.newest();
@@ -67,14 +68,15 @@
             folder: folder.clone(),
             source,
         };
-        // Keeps two processes from changing the file at once. The lock file is left, as another process may hold it.
+        // Prevents two processes from changing the file at the same time. The lock file is not removed, because another
+        // process may hold its lock.
         let lock = File::create(folder.join(CHANGE_LOCK_FILE)).map_err(not_stored)?;
         lock.lock().map_err(not_stored)?;
         let mut overrides = match self.read() {
             Ok(overrides) => overrides,
             // A file that the system failed to read may be valid, and must not be overwritten.
             Err(OverrideReadError::Unreadable { source, .. }) => return Err(not_stored(source)),
-            // An invalid file is replaced by what this process knows.
+            // An invalid file is replaced with the newest overrides that this process knows.
             Err(_) => self.newest().clone(),
         };
         change(&mut overrides);
@@ -84,8 +86,8 @@
         Ok(overrides)
     }
 
-    /// Takes the lock of this balancer's only process; `None` while another process has it. Fails
-    /// if the system cannot tell.
+    /// Takes the process lock; `None` while another process of this balancer holds it. Fails if the lock file cannot be
+    /// opened.
     pub fn try_lock_process(&self) -> io::Result<Option<ProcessLock>> {
         let Some(folder) = &self.folder else {
             return Ok(Some(ProcessLock { _file: None }));
@@ -99,7 +101,8 @@
     }
 }
 
-/// The lock of this balancer's only process. The system releases it when the process ends, however it ends.
+/// The process lock: at most one process of this balancer holds it. The system releases it when the process ends,
+/// however it ends.
 pub struct ProcessLock {
     _file: Option<File>,
 }
@@ -135,7 +138,7 @@
     Ok(Some(overrides))
 }
 
-/// Writes the file so that it is complete whenever the process ends.
+/// Writes the file so that it is complete even if the process ends during the write.
 fn write_file(folder: &Path, overrides: &Overrides) -> io::Result<()> {
     let new_file = folder.join(NEW_OVERRIDES_FILE);
     std::fs::write(&new_file, serde_json::to_vec(overrides)?)?;
--- a/balancer/src/admin/override_store/tests.rs
+++ b/balancer/src/admin/override_store/tests.rs
@@ -1,4 +1,4 @@
-//! Overrides that processes share, and files that cannot be read or written.
+//! Tests of overrides that processes share, and of files that cannot be read or written.
 use super::*;
 
 /// An empty folder for one test.
@@ -65,12 +65,14 @@
         .change(|o| o.set_paused(true))
         .expect_err("no folder");
     assert!(
-        error.to_string().starts_with("the order is not kept"),
+        error
+            .to_string()
+            .starts_with("could not store overrides in "),
         "{error}"
     );
 }
 
-/// A file that the system fails to read for a moment may be valid. Overwriting it would lose all overrides.
+/// A file that is temporarily unreadable may be valid. Overwriting it would lose all overrides.
 #[test]
 fn does_not_overwrite_file_that_is_temporarily_unreadable() {
     let folder = empty_folder("moment");
@@ -103,7 +105,7 @@
     std::fs::remove_dir_all(folder).expect("removes");
 }
 
-/// Guards against taking a folder that cannot be written for another process that serves.
+/// Guards against mistaking a folder that cannot be written for a lock that another process holds.
 #[test]
 fn distinguishes_a_held_process_lock_from_one_that_cannot_be_opened() {
     let missing = std::env::temp_dir().join("balancer-no-such-folder");
--- a/balancer/src/admin/override_sync.rs
+++ b/balancer/src/admin/override_sync.rs
@@ -1,4 +1,4 @@
-//! Puts the stored overrides in force, whichever process of this balancer they were set at.
+//! Applies the stored overrides, whichever process of this balancer received them.
 use crate::admin::disk_worker::{run_on_disk_thread, DiskWorkerError};
 use crate::admin::override_error::{OverrideError, OverrideReadError};
 use crate::admin::override_store::{OverrideStore, ProcessLock};
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Keeps the overrides in force in step with the store.
+/// Keeps the overrides that this process applies up to date with the store.
 pub struct OverrideSync {
     driver: DriverHandle,
     phase: Rc<watch::Sender<Phase>>,
@@ -23,7 +23,7 @@
 }
 
 impl OverrideSync {
-    /// Before the first read no override is in force.
+    /// Creates a synchronizer. No override is in force before the first [`OverrideSync::refresh`].
     pub fn new(
         driver: DriverHandle,
         phase: Rc<watch::Sender<Phase>>,
@@ -43,13 +43,13 @@
         self.applied.borrow().started_processes()
     }
 
-    /// Whether clients are sent away.
+    /// Whether this balancer is paused.
     pub fn is_paused(&self) -> bool {
         self.applied.borrow().is_paused()
     }
 
-    /// Puts overrides in force that another process has stored. Returns whether the system could read the file, be its
-    /// content valid or not.
+    /// Applies overrides that another process has stored. Returns whether the system could read the file, even if its
+    /// content is invalid.
     pub async fn refresh(&self) -> bool {
         let error = match self.on_disk(|store| store.read()).await {
             Ok(Ok(overrides)) => {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Changes the overrides. They are stored and in force once this returns.
+    /// Changes the overrides. The change is stored and in force once this returns without an error.
     pub async fn change(
         &self,
         change: impl FnOnce(&mut Overrides) + Send + 'static,
@@ -80,15 +80,15 @@
         Ok(())
     }
 
-    /// Takes the lock of this balancer's only process; `None` while another process has it. Fails if
-    /// the system cannot tell, perhaps only for a moment.
+    /// Takes the process lock; `None` while another process of this balancer holds it. Fails if the system cannot tell
+    /// whether one does, perhaps only temporarily.
     pub async fn try_lock_process(&self) -> io::Result<Option<ProcessLock>> {
         self.on_disk(|store| store.try_lock_process())
             .await
             .map_err(io::Error::other)?
     }
 
-    /// Runs work that may block on the disk.
+    /// Runs work that may block on the disk, without blocking the event loop.
     async fn on_disk<T: Send + 'static>(
         &self,
         work: impl FnOnce(OverrideStore) -> T + Send + 'static,
--- a/balancer/src/admin/overrides.rs
+++ b/balancer/src/admin/overrides.rs
@@ -1,4 +1,4 @@
-//! The overrides that staff have set.
+//! The overrides that operators have set.
 use balancer_core::Millis;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
@@ -6,7 +6,8 @@
 /// The version of the stored format. A file with another version is not read.
 pub const FORMAT_VERSION: u32 = 1;
 
-/// All overrides in force. Processes of other versions read and write them too, so the names in the stored file stay.
+/// All overrides in force. Processes of other versions read and write them too, so the names in the stored file must
+/// not change.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Overrides {
     #[serde(rename = "version")]
@@ -16,11 +17,12 @@
     /// How many processes of this balancer have started to serve.
     #[serde(rename = "processes")]
     started_processes: u64,
-    /// Whether clients are sent away.
+    /// Whether this balancer is paused: it closes idle client connections, and the others with their next response.
     paused: bool,
     /// Names of the suspended upstreams.
     suspended: BTreeSet<String>,
-    /// When upstreams were restored, by name, for as long as they may still be warming up.
+    /// When upstreams were restored, by name, in milliseconds since the Unix epoch. Kept for as long as they may still
+    /// be warming up.
     restored: BTreeMap<String, Millis>,
 }
 
@@ -48,7 +50,7 @@
         self.started_processes
     }
 
-    /// Whether clients are sent away.
+    /// Whether this balancer is paused.
     pub fn is_paused(&self) -> bool {
         self.paused
     }
@@ -58,7 +60,7 @@
         &self.suspended
     }
 
-    /// When upstreams were restored, by name.
+    /// When upstreams were restored, by name, in milliseconds since the Unix epoch.
     pub fn restored(&self) -> &BTreeMap<String, Millis> {
         &self.restored
     }
@@ -68,7 +70,7 @@
         self.started_processes += 1;
     }
 
-    /// Sends clients away, or accepts them again.
+    /// Pauses this balancer, or ends the pause.
     pub fn set_paused(&mut self, paused: bool) {
         self.paused = paused;
     }
@@ -79,8 +81,8 @@
         self.suspended.insert(name.to_string());
     }
 
-    /// Restores an upstream if it is suspended. Upstreams restored more than `slow_start_duration` ago have warmed up
-    /// and are no longer noted. Times are in milliseconds.
+    /// Restores an upstream if it is suspended. Upstreams restored at least `slow_start_duration` ago have
+    /// warmed up, and their times are removed. Times are in milliseconds.
     pub fn restore(&mut self, name: &str, now: Millis, slow_start_duration: Millis) {
         self.restored
             .retain(|_, &mut restored_at| now - restored_at < slow_start_duration);
@@ -89,12 +91,12 @@
         }
     }
 
-    /// Counts a change, so that other processes recognize it.
+    /// Counts a change, so that other processes detect it.
     pub fn increment_revision(&mut self) {
         self.revision += 1;
     }
 
-    /// Whether these are of a later revision than `other`.
+    /// Whether these overrides have a later revision than `other`.
     pub fn is_newer_than(&self, other: &Overrides) -> bool {
         self.revision > other.revision
     }
--- a/balancer/src/admin/process_coordinator.rs
+++ b/balancer/src/admin/process_coordinator.rs
@@ -14,18 +14,18 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// How often the store is read. It is much shorter than the grace period of a suspension.
+/// Interval between reads of the store. It is much shorter than the grace period of a suspension.
 const REFRESH_INTERVAL: Duration = Duration::from_millis(100);
-/// How long a process that shuts down waits to read whether it has a successor.
+/// How long a process that shuts down waits for the read that shows whether it has a successor.
 const SUCCESSOR_CHECK_TIMEOUT: Duration = Duration::from_millis(300);
 /// How long a process that starts waits until the system can read the overrides.
 const OVERRIDE_READ_TIMEOUT: Duration = Duration::from_secs(1);
-/// How long a process that starts beside another one waits for its first endpoint list if lists are pushed: its agent
-/// responds at once, or not before discovery is back.
+/// How long a process that starts beside another one waits for its first endpoint list if lists are pushed. Its agent
+/// responds immediately, or not until discovery is available again.
 pub const PUSHED_LIST_TIMEOUT: Duration = Duration::from_secs(2);
 /// The same if lists are polled. Discovery may reject a call after 2 s in its queue, and a balancer has its list at the
-/// latest 6 s after discovery can serve it. What the old process was notified of meanwhile counts for this one too. It
-/// must be ready within 10 s.
+/// latest 6 s after discovery can serve it. Changes that the old process was notified of in the meantime count as
+/// notified to this one too. This process must be ready within 10 s.
 pub const POLLED_LIST_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Coordinates this process with a predecessor and a successor.
@@ -34,15 +34,15 @@
     sockets: DescriptorBudget,
     phase: Rc<watch::Sender<Phase>>,
     overrides: Rc<OverrideSync>,
-    /// How long this process waits for its first endpoint list beside another one.
+    /// How long this process waits for its first endpoint list if another process is serving.
     endpoint_list_timeout: Duration,
     /// This process's number among those of this balancer; zero until it is registered.
     process_number: Cell<u64>,
     /// Held once no other process of this balancer runs.
     process_lock: RefCell<Option<ProcessLock>>,
-    /// Whether half of the descriptors was left to a successor.
+    /// Whether this process has left half of its descriptors to a successor.
     has_yielded_descriptors: Cell<bool>,
-    /// Until this process drains.
+    /// True until this process starts to drain without a successor.
     accepts_clients: Cell<bool>,
 }
 
@@ -68,7 +68,7 @@
         })
     }
 
-    /// Prepares for serving: puts the stored overrides in force. Beside another process, leaves it half of the
+    /// Prepares for serving: applies the stored overrides. If another process is serving, leaves it half of the
     /// descriptors and waits for the first endpoint list. Returns once this process may listen.
     pub async fn prepare(&self) {
         let deadline = Instant::now() + OVERRIDE_READ_TIMEOUT;
@@ -78,9 +78,9 @@
         if !self.is_beside_another_process(deadline).await {
             return;
         }
-        log_line!("another process of this balancer serves");
+        log_line!("another process of this balancer is serving");
         self.sockets.yield_half().await;
-        // Without a list by then the cached one is used.
+        // If no list has arrived by then, the cached one is used.
         let _ = timeout(
             self.endpoint_list_timeout,
             self.wait_for_endpoints_or_lock(),
@@ -88,14 +88,16 @@
         .await;
     }
 
-    /// Takes the process lock, or finds that another process has it. Where the system cannot tell until `deadline`,
-    /// another process cannot be detected, and this one starts as if it was alone.
+    /// Takes the process lock, or finds that another process holds it. If the system cannot tell before `deadline`,
+    /// another process cannot be detected, and this one starts as if it were alone.
     async fn is_beside_another_process(&self, deadline: Instant) -> bool {
         loop {
             match self.try_lock_process().await {
                 Ok(has_lock) => return !has_lock,
                 Err(error) if Instant::now() >= deadline => {
-                    log_line!("the process lock: {error}: other processes are not detected");
+                    log_line!(
+                        "cannot take the process lock: {error}: other processes are not detected"
+                    );
                     return false;
                 }
                 Err(_) => sleep(REFRESH_INTERVAL).await,
@@ -103,7 +105,8 @@
         }
     }
 
-    /// Waits until discovery has confirmed or updated the endpoint list, or no other process serves any more.
+    /// Waits until discovery has confirmed or updated the endpoint list, or no other process holds the process lock any
+    /// more.
     async fn wait_for_endpoints_or_lock(&self) {
         while timeout(REFRESH_INTERVAL, self.driver.discovery_responded())
             .await
@@ -116,7 +119,8 @@
         }
     }
 
-    /// Reports to the predecessor that this process serves from now on, and starts to follow the other processes.
+    /// Starts to serve: reports it to the predecessor, enters the serving phase, and follows the other processes from
+    /// now on.
     pub async fn serve(self: &Rc<ProcessCoordinator>) {
         if let Err(error) = self.register().await {
             log_line!("{error}: will be retried");
@@ -130,8 +134,8 @@
         tokio::task::spawn_local(self.clone().follow_other_processes());
     }
 
-    /// Whether another process of this balancer has started to serve after this one. A disk that is held up delays the
-    /// answer for a moment only.
+    /// Whether another process of this balancer has started to serve after this one. A slow disk delays the answer by
+    /// at most [`SUCCESSOR_CHECK_TIMEOUT`].
     pub async fn succeeded(&self) -> bool {
         let _ = timeout(SUCCESSOR_CHECK_TIMEOUT, self.overrides.refresh()).await;
         self.has_successor()
@@ -154,7 +158,7 @@
         self.is_registered() && self.overrides.started_processes() > self.process_number.get()
     }
 
-    /// Puts overrides in force that were set at another process, and notices when such a process starts or ends.
+    /// Applies overrides that were set at another process, and detects when such a process starts or ends.
     async fn follow_other_processes(self: Rc<ProcessCoordinator>) {
         loop {
             sleep(REFRESH_INTERVAL).await;
@@ -177,8 +181,8 @@
         }
     }
 
-    /// Takes the process lock unless another process has it, and returns whether it did. Fails if the system cannot
-    /// tell.
+    /// Takes the process lock unless another process holds it. Returns whether this process now holds it. Fails if the
+    /// system cannot tell.
     async fn try_lock_process(&self) -> io::Result<bool> {
         let lock = self.overrides.try_lock_process().await?;
         let lock = lock.filter(|_| self.accepts_clients.get());
@@ -187,7 +191,8 @@
         Ok(has_lock)
     }
 
-    /// This process accepts no more clients and has no successor: one that starts now serves without waiting for it.
+    /// Releases the process lock when this process accepts no more clients and has no successor: a process that starts
+    /// now serves without waiting for this one.
     pub fn release_process_lock(&self) {
         self.accepts_clients.set(false);
         self.process_lock.take();
--- a/balancer/src/admin/response.rs
+++ b/balancer/src/admin/response.rs
@@ -9,15 +9,15 @@
 pub enum AdminResponse {
     /// This process serves.
     Serving,
-    /// This process serves, and sends clients away.
+    /// This process serves, and is paused.
     ServingPaused,
-    /// Clients are sent away from now on.
+    /// This balancer is paused from now on.
     Paused,
     /// The upstream is suspended.
     Suspended(String),
     /// The upstream is restored.
     Restored(String),
-    /// The metrics, one on a line.
+    /// The metrics, one per line.
     Metrics(String),
 }
 
@@ -39,7 +39,7 @@
 /// Why a command was not carried out.
 #[derive(Debug, Error)]
 pub enum AdminError {
-    /// The line is no command.
+    /// The line is not a valid command.
     #[error("{0}")]
     Command(#[from] CommandError),
     /// This process does not serve yet.
@@ -54,12 +54,12 @@
     /// No upstream has this name.
     #[error("no upstream {0:?} is known")]
     UnknownUpstream(String),
-    /// The override was not stored.
+    /// The change of the overrides was not stored.
     #[error("{0}")]
     Override(#[from] OverrideError),
 }
 
-/// A response as the protocol writes it.
+/// Formats a response as the admin protocol writes it.
 pub fn to_wire(response: Result<AdminResponse, AdminError>) -> String {
     match response {
         Ok(response) => response.to_string(),
--- a/balancer/src/admin/server.rs
+++ b/balancer/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! The admin server: one line to a connection, one response. It carries out commands and decides nothing.
+//! The admin server. Each connection carries one command line and its response.
 use crate::admin::command::{AdminCommand, CommandError, MAX_LINE_LENGTH};
 use crate::admin::override_sync::OverrideSync;
 use crate::admin::response::{to_wire, AdminError, AdminResponse};
@@ -18,20 +18,20 @@
 use tokio::sync::watch;
 use tokio::task::AbortHandle;
 
-/// Most connections at once. One more replaces the oldest.
+/// Maximum number of open connections. A further one replaces the oldest.
 const MAX_CONNECTIONS: usize = 16;
-/// Descriptors that the admin server may use.
+/// Maximum number of descriptors that the admin server uses.
 pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 1;
 /// Time allowed to send a line, and again to receive the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Data behind the line is read for this long, and up to this many bytes. Closing a connection with unread data would
-/// destroy the response in transit.
+/// Input after the command line is read and discarded for at most this long, and up to [`MAX_DRAINED_BYTES`]. Closing a
+/// connection with unread data could destroy the response in transit.
 const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_DRAINED_BYTES: u64 = 64 << 10;
 /// Pause after an accept that failed.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
-/// What an admin server works with.
+/// What an admin server is built from.
 pub struct AdminOptions {
     /// The driver of the decision module.
     pub driver: DriverHandle,
@@ -66,7 +66,7 @@
         })
     }
 
-    /// Accepts connections forever.
+    /// Accepts connections; never returns.
     pub async fn run(self: Rc<AdminServer>, listener: Listener) {
         let mut connections: VecDeque<AbortHandle> = VecDeque::new();
         loop {
@@ -77,7 +77,8 @@
         }
     }
 
-    /// Serves a new connection. Connections that send nothing must not keep new ones out.
+    /// Serves a new connection, and closes the oldest one if there are too many: connections that send nothing must not
+    /// keep new ones out.
     fn accept(self: &Rc<AdminServer>, stream: TcpStream, connections: &mut VecDeque<AbortHandle>) {
         connections.retain(|connection| !connection.is_finished());
         if connections.len() >= MAX_CONNECTIONS {
@@ -100,7 +101,7 @@
             Ok(Err(_)) | Err(_) => return,
         };
         let response = to_wire(self.respond(line).await);
-        // A peer that does not read its response is not waited for any longer.
+        // After the timeout the response is given up: the peer does not read it.
         let _ = timeout(CONNECTION_TIMEOUT, async {
             stream.write_all(response.as_bytes()).await?;
             stream.shutdown().await
@@ -190,7 +191,7 @@
     }
 }
 
-/// Reads a line and removes its end.
+/// Reads a line and removes its line feed and what follows it.
 async fn read_line(stream: &mut Socket) -> io::Result<Result<String, CommandError>> {
     let mut line = Vec::new();
     let mut buffer = [0; MAX_LINE_LENGTH];
