--- a/balancer/src/admin/server.rs
+++ b/balancer/src/admin/server.rs
@@ -39,7 +39,7 @@
     pub metrics: Rc<Metrics>,
     /// The phase of this process.
     pub phase: watch::Receiver<Phase>,
-    /// Stores overrides and puts them in force.
+    /// Stores and applies overrides.
     pub overrides: Rc<OverrideSync>,
     /// How long a restored upstream warms up, in milliseconds.
     pub slow_start_duration: Millis,
@@ -101,7 +101,7 @@
             Ok(Err(_)) | Err(_) => return,
         };
         let response = to_wire(self.respond(line).await);
-        // After the timeout the response is given up: the peer does not read it.
+        // A response that the peer does not read in time is abandoned.
         let _ = timeout(CONNECTION_TIMEOUT, async {
             stream.write_all(response.as_bytes()).await?;
             stream.shutdown().await
--- a/balancer/src/control/driver_state/attempt_lifecycle.rs
+++ b/balancer/src/control/driver_state/attempt_lifecycle.rs
@@ -33,8 +33,8 @@
 }
 
 impl DriverState {
-    /// Prepares an attempt that the decision module wants started. A `timeout_ms` of zero means that the
-    /// attempt has no limit of its own. If it cannot start, this queues the events that report it, and returns `None`.
+    /// Prepares an attempt that the decision module wants started. A `timeout_ms` of zero means that the attempt
+    /// has no limit of its own. If it cannot start, this queues the events that report it, and returns `None`.
     pub fn prepare_attempt(
         &mut self,
         request: RequestId,
