--- a/balancer/src/control/driver/endpoint_updates.rs
+++ b/balancer/src/control/driver/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! What the discovery client reports to the driver.
+//! Passes what the discovery client reports to the decision module.
 use super::DriverHandle;
 use crate::discovery::consumer::{CallFailure, EndpointConsumer};
 use crate::discovery::endpoints::EndpointUpdate;
@@ -26,12 +26,12 @@
             EndpointEvent::Delta(members)
         };
         self.handle_event(Event::Endpoints(event));
-        self.0.endpoints_updated.notify_one();
+        self.0.discovery_responded.notify_one();
     }
 
     fn endpoints_unchanged(&self) {
         self.handle_event(Event::Endpoints(EndpointEvent::Unchanged));
-        self.0.endpoints_updated.notify_one();
+        self.0.discovery_responded.notify_one();
     }
 
     fn discovery_migrated(&self) {
--- a/balancer/src/control/driver/submission.rs
+++ b/balancer/src/control/driver/submission.rs
@@ -12,27 +12,27 @@
     handle: DriverHandle,
     id: RequestId,
     response: oneshot::Receiver<FinalResponse>,
-    is_done: bool,
+    has_response: bool,
 }
 
 impl ResponseFuture {
     /// Waits for the final response.
     pub async fn response(mut self) -> FinalResponse {
         let response = (&mut self.response).await.unwrap_or(FinalResponse::Failed);
-        self.is_done = true;
+        self.has_response = true;
         response
     }
 }
 
 impl Drop for ResponseFuture {
     fn drop(&mut self) {
-        if !self.is_done {
+        if !self.has_response {
             self.handle.client_disconnected(self.id);
         }
     }
 }
 
-/// Reports how the streamed body of a request proceeds.
+/// Reports the progress of a request's streamed body to the driver.
 struct PendingUpload {
     handle: DriverHandle,
     id: RequestId,
@@ -49,8 +49,8 @@
 }
 
 impl DriverHandle {
-    /// Submits a request of a class and tenant, given by their positions in the settings. It receives one
-    /// final response. The client waits `client_timeout` milliseconds after the end of its request.
+    /// Submits a request of a class and tenant, given by their positions in the settings. It receives one final
+    /// response. The client waits `client_timeout` milliseconds after the end of its request.
     pub fn submit(
         &self,
         class: usize,
@@ -81,7 +81,7 @@
             handle: self.clone(),
             id,
             response: submitted.response,
-            is_done: false,
+            has_response: false,
         })
     }
 
