--- a/balancer-core/src/policy.rs
+++ b/balancer-core/src/policy.rs
@@ -57,7 +57,7 @@
     /// Whether the first event was handled.
     is_started: bool,
     /// Whether the last log line said that capacity is reduced.
-    is_degraded: bool,
+    is_logged_as_degraded: bool,
 }
 
 impl Balancer {
@@ -81,7 +81,7 @@
             retry_budget: RetryBudget::new(),
             polling: EndpointPolling::default(),
             is_started: false,
-            is_degraded: false,
+            is_logged_as_degraded: false,
         })
     }
 
@@ -167,7 +167,7 @@
             EndpointEvent::CachedSnapshot(_) => self.apply_endpoints(now, update),
             EndpointEvent::Unchanged => self.confirm_endpoints(now),
             EndpointEvent::DiscoveryFailed => {
-                self.poll_after_failure(now, CallFailure::Failed, actions);
+                self.poll_after_failure(now, CallFailure::NoValidResponse, actions);
             }
             EndpointEvent::DiscoveryRejected => {
                 self.poll_after_failure(now, CallFailure::Rejected, actions);
@@ -197,7 +197,7 @@
         }
         let backoff = self.polling.record_failure(
             failure,
-            self.endpoints.has_ready_endpoint(),
+            self.endpoints.has_accepting_endpoint(),
             now,
             &self.settings,
             &mut self.random,
@@ -229,7 +229,7 @@
 
     fn record_load(&mut self, now: Millis) {
         self.admission
-            .record_load(self.endpoints.admissible_load(now));
+            .record_load(self.endpoints.admission_load(now));
     }
 
     /// Ends an admission cycle: recomputes capacity, limits and the subset of endpoints.
@@ -250,10 +250,10 @@
 
     fn log_capacity_change(&mut self, actions: &mut Vec<Action>) {
         let is_degraded = self.admission.capacity().is_degraded();
-        if is_degraded == self.is_degraded {
+        if is_degraded == self.is_logged_as_degraded {
             return;
         }
-        self.is_degraded = is_degraded;
+        self.is_logged_as_degraded = is_degraded;
         let state = if is_degraded {
             "are late or fail: capacity is reduced"
         } else {
--- a/balancer-core/src/policy/admission.rs
+++ b/balancer-core/src/policy/admission.rs
@@ -1,6 +1,6 @@
 //! Admission control: which requests pass, by tenants' limits, learned capacity and requests in flight.
 use crate::policy::capacity::{Capacity, ADMISSION_CYCLE, CYCLE_GAIN};
-use crate::policy::endpoints::AdmissibleLoad;
+use crate::policy::endpoints::AdmissionLoad;
 use crate::policy::tenant_limits::tenant_limits;
 use crate::settings::{Settings, Tenant};
 use crate::time::Millis;
@@ -8,20 +8,20 @@
 /// Fraction of a tenant's default limit that is never lent to other tenants.
 const RESERVED_FRACTION: f64 = 0.1;
 /// Unused limit that a tenant may save, in cycles: the arrivals of a tenant with few requests vary by chance.
-const BURST_CYCLES: f64 = 6.0;
+const MAX_SAVED_CYCLES: f64 = 6.0;
 /// Shortest part of a cycle from which capacity is learned.
 const MIN_LEARNING_CYCLES: f64 = 0.5;
 
 #[derive(Default)]
 struct TenantState {
     weight: f64,
-    has_requests: bool,
+    has_sent_requests: bool,
     /// Requests in this cycle, including rejected ones.
     requests: f64,
     /// Smoothed requests per cycle, including rejected ones.
     demand: f64,
     /// Number of admitted requests that count against the limit; negative if unused limit is saved.
-    admitted: f64,
+    used_limit: f64,
     limit: f64,
 }
 
@@ -45,8 +45,8 @@
     }
 
     fn start_cycle(&mut self, limit: f64, elapsed_cycles: f64) {
-        let remaining = self.admitted - self.limit * elapsed_cycles;
-        self.admitted = remaining.clamp(-BURST_CYCLES * limit, limit);
+        let remaining = self.used_limit - self.limit * elapsed_cycles;
+        self.used_limit = remaining.clamp(-MAX_SAVED_CYCLES * limit, limit);
         self.limit = limit;
     }
 }
@@ -60,10 +60,10 @@
     /// Requests admitted in this cycle.
     cycle_admitted: f64,
     /// Number of admitted requests that count against capacity.
-    admitted: f64,
-    load: AdmissibleLoad,
+    used_capacity: f64,
+    load: AdmissionLoad,
     /// Number of requests in flight whose connection is probably lost.
-    lost_inflight: f64,
+    lost_in_flight: f64,
     /// Whether a tenant within its limit was rejected since capacity was last learned.
     rejected_within_limit: bool,
 }
@@ -93,9 +93,9 @@
             capacity: Capacity::new(settings, quota_per_s),
             cycle_started_at: now,
             cycle_admitted: 0.0,
-            admitted: 0.0,
-            load: AdmissibleLoad::default(),
-            lost_inflight: 0.0,
+            used_capacity: 0.0,
+            load: AdmissionLoad::default(),
+            lost_in_flight: 0.0,
             rejected_within_limit: false,
         }
     }
@@ -105,18 +105,18 @@
     }
 
     /// Whether requests should leave this replica's zone; see [`Capacity::exceeds_local_quota`].
-    pub(super) fn exceeds_local_quota(&self, local_fraction: f64) -> bool {
+    pub(super) fn exceeds_local_quota(&self, local_endpoint_ratio: f64) -> bool {
         self.capacity
-            .exceeds_local_quota(self.load.local_inflight, local_fraction)
+            .exceeds_local_quota(self.load.local_in_flight, local_endpoint_ratio)
     }
 
-    pub(super) fn record_load(&mut self, load: AdmissibleLoad) {
+    pub(super) fn record_load(&mut self, load: AdmissionLoad) {
         self.capacity.record_endpoints(load.endpoints);
         self.load = load;
     }
 
-    pub(super) fn record_lost_inflight(&mut self, lost_inflight: f64) {
-        self.lost_inflight = lost_inflight;
+    pub(super) fn record_lost_in_flight(&mut self, lost_in_flight: f64) {
+        self.lost_in_flight = lost_in_flight;
     }
 
     pub(super) fn record_latency(&mut self, latency: Millis) {
@@ -130,23 +130,23 @@
     /// Counts the request as demand and decides whether to admit it.
     pub(super) fn admit(&mut self, tenant: usize, now: Millis) -> bool {
         let tenant = tenant.min(self.tenants.len() - 1);
-        if !self.tenants[tenant].has_requests {
+        if !self.tenants[tenant].has_sent_requests {
             // A new tenant ends the cycle early, so that it has a limit at once.
-            self.tenants[tenant].has_requests = true;
+            self.tenants[tenant].has_sent_requests = true;
             self.end_cycle(now);
         }
-        let limits = self.capacity.inflight_limits();
-        let inflight = self.load.inflight - self.lost_inflight;
-        let is_full = self.admitted >= self.capacity.per_cycle() || inflight >= limits.soft;
+        let limits = self.capacity.in_flight_limits();
+        let in_flight = self.load.in_flight - self.lost_in_flight;
+        let is_full = self.used_capacity >= self.capacity.per_cycle() || in_flight >= limits.soft;
         let tenant = &mut self.tenants[tenant];
         tenant.requests += 1.0;
-        let is_within_limit = tenant.admitted < tenant.limit;
-        if inflight >= limits.hard || (is_full && !is_within_limit) {
+        let is_within_limit = tenant.used_limit < tenant.limit;
+        if in_flight >= limits.hard || (is_full && !is_within_limit) {
             self.rejected_within_limit |= is_within_limit;
             return false;
         }
-        tenant.admitted += 1.0;
-        self.admitted += 1.0;
+        tenant.used_limit += 1.0;
+        self.used_capacity += 1.0;
         self.cycle_admitted += 1.0;
         true
     }
@@ -157,7 +157,11 @@
         let elapsed_cycles = ((now - self.cycle_started_at) / ADMISSION_CYCLE).clamp(0.0, 1.0);
         self.cycle_started_at = now;
         let gain = elapsed_cycles * CYCLE_GAIN;
-        for tenant in self.tenants.iter_mut().filter(|tenant| tenant.has_requests) {
+        for tenant in self
+            .tenants
+            .iter_mut()
+            .filter(|tenant| tenant.has_sent_requests)
+        {
             tenant.record_demand(elapsed_cycles, gain);
         }
         let cycle_admitted = std::mem::take(&mut self.cycle_admitted);
@@ -169,14 +173,14 @@
         }
         self.assign_limits(elapsed_cycles);
         let capacity = self.capacity.per_cycle();
-        self.admitted = (self.admitted - capacity * elapsed_cycles).clamp(0.0, capacity);
+        self.used_capacity = (self.used_capacity - capacity * elapsed_cycles).clamp(0.0, capacity);
     }
 
     fn assign_limits(&mut self, elapsed_cycles: f64) {
         let mut active: Vec<&mut TenantState> = self
             .tenants
             .iter_mut()
-            .filter(|tenant| tenant.has_requests)
+            .filter(|tenant| tenant.has_sent_requests)
             .collect();
         let demands: Vec<f64> = active
             .iter()
--- a/balancer-core/src/policy/attempt.rs
+++ b/balancer-core/src/policy/attempt.rs
@@ -22,7 +22,7 @@
 
 /// The first attempt that may have run.
 #[derive(Clone, Copy)]
-pub(super) struct FirstRun {
+pub(super) struct FirstPossibleRun {
     pub(super) attempt: u32,
     pub(super) sent_at: Millis,
     pub(super) zone: u16,
@@ -33,15 +33,15 @@
 #[derive(Clone, Copy)]
 pub(super) struct RetryConstraint {
     pub(super) scope: DedupScope,
-    pub(super) first_run: FirstRun,
+    pub(super) first_possible_run: FirstPossibleRun,
 }
 
 impl RetryConstraint {
     pub(super) fn allows(&self, endpoint: &Endpoint) -> bool {
         match self.scope {
             DedupScope::All => true,
-            DedupScope::Zone => endpoint.zone == self.first_run.zone,
-            DedupScope::Group => endpoint.group == self.first_run.group,
+            DedupScope::Zone => endpoint.zone == self.first_possible_run.zone,
+            DedupScope::Group => endpoint.group == self.first_possible_run.group,
         }
     }
 }
--- a/balancer-core/src/policy/attempts.rs
+++ b/balancer-core/src/policy/attempts.rs
@@ -49,7 +49,7 @@
         let attempt = pending.start_attempt(index, endpoint, idle_bucket, now);
         let number = attempt.number;
         self.endpoints.record_send(attempt, now);
-        let after = self.start_timeout(now, id, number);
+        let after = self.choose_timeout(now, id, number);
         actions.push(Action::Send {
             request: id,
             upstream,
@@ -60,7 +60,7 @@
 
     /// Returns the timeout of a started attempt (zero: none), and marks the attempt if that is early: a retry
     /// follows then.
-    fn start_timeout(&mut self, now: Millis, id: RequestId, number: u32) -> Millis {
+    fn choose_timeout(&mut self, now: Millis, id: RequestId, number: u32) -> Millis {
         let Some(pending) = self.pending.get(&id) else {
             return 0.0;
         };
@@ -121,8 +121,8 @@
 
     /// Which endpoints to pick from, in order of preference.
     fn zone_choices(&self) -> [ZoneChoice; 2] {
-        let local_fraction = self.endpoints.local_fraction();
-        if self.admission.exceeds_local_quota(local_fraction) {
+        let local_endpoint_ratio = self.endpoints.local_endpoint_ratio();
+        if self.admission.exceeds_local_quota(local_endpoint_ratio) {
             [ZoneChoice::Other, ZoneChoice::Preferred]
         } else {
             [ZoneChoice::Preferred, ZoneChoice::Other]
@@ -130,7 +130,7 @@
     }
 
     fn retry_rule(&self, pending: &PendingRequest, now: Millis) -> RetryRule {
-        let Some(first_run) = pending.first_run() else {
+        let Some(first_possible_run) = pending.first_possible_run() else {
             return RetryRule::Anywhere;
         };
         match self.settings.classes[pending.class()].idempotency {
@@ -139,10 +139,13 @@
             Idempotency::IdempotencyKey { scope, window } => {
                 // The retry may wait for a connection, and must arrive while upstreams still discard it.
                 let latest_arrival = now + self.settings.connect_timeout;
-                if latest_arrival >= first_run.sent_at + window {
+                if latest_arrival >= first_possible_run.sent_at + window {
                     return RetryRule::Forbidden;
                 }
-                RetryRule::Within(RetryConstraint { scope, first_run })
+                RetryRule::Within(RetryConstraint {
+                    scope,
+                    first_possible_run,
+                })
             }
         }
     }
@@ -150,8 +153,8 @@
     /// Requests per millisecond that this replica sends each endpoint with full capacity.
     fn even_rate(&self) -> f64 {
         let max_candidates = self.endpoints.max_candidates() as f64;
-        let ready_fraction = self.endpoints.ready_fraction();
-        let sent_per_cycle = self.admission.capacity().sent_per_cycle(ready_fraction);
+        let accepting_fraction = self.endpoints.accepting_fraction();
+        let sent_per_cycle = self.admission.capacity().sent_per_cycle(accepting_fraction);
         sent_per_cycle / ADMISSION_CYCLE / max_candidates
     }
 
@@ -181,12 +184,12 @@
         let Some(attempt) = pending.remove_attempt(end.attempt) else {
             return;
         };
-        self.endpoints.record_attempt_ended(&attempt);
-        let is_last = !pending.has_attempts();
+        self.endpoints.remove_from_unawaited(&attempt);
+        let is_last_in_flight = !pending.has_attempts();
         // If upstreams also shed requests that they have started, a rejection does not prove that it never ran.
         let may_have_run =
             end.outcome == AttemptOutcome::Rejected && self.settings.rejects_after_start;
-        if end.outcome.never_ran() && !may_have_run && is_last {
+        if end.outcome.never_ran() && !may_have_run && is_last_in_flight {
             pending.record_never_ran(attempt.number);
         }
         if end.request_completed {
@@ -194,7 +197,7 @@
         }
         let is_closed = pending.is_closed();
         self.record_attempt_outcome(&attempt, end.outcome, end.duration, now);
-        if !is_last {
+        if !is_last_in_flight {
             return;
         }
         if is_closed {
--- a/balancer-core/src/policy/capacity.rs
+++ b/balancer-core/src/policy/capacity.rs
@@ -32,14 +32,14 @@
 const PEAK_RETENTION: f64 = 0.95;
 
 /// Fraction of responses within objective below which the minimum capacity drops below the stated quotas.
-const WANTED_SUCCESS_FRACTION: f64 = 0.7;
+const WANTED_WITHIN_OBJECTIVE_FRACTION: f64 = 0.7;
 /// Smallest minimum capacity, as a fraction of the stated quotas.
 const MIN_CAPACITY_FRACTION: f64 = 0.3;
 
 /// Requests in flight allowed beyond those that capacity needs: a replica cannot send fractions of a request.
-const SPARE_INFLIGHT: f64 = 1.0;
+const SPARE_IN_FLIGHT: f64 = 1.0;
 /// Requests in flight that are always allowed: a replica with little traffic receives some in pairs by chance.
-const MIN_INFLIGHT: f64 = 2.0;
+const MIN_IN_FLIGHT: f64 = 2.0;
 /// Latency, as a multiple of the unloaded one, that the soft limit allows for. A higher latency shows a queue,
 /// and overloaded endpoints stay slow for long.
 const SOFT_LATENCY_MULTIPLE: f64 = 1.6;
@@ -54,12 +54,12 @@
 /// per cycle.
 const QUOTA_MULTIPLE_STEP: f64 = 1.5;
 /// Growth per cycle of the unloaded latency.
-const UNLOADED_GROWTH: f64 = 0.02;
+const UNLOADED_LATENCY_GROWTH: f64 = 0.02;
 /// Fraction of responses within objective required for that growth.
-const UNLOADED_SUCCESS_FRACTION: f64 = 0.92;
+const MIN_FRACTION_FOR_LATENCY_GROWTH: f64 = 0.92;
 
 /// Limits of requests in flight.
-pub(super) struct InflightLimits {
+pub(super) struct InFlightLimits {
     /// From here on, tenants above their limits are rejected.
     pub(super) soft: f64,
     /// From here on, all requests are rejected.
@@ -82,7 +82,7 @@
     /// Multiple of `quota` that this replica may use, at least one.
     quota_multiple: f64,
     /// Smoothed fraction of responses within objective.
-    success_fraction: f64,
+    within_objective_fraction: f64,
     /// Number of endpoints that accept requests; one in slow start counts as its fraction of full capacity.
     endpoints: f64,
     max_endpoints: f64,
@@ -98,7 +98,7 @@
     /// Whether the next tier is the first one and quotas are stated.
     has_first_tier_quotas: bool,
     /// Number of replicas that share the first tier with stated quotas; otherwise one.
-    replicas: f64,
+    sharing_replicas: f64,
 }
 
 impl Capacity {
@@ -110,28 +110,28 @@
         } else {
             INITIAL_MULTIPLE_BELOW_FIRST_TIER
         };
-        let stated = multiple * replica_quota_per_s * ADMISSION_CYCLE / MS_PER_SECOND;
-        let has_first_tier_quotas = settings.tier == 0 && stated > 0.0;
+        let initial = multiple * replica_quota_per_s * ADMISSION_CYCLE / MS_PER_SECOND;
+        let has_first_tier_quotas = settings.tier == 0 && initial > 0.0;
         let quota = replica_quota_per_s * ADMISSION_CYCLE / MS_PER_SECOND;
         Capacity {
-            per_cycle: if stated > 0.0 {
-                stated
+            per_cycle: if initial > 0.0 {
+                initial
             } else {
                 INITIAL_CAPACITY_WITHOUT_QUOTAS
             },
             quota: quota.max(MIN_QUOTA_PER_CYCLE),
             quota_multiple: 1.0,
-            success_fraction: 1.0,
+            within_objective_fraction: 1.0,
             endpoints: 0.0,
             max_endpoints: 0.0,
-            admitted_mean: stated,
-            admitted_peak: stated,
+            admitted_mean: initial,
+            admitted_peak: initial,
             responses: ResponseSample::default(),
             unloaded_latency: initial_mean_latency(settings),
             on_time_latency: ON_TIME_FRACTION * mean_objective(settings),
             has_no_queue: false,
             has_first_tier_quotas,
-            replicas: if has_first_tier_quotas { replicas } else { 1.0 },
+            sharing_replicas: if has_first_tier_quotas { replicas } else { 1.0 },
         }
     }
 
@@ -146,72 +146,78 @@
 
     /// Whether so many responses are late or failed that capacity may drop below the stated quotas.
     pub(super) fn is_degraded(&self) -> bool {
-        self.success_fraction < WANTED_SUCCESS_FRACTION
+        self.within_objective_fraction < WANTED_WITHIN_OBJECTIVE_FRACTION
     }
 
     /// Limits of requests in flight. If there are more than capacity needs at the unloaded latency, the others
     /// queue, long before a late response shows it.
-    pub(super) fn inflight_limits(&self) -> InflightLimits {
+    pub(super) fn in_flight_limits(&self) -> InFlightLimits {
         let soft_multiple = self.blend(SOFT_LATENCY_MULTIPLE, SOFT_LATENCY_MULTIPLE_SHARED);
         let hard_alone = (self.unloaded_latency * HARD_LATENCY_MULTIPLE).max(self.on_time_latency);
         let hard_shared = self.unloaded_latency * HARD_LATENCY_MULTIPLE_SHARED;
-        InflightLimits {
-            soft: self.inflight_limit(self.unloaded_latency * soft_multiple),
-            hard: self.inflight_limit(self.blend(hard_alone, hard_shared)),
+        InFlightLimits {
+            soft: self.in_flight_limit(self.unloaded_latency * soft_multiple),
+            hard: self.in_flight_limit(self.blend(hard_alone, hard_shared)),
         }
     }
 
     /// Number of requests in flight at the allowed rate and this latency.
-    fn inflight_limit(&self, latency: Millis) -> f64 {
-        let stated = self.quota * self.endpoint_fraction() * self.quota_multiple;
+    fn in_flight_limit(&self, latency: Millis) -> f64 {
+        let quota_rate = self.quota * self.endpoint_fraction() * self.quota_multiple;
         let rate = if self.has_first_tier_quotas {
-            self.per_cycle.min(stated)
+            self.per_cycle.min(quota_rate)
         } else {
             self.per_cycle
         };
-        let spare = self.blend(SPARE_INFLIGHT, 0.0);
-        (rate / ADMISSION_CYCLE * latency + spare).max(MIN_INFLIGHT)
+        let spare = self.blend(SPARE_IN_FLIGHT, 0.0);
+        (rate / ADMISSION_CYCLE * latency + spare).max(MIN_IN_FLIGHT)
     }
 
     /// Blends the value for a single replica with that for many. One replica spreads its requests evenly over
     /// endpoints; many replicas load them unevenly by chance, and each may use its full limit.
     fn blend(&self, alone: f64, shared: f64) -> f64 {
-        shared + (alone - shared) / self.replicas
+        shared + (alone - shared) / self.sharing_replicas
     }
 
     /// Whether requests should leave this replica's zone, because its endpoints there have as many in flight
-    /// as its quota needs. `local_fraction` is the part of the quota that endpoints in the zone serve.
-    pub(super) fn exceeds_local_quota(&self, local_inflight: f64, local_fraction: f64) -> bool {
-        let even_inflight = self.quota * self.endpoint_fraction() * local_fraction
+    /// as its quota needs. `local_endpoint_ratio` is the part of the quota that endpoints in the zone serve.
+    pub(super) fn exceeds_local_quota(
+        &self,
+        local_in_flight: f64,
+        local_endpoint_ratio: f64,
+    ) -> bool {
+        let even_in_flight = self.quota * self.endpoint_fraction() * local_endpoint_ratio
             / ADMISSION_CYCLE
             * self.unloaded_latency;
-        self.has_first_tier_quotas && local_inflight >= even_inflight.max(MIN_INFLIGHT)
+        self.has_first_tier_quotas && local_in_flight >= even_in_flight.max(MIN_IN_FLIGHT)
     }
 
     /// Requests per cycle that this replica sends to all endpoints: the mean of the admitted ones, but no more
     /// than the stated quotas.
-    pub(super) fn sent_per_cycle(&self, ready_fraction: f64) -> f64 {
-        let stated = if self.has_first_tier_quotas {
-            self.quota * ready_fraction
+    pub(super) fn sent_per_cycle(&self, accepting_fraction: f64) -> f64 {
+        let quota_limit = if self.has_first_tier_quotas {
+            self.quota * accepting_fraction
         } else {
             f64::INFINITY
         };
-        stated.min(self.admitted_mean)
+        quota_limit.min(self.admitted_mean)
     }
 
     /// Updates the unloaded latency, which is the smallest mean latency of the recent past, and reduces the
     /// multiple of the quota in an overload. The unloaded latency grows only while enough responses are within
     /// objective: in an overload, higher limits would keep endpoints overloaded.
     pub(super) fn record_latency(&mut self, latency: Millis) {
-        let succeeds = self.success_fraction >= UNLOADED_SUCCESS_FRACTION;
-        self.has_no_queue =
-            succeeds && latency <= self.unloaded_latency * HARD_LATENCY_MULTIPLE_SHARED;
-        let is_overloaded = !succeeds || latency > self.unloaded_latency * SOFT_LATENCY_MULTIPLE;
+        let enough_within_objective =
+            self.within_objective_fraction >= MIN_FRACTION_FOR_LATENCY_GROWTH;
+        self.has_no_queue = enough_within_objective
+            && latency <= self.unloaded_latency * HARD_LATENCY_MULTIPLE_SHARED;
+        let is_overloaded =
+            !enough_within_objective || latency > self.unloaded_latency * SOFT_LATENCY_MULTIPLE;
         if is_overloaded {
             self.quota_multiple = (self.quota_multiple / QUOTA_MULTIPLE_STEP).max(1.0);
         }
-        if succeeds {
-            self.unloaded_latency *= 1.0 + UNLOADED_GROWTH;
+        if enough_within_objective {
+            self.unloaded_latency *= 1.0 + UNLOADED_LATENCY_GROWTH;
         }
         self.unloaded_latency = self.unloaded_latency.min(latency);
     }
@@ -257,10 +263,11 @@
     }
 
     fn record_rejection_within_limit(&mut self, admitted: f64) {
-        if self.has_no_queue && self.quota_multiple < self.replicas {
+        if self.has_no_queue && self.quota_multiple < self.sharing_replicas {
             // Clients are spread unevenly over replicas: this one has more than its quota, and endpoints have
             // spare capacity.
-            self.quota_multiple = (self.quota_multiple * QUOTA_MULTIPLE_STEP).min(self.replicas);
+            self.quota_multiple =
+                (self.quota_multiple * QUOTA_MULTIPLE_STEP).min(self.sharing_replicas);
             self.per_cycle = self.per_cycle.max(self.admitted_peak) * QUOTA_MULTIPLE_STEP;
         } else {
             // Limits exceed what the tier can serve: reduce them, so that they decide which tenant is rejected.
@@ -272,8 +279,9 @@
     fn adapt(&mut self, admitted: f64) {
         let responses = std::mem::take(&mut self.responses);
         let mean = responses.latency_ratio_sum / responses.count;
-        let success_fraction = responses.within_objective / responses.count;
-        self.success_fraction += CYCLE_GAIN * (success_fraction - self.success_fraction);
+        let within_objective_fraction = responses.within_objective / responses.count;
+        self.within_objective_fraction +=
+            CYCLE_GAIN * (within_objective_fraction - self.within_objective_fraction);
         if mean > STEADY_LATENCY_RATIO {
             let reduction = CAPACITY_REDUCTION * (mean - STEADY_LATENCY_RATIO);
             let kept = 1.0 - reduction.min(MAX_CAPACITY_REDUCTION);
@@ -292,8 +300,8 @@
 
     /// The minimum capacity: the stated quotas, reduced if many responses are late or endpoints are missing.
     fn minimum(&self) -> f64 {
-        let fraction =
-            (self.success_fraction / WANTED_SUCCESS_FRACTION).clamp(MIN_CAPACITY_FRACTION, 1.0);
+        let fraction = (self.within_objective_fraction / WANTED_WITHIN_OBJECTIVE_FRACTION)
+            .clamp(MIN_CAPACITY_FRACTION, 1.0);
         self.quota * self.endpoint_fraction() * fraction
     }
 }
--- a/balancer-core/src/policy/endpoint_polling.rs
+++ b/balancer-core/src/policy/endpoint_polling.rs
@@ -39,7 +39,7 @@
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallFailure {
     /// The call broke, timed out or had a malformed response.
-    Failed,
+    NoValidResponse,
     /// Discovery rejected the call.
     Rejected,
 }
@@ -86,18 +86,18 @@
     pub(super) fn record_failure(
         &mut self,
         failure: CallFailure,
-        has_ready_endpoint: bool,
+        has_accepting_endpoint: bool,
         now: Millis,
         settings: &Settings,
         random: &mut Random,
     ) -> Millis {
         let call_started_at = self.call_started_at.take();
         let (pause, min_jitter) = match failure {
-            CallFailure::Rejected if has_ready_endpoint => {
+            CallFailure::Rejected if has_accepting_endpoint => {
                 let next_call_by = self.next_call_by(call_started_at, now, settings);
                 (next_call_by - now, MIN_REJECTION_JITTER)
             }
-            CallFailure::Rejected | CallFailure::Failed => {
+            CallFailure::Rejected | CallFailure::NoValidResponse => {
                 (self.next_failure_backoff(settings), MIN_FAILURE_JITTER)
             }
         };
--- a/balancer-core/src/policy/endpoints.rs
+++ b/balancer-core/src/policy/endpoints.rs
@@ -27,13 +27,13 @@
 /// Endpoints that accept requests and are neither ejected nor overloaded, and their requests in flight.
 /// Requests in flight to other endpoints do not limit admission.
 #[derive(Default)]
-pub(super) struct AdmissibleLoad {
+pub(super) struct AdmissionLoad {
     /// Number of endpoints; one in slow start counts as its fraction of full capacity.
     pub(super) endpoints: f64,
     /// Requests in flight that they are expected to respond to.
-    pub(super) inflight: f64,
-    /// The part of `inflight` to endpoints in this replica's zone.
-    pub(super) local_inflight: f64,
+    pub(super) in_flight: f64,
+    /// The part of `in_flight` to endpoints in this replica's zone.
+    pub(super) local_in_flight: f64,
 }
 
 /// The table of endpoints, and what this replica learned about all of them.
@@ -45,9 +45,9 @@
     free: Vec<usize>,
     subset: Subset,
     /// Number of endpoints that accept requests.
-    ready_count: usize,
-    /// Largest `ready_count` so far.
-    max_ready_count: usize,
+    accepting_count: usize,
+    /// Largest `accepting_count` so far.
+    max_accepting_count: usize,
     /// Endpoints that operators suspended, listed or not.
     suspended: BTreeSet<UpstreamId>,
     /// When operators restored endpoints.
@@ -70,8 +70,8 @@
             by_id: BTreeMap::new(),
             free: Vec::new(),
             subset: Subset::default(),
-            ready_count: 0,
-            max_ready_count: 0,
+            accepting_count: 0,
+            max_accepting_count: 0,
             suspended: BTreeSet::new(),
             restored_at: BTreeMap::new(),
             start_times: StartTimes::default(),
@@ -89,13 +89,13 @@
         self.suspended.contains(&id)
     }
 
-    pub(super) fn has_ready_endpoint(&self) -> bool {
-        self.ready_count > 0
+    pub(super) fn has_accepting_endpoint(&self) -> bool {
+        self.accepting_count > 0
     }
 
     /// Number of endpoints that accept requests, as a fraction of the largest number so far.
-    pub(super) fn ready_fraction(&self) -> f64 {
-        self.ready_count as f64 / self.max_ready_count.max(1) as f64
+    pub(super) fn accepting_fraction(&self) -> f64 {
+        self.accepting_count as f64 / self.max_accepting_count.max(1) as f64
     }
 
     /// Largest number of endpoints that this replica uses for a class, at least one.
@@ -104,8 +104,8 @@
     }
 
     /// The part of this replica's quota that endpoints in its zone serve.
-    pub(super) fn local_fraction(&self) -> f64 {
-        self.subset.local_fraction()
+    pub(super) fn local_endpoint_ratio(&self) -> f64 {
+        self.subset.local_endpoint_ratio()
     }
 
     pub(super) fn latency(&self) -> &LatencyModel {
@@ -152,21 +152,21 @@
         counts
     }
 
-    pub(super) fn admissible_load(&self, now: Millis) -> AdmissibleLoad {
-        let mut load = AdmissibleLoad::default();
+    pub(super) fn admission_load(&self, now: Millis) -> AdmissionLoad {
+        let mut load = AdmissionLoad::default();
         for &index in self.by_id.values() {
             let state = &self.slots[index];
-            let is_admissible = self.accepts_requests(index)
+            let counts_for_admission = self.accepts_requests(index)
                 && !state.health.is_ejected(now)
                 && !self.is_overloaded(index, now);
-            if !is_admissible {
+            if !counts_for_admission {
                 continue;
             }
             let awaited = f64::from(state.in_flight.awaited());
             load.endpoints += self.capacity_fraction(index, now);
-            load.inflight += awaited;
+            load.in_flight += awaited;
             if state.endpoint.zone == self.settings.zone {
-                load.local_inflight += awaited;
+                load.local_in_flight += awaited;
             }
         }
         load
@@ -193,9 +193,9 @@
     }
 
     /// Records that an attempt ended; must be called before its outcome is recorded.
-    pub(super) fn record_attempt_ended(&mut self, attempt: &Attempt) {
+    pub(super) fn remove_from_unawaited(&mut self, attempt: &Attempt) {
         if !attempt.is_awaited {
-            self.slots[attempt.endpoint].in_flight.remove_unawaited();
+            self.slots[attempt.endpoint].in_flight.decrement_unawaited();
         }
     }
 
@@ -226,8 +226,8 @@
                 endpoint: &self.slots[index].endpoint,
             })
             .collect();
-        self.ready_count = ring.len();
-        self.max_ready_count = self.max_ready_count.max(self.ready_count);
+        self.accepting_count = ring.len();
+        self.max_accepting_count = self.max_accepting_count.max(self.accepting_count);
         self.subset.choose(ring, &self.settings);
     }
 
--- a/balancer-core/src/policy/endpoints/health.rs
+++ b/balancer-core/src/policy/endpoints/health.rs
@@ -164,7 +164,8 @@
         random: &mut Random,
     ) -> bool {
         self.failure_rate += TOTAL_FAILURE_GAIN * (f64::from(failed) - self.failure_rate);
-        let may_eject = self.ejected_count(now) < (self.ready_count / MAX_EJECTED_DIVISOR).max(1);
+        let may_eject =
+            self.ejected_count(now) < (self.accepting_count / MAX_EJECTED_DIVISOR).max(1);
         let health = &mut self.slots[index].health;
         health.record(failed, is_unresponsive);
         let is_outlier = health.is_outlier(self.failure_rate);
--- a/balancer-core/src/policy/endpoints/idle_connections.rs
+++ b/balancer-core/src/policy/endpoints/idle_connections.rs
@@ -35,30 +35,30 @@
     }
 
     /// Idle bucket of the connection that the next request gets; zero for a new connection.
-    pub(super) fn idle_bucket(&self, inflight: u32, idle_close: Millis, now: Millis) -> usize {
+    pub(super) fn idle_bucket(&self, in_flight: u32, idle_close: Millis, now: Millis) -> usize {
         let idle = now - self.idle_since;
-        if self.open <= inflight || idle >= idle_close {
+        if self.open <= in_flight || idle >= idle_close {
             return 0;
         }
         let bucket = ((idle / FIRST_IDLE_BUCKET_BOUND).max(0.5).log2() + 2.0) as usize;
         bucket.min(IDLE_BUCKETS - 1)
     }
 
-    /// Records that a request is sent; `inflight` is the number of earlier requests in flight.
-    pub(super) fn record_send(&mut self, idle_bucket: usize, inflight: u32, now: Millis) {
+    /// Records that a request is sent; `in_flight` is the number of earlier requests in flight.
+    pub(super) fn record_send(&mut self, idle_bucket: usize, in_flight: u32, now: Millis) {
         if idle_bucket == 0 {
-            self.open = inflight;
+            self.open = in_flight;
         }
-        let in_use = inflight + 1;
+        let in_use = in_flight + 1;
         if self.open <= in_use {
             self.open = in_use;
             self.idle_since = now;
         }
     }
 
-    /// Records that a request ended; `inflight` is the number of requests in flight including it.
-    pub(super) fn record_end(&mut self, outcome: AttemptOutcome, inflight: u32, now: Millis) {
-        if inflight >= self.open {
+    /// Records that a request ended; `in_flight` is the number of requests in flight including it.
+    pub(super) fn record_end(&mut self, outcome: AttemptOutcome, in_flight: u32, now: Millis) {
+        if in_flight >= self.open {
             self.idle_since = now;
         }
         let is_closed = matches!(
@@ -97,11 +97,11 @@
     }
 
     pub(crate) fn record(&mut self, bucket: usize, outcome: AttemptOutcome, duration: Millis) {
-        let is_unrelated = matches!(
+        let is_unrelated_to_idle_time = matches!(
             outcome,
             AttemptOutcome::Cancelled | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent
         );
-        if is_unrelated {
+        if is_unrelated_to_idle_time {
             return;
         }
         // A reset after that time shows that the connection was usable.
--- a/balancer-core/src/policy/endpoints/in_flight.rs
+++ b/balancer-core/src/policy/endpoints/in_flight.rs
@@ -67,14 +67,14 @@
     }
 
     /// Records that a request without an expected response is about to be removed.
-    pub(super) fn remove_unawaited(&mut self) {
+    pub(super) fn decrement_unawaited(&mut self) {
         self.unawaited = self.unawaited.saturating_sub(1);
     }
 
     /// Records that the endpoint is expected to respond to one more of the requests from now on.
     pub(super) fn start_awaiting(&mut self, now: Millis) {
         self.reset_wait_if_none_awaited(now);
-        self.remove_unawaited();
+        self.decrement_unawaited();
     }
 
     fn reset_wait_if_none_awaited(&mut self, now: Millis) {
--- a/balancer-core/src/policy/endpoints/picker.rs
+++ b/balancer-core/src/policy/endpoints/picker.rs
@@ -128,9 +128,9 @@
     fn is_excluded(&self, index: usize, criteria: &PickCriteria) -> bool {
         let endpoint = &self.slots[index].endpoint;
         let constraint = criteria.retry_constraint;
-        let discards_retry = constraint.is_none_or(|constraint| constraint.allows(endpoint));
+        let meets_constraint = constraint.is_none_or(|constraint| constraint.allows(endpoint));
         criteria.previous == Some(index)
-            || !discards_retry
+            || !meets_constraint
             || self.is_overloaded(index, criteria.now)
             || (!criteria.is_last_resort && self.is_avoided(index, criteria.now))
     }
--- a/balancer-core/src/policy/endpoints/slow_start.rs
+++ b/balancer-core/src/policy/endpoints/slow_start.rs
@@ -3,7 +3,7 @@
 use crate::time::Millis;
 
 /// Fraction of the allowed requests that is sent; the rest is a margin for random variation and heavy requests.
-const SLOW_START_MARGIN: f64 = 0.5;
+const SENT_FRACTION: f64 = 0.5;
 
 /// Smallest fraction of its full capacity that an endpoint has now, if its slow start began at `started_at`. A
 /// `started_at` of zero means long ago.
@@ -20,7 +20,7 @@
 /// Requests per millisecond that may be sent to an endpoint in slow start; `full_rate` is the rate for an
 /// endpoint with full capacity.
 pub(super) fn send_rate(settings: &Settings, full_rate: f64, capacity_fraction: f64) -> f64 {
-    let allowed = SLOW_START_MARGIN * settings.slow_start_overload_factor * capacity_fraction;
+    let allowed = SENT_FRACTION * settings.slow_start_overload_factor * capacity_fraction;
     full_rate * allowed.min(1.0)
 }
 
--- a/balancer-core/src/policy/endpoints/start_times.rs
+++ b/balancer-core/src/policy/endpoints/start_times.rs
@@ -13,7 +13,7 @@
 
 struct Start {
     /// The start time on discovery's clock.
-    reported_at: Millis,
+    reported_start: Millis,
     /// The start time on this replica's clock.
     started_at: Millis,
     last_listed_at: Millis,
@@ -34,7 +34,7 @@
         self.by_id.insert(
             endpoint.id,
             Start {
-                reported_at: endpoint.started_at,
+                reported_start: endpoint.started_at,
                 started_at,
                 last_listed_at: now,
             },
@@ -43,22 +43,22 @@
     }
 
     fn started_at(&self, endpoint: &Endpoint, now: Millis) -> Millis {
-        let reported_at = endpoint.started_at;
+        let reported_start = endpoint.started_at;
         let known = self.by_id.get(&endpoint.id);
-        if let Some(start) = known.filter(|start| start.reported_at == reported_at) {
+        if let Some(start) = known.filter(|start| start.reported_start == reported_start) {
             return start.started_at;
         }
-        if reported_at <= 0.0 {
+        if reported_start <= 0.0 {
             return 0.0;
         }
-        if reported_at > now {
+        if reported_start > now {
             // A listed endpoint is running, so it cannot have started later than now.
             return now;
         }
         if self.has_list {
-            return reported_at.max(now - MAX_REPORT_DELAY);
+            return reported_start.max(now - MAX_REPORT_DELAY);
         }
-        reported_at
+        reported_start
     }
 
     /// Ends an update by a complete list or a delta, and forgets endpoints that were not listed for long.
--- a/balancer-core/src/policy/endpoints/state.rs
+++ b/balancer-core/src/policy/endpoints/state.rs
@@ -58,7 +58,7 @@
 
     /// Resets the state after the process restarted under the same id: slow start begins, and only the record
     /// of requests in flight is kept.
-    pub(super) fn restart(
+    pub(super) fn reset_after_restart(
         &mut self,
         endpoint: Endpoint,
         started_at: Millis,
@@ -72,8 +72,8 @@
     }
 
     /// Resets the state after a restart at an unknown time that the endpoint list does not report yet.
-    pub(super) fn restart_unlisted(&mut self, now: Millis, random: &mut Random) {
-        self.restart(self.endpoint.clone(), self.started_at, now, random);
+    pub(super) fn reset_after_unreported_restart(&mut self, now: Millis, random: &mut Random) {
+        self.reset_after_restart(self.endpoint.clone(), self.started_at, now, random);
     }
 
     pub(super) fn started_at(&self) -> Millis {
--- a/balancer-core/src/policy/endpoints/subset.rs
+++ b/balancer-core/src/policy/endpoints/subset.rs
@@ -11,7 +11,7 @@
 const REQUESTS_PER_IDLE_PERIOD: f64 = 4.0;
 /// Endpoints of the subset per request in flight, so that random picks find an endpoint without requests in
 /// flight.
-const ENDPOINTS_PER_INFLIGHT: f64 = 2.0;
+const ENDPOINTS_PER_REQUEST_IN_FLIGHT: f64 = 2.0;
 /// Smallest subset, so that enough endpoints remain when a few fail.
 const MIN_SUBSET: usize = 8;
 const MAX_SUBSET: f64 = 1e6;
@@ -58,7 +58,7 @@
     by_class: Vec<Candidates>,
     /// Number of endpoints in this replica's zone, as a multiple of an even division among the zones that have
     /// replicas.
-    local_fraction: f64,
+    local_endpoint_ratio: f64,
 }
 
 impl Subset {
@@ -78,8 +78,8 @@
             .fold(1, usize::max)
     }
 
-    pub(super) fn local_fraction(&self) -> f64 {
-        self.local_fraction
+    pub(super) fn local_endpoint_ratio(&self) -> f64 {
+        self.local_endpoint_ratio
     }
 
     /// Adapts the size so that the traffic keeps the connections open, and returns whether it changed. The size
@@ -90,9 +90,9 @@
         mean_latency: Millis,
         settings: &Settings,
     ) -> bool {
-        let endpoints_per_rate = (mean_latency * ENDPOINTS_PER_INFLIGHT)
+        let endpoints_per_request_per_ms = (mean_latency * ENDPOINTS_PER_REQUEST_IN_FLIGHT)
             .min(settings.idle_close / REQUESTS_PER_IDLE_PERIOD);
-        let wanted = requests_per_cycle / ADMISSION_CYCLE * endpoints_per_rate;
+        let wanted = requests_per_cycle / ADMISSION_CYCLE * endpoints_per_request_per_ms;
         let wanted = (wanted.min(MAX_SUBSET) as usize).max(MIN_SUBSET);
         let is_resized = wanted * 4 < self.size * 3 || wanted * 3 > self.size * 4;
         if is_resized {
@@ -104,7 +104,7 @@
     /// Chooses the subset among the endpoints that accept requests.
     pub(super) fn choose(&mut self, mut ring: Vec<RingEntry>, settings: &Settings) {
         ring.sort_by_key(RingEntry::ring_key);
-        self.local_fraction = local_fraction(&ring, settings);
+        self.local_endpoint_ratio = local_endpoint_ratio(&ring, settings);
         self.by_class = settings
             .classes
             .iter()
@@ -146,7 +146,7 @@
         && kinds.is_none_or(|kinds| kinds.contains(&endpoint.kind))
 }
 
-fn local_fraction(ring: &[RingEntry], settings: &Settings) -> f64 {
+fn local_endpoint_ratio(ring: &[RingEntry], settings: &Settings) -> f64 {
     let zones: BTreeSet<u16> = ring.iter().map(|entry| entry.endpoint.zone).collect();
     let local = ring
         .iter()
--- a/balancer-core/src/policy/endpoints/updates.rs
+++ b/balancer-core/src/policy/endpoints/updates.rs
@@ -57,7 +57,7 @@
         };
         let known = &mut self.slots[index];
         if known.endpoint.started_at != endpoint.started_at {
-            known.restart(endpoint, started_at, now, random);
+            known.reset_after_restart(endpoint, started_at, now, random);
         } else {
             known.endpoint = endpoint;
         }
@@ -116,7 +116,7 @@
         self.restored_at.insert(id, restored_at);
         self.extend_slow_start(restored_at);
         if let Some(&index) = self.by_id.get(&id) {
-            self.slots[index].restart_unlisted(now, random);
+            self.slots[index].reset_after_unreported_restart(now, random);
         }
         self.choose_subset();
     }
--- a/balancer-core/src/policy/pending_request.rs
+++ b/balancer-core/src/policy/pending_request.rs
@@ -1,7 +1,7 @@
 //! A request between its admission and the end of its last attempt.
 use crate::class::Class;
 use crate::endpoint::Endpoint;
-use crate::policy::attempt::{Attempt, FirstRun};
+use crate::policy::attempt::{Attempt, FirstPossibleRun};
 use crate::time::Millis;
 
 /// Fraction of its objective at which a request ends if a late response has no value: just early enough to
@@ -17,7 +17,7 @@
     /// The attempts in flight.
     attempts: Vec<Attempt>,
     /// The first attempt that may have run, if any.
-    first_run: Option<FirstRun>,
+    first_possible_run: Option<FirstPossibleRun>,
     /// The endpoint of the newest attempt.
     previous_endpoint: Option<usize>,
     /// Whether the client needs no further response.
@@ -31,7 +31,7 @@
             expires_at,
             used_attempts: 0,
             attempts: Vec::new(),
-            first_run: None,
+            first_possible_run: None,
             previous_endpoint: None,
             is_closed: false,
         }
@@ -85,8 +85,8 @@
             .find(|attempt| attempt.number == number)
     }
 
-    pub(super) fn first_run(&self) -> Option<FirstRun> {
-        self.first_run
+    pub(super) fn first_possible_run(&self) -> Option<FirstPossibleRun> {
+        self.first_possible_run
     }
 
     pub(super) fn previous_endpoint(&self) -> Option<usize> {
@@ -114,7 +114,7 @@
         let number = self.used_attempts;
         self.used_attempts += 1;
         self.previous_endpoint = Some(index);
-        self.first_run.get_or_insert(FirstRun {
+        self.first_possible_run.get_or_insert(FirstPossibleRun {
             attempt: number,
             sent_at: now,
             zone: endpoint.zone,
@@ -143,7 +143,7 @@
 
     /// Records that the last attempt in flight never ran, as its outcome proves.
     pub(super) fn record_never_ran(&mut self, number: u32) {
-        self.first_run.take_if(|run| run.attempt == number);
+        self.first_possible_run.take_if(|run| run.attempt == number);
     }
 }
 
--- a/balancer-core/src/policy/requests.rs
+++ b/balancer-core/src/policy/requests.rs
@@ -93,7 +93,7 @@
                 });
             }
         }
-        self.remove_if_ended(id);
+        self.remove_if_none_in_flight(id);
     }
 
     /// Gives the final response: a rejection if the client may safely retry, otherwise a failure.
@@ -107,8 +107,8 @@
             Idempotency::IdempotencyKey { scope, .. } => scope == DedupScope::All,
             Idempotency::NonIdempotent => false,
         };
-        let is_safe_to_retry = may_run_again || pending.first_run().is_none();
-        self.remove_if_ended(id);
+        let is_safe_to_retry = may_run_again || pending.first_possible_run().is_none();
+        self.remove_if_none_in_flight(id);
         let response = if is_safe_to_retry {
             self.rejection(id)
         } else {
@@ -118,12 +118,12 @@
     }
 
     /// Removes a closed request once no attempt is in flight.
-    fn remove_if_ended(&mut self, id: RequestId) {
-        let has_ended = self
+    fn remove_if_none_in_flight(&mut self, id: RequestId) {
+        let has_none_in_flight = self
             .pending
             .get(&id)
             .is_some_and(|pending| !pending.has_attempts());
-        if has_ended {
+        if has_none_in_flight {
             self.pending.remove(&id);
         }
     }
@@ -139,7 +139,7 @@
     /// Records requests in flight that are late already: the responses of a cycle are mostly the fast ones, and
     /// a timeout would show stale connections too late.
     pub(super) fn record_overdue_requests(&mut self, now: Millis) {
-        let mut lost_inflight = 0.0;
+        let mut lost_in_flight = 0.0;
         for pending in self.pending.values().filter(|pending| !pending.is_closed()) {
             let Some(attempt) = pending.attempts().last() else {
                 continue;
@@ -151,7 +151,7 @@
                 idle_losses.record(attempt.idle_bucket, AttemptOutcome::Timeout, overdue);
             }
             if overdue >= 0.0 && idle_losses.is_stale(attempt.idle_bucket) {
-                lost_inflight += 1.0;
+                lost_in_flight += 1.0;
                 continue;
             }
             let objective = self.settings.classes[pending.class()].objective;
@@ -160,6 +160,6 @@
                 self.admission.record_response(ratio);
             }
         }
-        self.admission.record_lost_inflight(lost_inflight);
+        self.admission.record_lost_in_flight(lost_in_flight);
     }
 }
--- a/balancer-core/src/policy/tenant_limits.rs
+++ b/balancer-core/src/policy/tenant_limits.rs
@@ -17,20 +17,24 @@
         .zip(&defaults)
         .map(|(&demand, &default)| demand.max(default * reserved_fraction))
         .collect();
-    let gaps: Vec<f64> = defaults
+    let spare_limits: Vec<f64> = defaults
         .iter()
         .zip(&wanted)
         .map(|(default, wanted)| default - wanted)
         .collect();
-    let deficit: f64 = gaps.iter().filter(|&&gap| gap < 0.0).map(|gap| -gap).sum();
-    let surplus: f64 = gaps.iter().filter(|&&gap| gap > 0.0).sum();
+    let deficit: f64 = spare_limits
+        .iter()
+        .filter(|&&spare| spare < 0.0)
+        .map(|spare| -spare)
+        .sum();
+    let surplus: f64 = spare_limits.iter().filter(|&&spare| spare > 0.0).sum();
     let limit = |tenant: usize| {
-        let gap = gaps[tenant];
-        if gap <= 0.0 {
-            let borrowed = fraction_of(-gap, deficit, 0.0) * surplus;
-            defaults[tenant] + (-gap).min(borrowed)
+        let spare = spare_limits[tenant];
+        if spare <= 0.0 {
+            let borrowed = fraction_of(-spare, deficit, 0.0) * surplus;
+            defaults[tenant] + (-spare).min(borrowed)
         } else {
-            let returned = fraction_of(gap, surplus, 0.0) * (surplus - deficit).max(0.0);
+            let returned = fraction_of(spare, surplus, 0.0) * (surplus - deficit).max(0.0);
             wanted[tenant] + returned
         }
     };
--- a/balancer-core/src/settings/validation.rs
+++ b/balancer-core/src/settings/validation.rs
@@ -47,14 +47,14 @@
         }
         self.validate_timeouts()?;
         self.validate_slow_start()?;
-        require_at_least_zero(self.cross_zone_price, "cross_zone_price", NUMBER)
+        require_from_zero_to_max(self.cross_zone_price, "cross_zone_price", NUMBER)
     }
 
     fn validate_timeouts(&self) -> Result<(), SettingsError> {
-        require_above_zero(self.poll_acknowledge_timeout, "poll_acknowledge_timeout")?;
-        require_at_least_zero(self.idle_close, "idle_close", TIME)?;
-        require_at_least_zero(self.connect_timeout, "connect_timeout", TIME)?;
-        require_at_least_zero(self.max_retry_after, "max_retry_after", TIME)
+        require_time_above_zero(self.poll_acknowledge_timeout, "poll_acknowledge_timeout")?;
+        require_from_zero_to_max(self.idle_close, "idle_close", TIME)?;
+        require_from_zero_to_max(self.connect_timeout, "connect_timeout", TIME)?;
+        require_from_zero_to_max(self.max_retry_after, "max_retry_after", TIME)
     }
 
     fn validate_slow_start(&self) -> Result<(), SettingsError> {
@@ -63,13 +63,13 @@
             "slow_start_initial_fraction",
             "between 0 and 1",
         )?;
-        require_at_least_zero(self.slow_start_duration, "slow_start_duration", TIME)?;
-        require_at_least_zero(
+        require_from_zero_to_max(self.slow_start_duration, "slow_start_duration", TIME)?;
+        require_from_zero_to_max(
             self.slow_start_overload_factor,
             "slow_start_overload_factor",
             NUMBER,
         )?;
-        require_at_least_zero(
+        require_from_zero_to_max(
             self.slow_start_overload_window,
             "slow_start_overload_window",
             TIME,
@@ -78,9 +78,9 @@
 }
 
 fn validate_class(class: &Class) -> Result<(), SettingsError> {
-    require_above_zero(class.objective, "classes.objective")?;
-    require_above_zero(class.deadline, "classes.deadline")?;
-    require_at_least_zero(class.late_weight, "classes.late_weight", NUMBER)?;
+    require_time_above_zero(class.objective, "classes.objective")?;
+    require_time_above_zero(class.deadline, "classes.deadline")?;
+    require_from_zero_to_max(class.late_weight, "classes.late_weight", NUMBER)?;
     require(
         is_absent_or_not_empty(&class.allowed_zones),
         "classes.allowed_zones",
@@ -93,15 +93,15 @@
     )?;
     match class.idempotency {
         Idempotency::IdempotencyKey { window, .. } => {
-            require_at_least_zero(window, "classes.window", TIME)
+            require_from_zero_to_max(window, "classes.window", TIME)
         }
         Idempotency::Idempotent | Idempotency::NonIdempotent => Ok(()),
     }
 }
 
 fn validate_tenant(tenant: &Tenant) -> Result<(), SettingsError> {
-    require_at_least_zero(tenant.weight, "tenants.weight", NUMBER)?;
-    require_at_least_zero(tenant.quota_per_s, "tenants.quota_per_s", RATE)
+    require_from_zero_to_max(tenant.weight, "tenants.weight", NUMBER)?;
+    require_from_zero_to_max(tenant.quota_per_s, "tenants.quota_per_s", RATE)
 }
 
 fn require(is_valid: bool, field: &'static str, must: &'static str) -> Result<(), SettingsError> {
@@ -112,7 +112,7 @@
     }
 }
 
-fn require_at_least_zero(
+fn require_from_zero_to_max(
     value: f64,
     field: &'static str,
     must: &'static str,
@@ -120,7 +120,7 @@
     require((0.0..=MAX_NUMBER).contains(&value), field, must)
 }
 
-fn require_above_zero(value: f64, field: &'static str) -> Result<(), SettingsError> {
+fn require_time_above_zero(value: f64, field: &'static str) -> Result<(), SettingsError> {
     require(value > 0.0 && value <= MAX_NUMBER, field, TIME_ABOVE_ZERO)
 }
 
