--- a/balancer-core/src/action.rs
+++ b/balancer-core/src/action.rs
@@ -12,7 +12,7 @@
         request: RequestId,
         /// The upstream to send it to.
         upstream: UpstreamId,
-        /// Timeout of this attempt; zero: until the client's deadline.
+        /// Timeout of this attempt, counted from now; zero: none but the client's deadline.
         timeout: Millis,
     },
     /// Cancel an attempt. Its outcome still follows as [`Event::AttemptEnded`](crate::Event::AttemptEnded).
--- a/balancer-core/src/class.rs
+++ b/balancer-core/src/class.rs
@@ -8,7 +8,7 @@
     pub objective: Millis,
     /// Time that a client waits over all attempts. At least `objective`.
     pub deadline: Millis,
-    /// Whether an attempt may be repeated.
+    /// Whether a request may run more than once.
     pub idempotency: Idempotency,
     /// Fraction of its value that a response after `objective` still earns.
     pub late_weight: f64,
@@ -24,7 +24,7 @@
     /// May run any number of times.
     #[default]
     Idempotent,
-    /// Carries an idempotency key: upstreams within `scope` discard repeats for `window` after the first send.
+    /// Carries an idempotency key: upstreams within `scope` discard repeats for `window`.
     IdempotencyKey {
         /// The upstreams that share their record of keys.
         scope: DedupScope,
--- a/balancer-core/src/endpoint.rs
+++ b/balancer-core/src/endpoint.rs
@@ -39,7 +39,8 @@
 pub struct EndpointCounts {
     /// Listed endpoints: ready or draining.
     pub listed: usize,
-    /// Listed endpoints that requests avoid now: suspended, ejected, unresponsive or overloaded.
+    /// Listed endpoints that requests avoid now: suspended, ejected, possibly draining, unresponsive or
+    /// overloaded.
     pub avoided: usize,
 }
 
@@ -48,7 +49,7 @@
 pub enum EndpointEvent {
     /// The complete list; endpoints that it lacks are gone.
     Snapshot(Vec<Endpoint>),
-    /// The complete list from this instance's own cache, possibly outdated.
+    /// The complete list from this balancer's own cache, possibly outdated.
     CachedSnapshot(Vec<Endpoint>),
     /// Changed endpoints only.
     Delta(Vec<Endpoint>),
--- a/balancer-core/src/event.rs
+++ b/balancer-core/src/event.rs
@@ -8,19 +8,21 @@
 pub enum Event {
     /// A change of the endpoint list, or the result of a call to discovery.
     Endpoints(EndpointEvent),
-    /// A request arrived. The balancer ends it with exactly one final response.
+    /// A request arrived. The balancer ends it with exactly one [`Action::Reject`](crate::Action::Reject) or
+    /// [`Action::Fail`](crate::Action::Fail), unless the client receives an upstream's response or needs none any
+    /// more.
     Request(Request),
-    /// The body of an earlier request is complete: its deadline applies from now on, and its upstream is
-    /// expected to respond.
+    /// The body of an earlier request is complete: the request's deadline applies from now on, and its upstream
+    /// is expected to respond.
     RequestBodyComplete {
         /// The request.
         request: RequestId,
         /// When the client's deadline expires.
         deadline: Millis,
     },
-    /// The host no longer keeps the body of a request, so that the request cannot be retried.
+    /// The host no longer keeps the body of a request: the request can no longer be retried.
     BodyDiscarded(RequestId),
-    /// The response of a streamed request has started: the client receives the response of this attempt.
+    /// A streamed response has started: the client receives the response of this attempt.
     ResponseStarted {
         /// The request.
         request: RequestId,
@@ -35,10 +37,11 @@
         attempt: u32,
         /// How it ended.
         outcome: AttemptOutcome,
-        /// Time from the complete send to the start of the response, if that was streamed, or else to its end.
+        /// Time from the complete send of the request to the start of a streamed response, or to the end of any
+        /// other one.
         /// Excludes the time to connect where the host knows it. Finite.
         duration: Millis,
-        /// Whether the request has ended, by this outcome or earlier.
+        /// Whether the client needs no further response, because of this outcome or something earlier.
         request_completed: bool,
     },
     /// The client disconnected, or its deadline expired: no final response is needed.
@@ -46,8 +49,8 @@
     /// An operator suspended an upstream, listed or not: it receives no requests until it is restored, whatever
     /// the endpoint list says.
     Suspend(UpstreamId),
-    /// An operator restored an upstream. It was restarted while it was suspended, and the endpoint list may
-    /// report that late.
+    /// An operator restored an upstream. The upstream was restarted while it was suspended; the endpoint list may
+    /// report the restart only later.
     Restore {
         /// The upstream.
         upstream: UpstreamId,
--- a/balancer-core/src/lib.rs
+++ b/balancer-core/src/lib.rs
@@ -1,7 +1,7 @@
 //! The decisions of a load balancer for services that call services, as a sans-I/O state machine.
 //!
 //! The host passes each [`Event`] to a [`Balancer`] and carries out the [`Action`]s that it returns. The
-//! balancer opens no socket, reads no clock and shares no state with other instances. Its decisions depend
+//! balancer opens no socket, reads no clock and shares no state with other balancers. Its decisions depend
 //! only on its settings, its seed and the events.
 //!
 //! ```
@@ -10,7 +10,7 @@
 //!     RequestId, Settings, UpstreamId,
 //! };
 //!
-//! let mut balancer = Balancer::new(Settings::default(), 7, 0.0).expect("valid settings");
+//! let mut balancer = Balancer::new(Settings::default(), 7, 0.0).expect("settings should be valid");
 //! let mut actions = Vec::new();
 //! let endpoint = Endpoint {
 //!     id: UpstreamId(1),
--- a/balancer-core/src/policy.rs
+++ b/balancer-core/src/policy.rs
@@ -1,9 +1,9 @@
 //! The decision logic of the balancer.
 //!
-//! A request is admitted if its tenant is within its limit or the learned capacity is not used up, unless too
-//! many requests are in flight. Each attempt goes to the less busy of two random endpoints that may receive it.
-//! The other modules handle special cases: slow start, outliers, overload, stale connections, retries and a
-//! stale endpoint list.
+//! A request is admitted if its tenant is within its limit, or if neither the learned capacity nor the soft limit
+//! of requests in flight is reached. At the hard limit of requests in flight, none is admitted. Each attempt goes
+//! to the less busy of two random endpoints that may receive it. The other modules handle special cases: slow
+//! start, outliers, overload, stale connections, retries and a stale endpoint list.
 mod admission;
 mod attempt;
 mod attempt_timeout;
@@ -45,7 +45,7 @@
 /// that start together do not end their cycles at the same time.
 const MIN_FIRST_CYCLE_FRACTION: f64 = 0.5;
 
-/// One instance of the decision logic.
+/// The decision logic of one balancer.
 pub struct Balancer {
     settings: Arc<Settings>,
     random: Random,
@@ -61,7 +61,7 @@
 }
 
 impl Balancer {
-    /// Creates an instance without endpoints. `seed` determines its random choices.
+    /// Creates a balancer without endpoints. `seed` determines its random choices.
     ///
     /// # Errors
     ///
--- a/balancer-core/src/policy/admission.rs
+++ b/balancer-core/src/policy/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control: which requests pass, by tenants' limits, learned capacity and requests in flight.
+//! Admission control: which requests are admitted, by tenants' limits, learned capacity and requests in flight.
 use crate::policy::capacity::{Capacity, ADMISSION_CYCLE, CYCLE_GAIN};
 use crate::policy::endpoints::AdmissionLoad;
 use crate::policy::tenant_limits::tenant_limits;
@@ -7,7 +7,8 @@
 
 /// Fraction of a tenant's default limit that is never lent to other tenants.
 const RESERVED_FRACTION: f64 = 0.1;
-/// Unused limit that a tenant may save, in cycles: the arrivals of a tenant with few requests vary by chance.
+/// Largest unused limit that a tenant may save, as a number of cycles of its limit: the arrivals of a tenant with
+/// few requests vary by chance.
 const MAX_SAVED_CYCLES: f64 = 6.0;
 /// Shortest part of a cycle from which capacity is learned.
 const MIN_LEARNING_CYCLES: f64 = 0.5;
@@ -15,12 +16,13 @@
 #[derive(Default)]
 struct TenantState {
     weight: f64,
+    /// Whether the tenant has ever sent a request.
     has_sent_requests: bool,
     /// Requests in this cycle, including rejected ones.
     requests: f64,
     /// Smoothed requests per cycle, including rejected ones.
     demand: f64,
-    /// Number of admitted requests that count against the limit; negative if unused limit is saved.
+    /// Part of the limit that admitted requests have used; negative if unused limit is saved.
     used_limit: f64,
     limit: f64,
 }
@@ -33,8 +35,9 @@
         }
     }
 
-    /// Demand from which the limit is computed: the mean and one standard deviation. Counts are small, and a
-    /// limit at the mean would reject requests of a steady tenant in half of the cycles.
+    /// Demand from which the limit is computed: the mean plus one standard deviation, which is the square root of
+    /// the mean for random arrivals. Counts are small, and a limit at the mean would reject requests of a steady
+    /// tenant in half of the cycles.
     fn expected_demand(&self) -> f64 {
         self.demand + self.demand.sqrt()
     }
@@ -59,7 +62,7 @@
     cycle_started_at: Millis,
     /// Requests admitted in this cycle.
     cycle_admitted: f64,
-    /// Number of admitted requests that count against capacity.
+    /// Part of capacity that admitted requests have used.
     used_capacity: f64,
     load: AdmissionLoad,
     /// Number of requests in flight whose connection is probably lost.
@@ -104,7 +107,7 @@
         &self.capacity
     }
 
-    /// Whether requests should leave this replica's zone; see [`Capacity::exceeds_local_quota`].
+    /// Whether requests should go to other zones; see [`Capacity::exceeds_local_quota`].
     pub(super) fn exceeds_local_quota(&self, local_endpoint_ratio: f64) -> bool {
         self.capacity
             .exceeds_local_quota(self.load.local_in_flight, local_endpoint_ratio)
--- a/balancer-core/src/policy/attempt.rs
+++ b/balancer-core/src/policy/attempt.rs
@@ -14,7 +14,7 @@
     pub(super) idle_bucket: usize,
     /// When the request was completely sent; infinite until then.
     pub(super) sent_at: Millis,
-    /// Whether its timeout is before its request expires, so that it can be retried then.
+    /// Whether its timeout is before the request expires, which leaves time for a retry.
     pub(super) has_early_timeout: bool,
     /// Whether the endpoint is expected to respond now.
     pub(super) is_awaited: bool,
--- a/balancer-core/src/policy/attempt_timeout.rs
+++ b/balancer-core/src/policy/attempt_timeout.rs
@@ -7,7 +7,8 @@
 
 /// Failure rate of an endpoint above which attempts time out early, so that a retry is in time.
 const SUSPECT_FAILURE_RATE: f64 = 0.2;
-/// The same for the fraction of attempts that are lost on connections that were idle for as long.
+/// Fraction of attempts lost on connections of an idle bucket above which attempts on such connections time out
+/// early, so that a retry is in time.
 const SUSPECT_LOSS: f64 = SUSPECT_FAILURE_RATE / 4.0;
 /// Smallest early timeout: what timers, schedulers and a new connection may take on a busy machine.
 const MIN_EARLY_TIMEOUT: Millis = 100.0;
@@ -17,7 +18,7 @@
 /// The timeout of an attempt.
 #[derive(Clone, Copy)]
 pub(super) struct AttemptTimeout {
-    /// Time after the send; zero: no timeout.
+    /// Time after the send; zero: none but the client's deadline.
     pub(super) after: Millis,
     /// Whether it ends the attempt before the request expires, so that a retry is in time.
     pub(super) is_early: bool,
@@ -73,7 +74,8 @@
                 .has_more_reliable_endpoint(attempt.endpoint, now)
     }
 
-    /// Whether a retry of the newest attempt would be allowed now.
+    /// Whether the class, the remaining attempts and the retry budget allow a retry after an early timeout. The
+    /// window and scope of an idempotency key are checked when the retry is sent.
     fn may_retry(&self, pending: &PendingRequest) -> bool {
         let idempotency = self.settings.classes[pending.class()].idempotency;
         idempotency != Idempotency::NonIdempotent
--- a/balancer-core/src/policy/attempts.rs
+++ b/balancer-core/src/policy/attempts.rs
@@ -58,8 +58,8 @@
         true
     }
 
-    /// Returns the timeout of a started attempt (zero: none), and marks the attempt if that is early: a retry
-    /// follows then.
+    /// Returns the timeout of a started attempt; zero: none but the client's deadline. Marks the attempt if its
+    /// timeout is early, because the retry after an early timeout was allowed when the attempt was sent.
     fn choose_timeout(&mut self, now: Millis, id: RequestId, number: u32) -> Millis {
         let Some(pending) = self.pending.get(&id) else {
             return 0.0;
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Requests per millisecond that this replica sends each endpoint with full capacity.
+    /// Requests per millisecond that this replica sends to an endpoint with full capacity, if it divides them evenly.
     fn even_rate(&self) -> f64 {
         let max_candidates = self.endpoints.max_candidates() as f64;
         let accepting_fraction = self.endpoints.accepting_fraction();
@@ -186,7 +186,8 @@
         };
         self.endpoints.remove_from_unawaited(&attempt);
         let is_last_in_flight = !pending.has_attempts();
-        // If upstreams also shed requests that they have started, a rejection does not prove that it never ran.
+        // If upstreams also reject requests that they have started, a rejection does not prove that the request
+        // never ran.
         let may_have_run =
             end.outcome == AttemptOutcome::Rejected && self.settings.rejects_after_start;
         if end.outcome.never_ran() && !may_have_run && is_last_in_flight {
--- a/balancer-core/src/policy/capacity.rs
+++ b/balancer-core/src/policy/capacity.rs
@@ -21,7 +21,8 @@
 
 /// Growth of capacity per cycle when no response is late.
 const CAPACITY_GROWTH: f64 = 0.2;
-/// Reduction of capacity per cycle and unit of latency ratio.
+/// Reduction of capacity per cycle, as a fraction of it, for each unit by which the mean latency ratio exceeds
+/// [`STEADY_LATENCY_RATIO`].
 const CAPACITY_REDUCTION: f64 = 0.6;
 const MAX_CAPACITY_REDUCTION: f64 = 0.35;
 /// Fewest responses in a cycle that change capacity.
@@ -55,14 +56,14 @@
 const QUOTA_MULTIPLE_STEP: f64 = 1.5;
 /// Growth per cycle of the unloaded latency.
 const UNLOADED_LATENCY_GROWTH: f64 = 0.02;
-/// Fraction of responses within objective required for that growth.
+/// Fraction of responses within objective from which the unloaded latency grows.
 const MIN_FRACTION_FOR_LATENCY_GROWTH: f64 = 0.92;
 
 /// Limits of requests in flight.
 pub(super) struct InFlightLimits {
-    /// From here on, tenants above their limits are rejected.
+    /// With this many requests in flight or more, tenants above their limits are rejected.
     pub(super) soft: f64,
-    /// From here on, all requests are rejected.
+    /// With this many requests in flight or more, all requests are rejected.
     pub(super) hard: f64,
 }
 
@@ -83,7 +84,8 @@
     quota_multiple: f64,
     /// Smoothed fraction of responses within objective.
     within_objective_fraction: f64,
-    /// Number of endpoints that accept requests; one in slow start counts as its fraction of full capacity.
+    /// Number of endpoints that accept requests and are neither ejected nor overloaded; one in slow start counts
+    /// as its fraction of full capacity.
     endpoints: f64,
     max_endpoints: f64,
     admitted_mean: f64,
@@ -91,13 +93,13 @@
     responses: ResponseSample,
     /// Mean latency of responses to requests that did not queue.
     unloaded_latency: Millis,
-    /// Latency that is on time for the mean objective.
+    /// Largest latency that is on time for the mean objective.
     on_time_latency: Millis,
     /// Whether latency showed no queue when it was last recorded.
     has_no_queue: bool,
-    /// Whether the next tier is the first one and quotas are stated.
+    /// Whether this replica sends to the first tier and quotas are stated.
     has_first_tier_quotas: bool,
-    /// Number of replicas that share the first tier with stated quotas; otherwise one.
+    /// Number of replicas if they share the first tier and quotas are stated; otherwise one.
     sharing_replicas: f64,
 }
 
@@ -149,8 +151,8 @@
         self.within_objective_fraction < WANTED_WITHIN_OBJECTIVE_FRACTION
     }
 
-    /// Limits of requests in flight. If there are more than capacity needs at the unloaded latency, the others
-    /// queue, long before a late response shows it.
+    /// Limits of requests in flight. Requests beyond those that capacity needs at the unloaded latency wait in
+    /// queues, long before a late response shows a queue.
     pub(super) fn in_flight_limits(&self) -> InFlightLimits {
         let soft_multiple = self.blend(SOFT_LATENCY_MULTIPLE, SOFT_LATENCY_MULTIPLE_SHARED);
         let hard_alone = (self.unloaded_latency * HARD_LATENCY_MULTIPLE).max(self.on_time_latency);
@@ -179,8 +181,8 @@
         shared + (alone - shared) / self.sharing_replicas
     }
 
-    /// Whether requests should leave this replica's zone, because its endpoints there have as many in flight
-    /// as its quota needs. `local_endpoint_ratio` is the part of the quota that endpoints in the zone serve.
+    /// Whether requests should go to other zones, because the endpoints in this replica's zone have as many
+    /// requests in flight as their part of the quota needs. `local_endpoint_ratio` is that part; it may exceed one.
     pub(super) fn exceeds_local_quota(
         &self,
         local_in_flight: f64,
@@ -222,7 +224,8 @@
         self.unloaded_latency = self.unloaded_latency.min(latency);
     }
 
-    /// Changes capacity at once in proportion to the number of endpoints that accept requests.
+    /// Changes capacity at once in proportion to the number of endpoints that accept requests and are neither
+    /// ejected nor overloaded.
     pub(super) fn record_endpoints(&mut self, endpoints: f64) {
         if endpoints > 0.0 {
             if self.endpoints > 0.0 {
@@ -270,7 +273,8 @@
                 (self.quota_multiple * QUOTA_MULTIPLE_STEP).min(self.sharing_replicas);
             self.per_cycle = self.per_cycle.max(self.admitted_peak) * QUOTA_MULTIPLE_STEP;
         } else {
-            // Limits exceed what the tier can serve: reduce them, so that they decide which tenant is rejected.
+            // The limits together exceed what the tier can serve. Reduce capacity, and the limits with it, so that
+            // the limits decide which tenant is rejected.
             self.per_cycle = self.per_cycle.min(admitted);
         }
     }
@@ -292,9 +296,9 @@
         }
     }
 
-    /// Endpoints that accept requests, as a fraction of the largest number so far; 1 before any did.
+    /// `endpoints` as a fraction of its largest value so far; 1 while both are zero.
     fn endpoint_fraction(&self) -> f64 {
-        // `min` ignores the NaN of zero by zero.
+        // `min` returns 1 for the NaN of zero divided by zero.
         (self.endpoints / self.max_endpoints).min(1.0)
     }
 
--- a/balancer-core/src/policy/endpoint_polling.rs
+++ b/balancer-core/src/policy/endpoint_polling.rs
@@ -1,9 +1,11 @@
 //! Polling of the endpoint list: when a failed call is repeated, and whether the list is stale.
 //!
-//! A change counts as notified [`NOTIFICATION_DEADLINE`] after discovery had it and could be reached, whether this
-//! replica knows it or not. A failed call does not show when discovery becomes reachable again; in the worst case,
-//! that is right after the call started. So each call starts within [`max_call_interval`] of the start of the previous
-//! one, however long that one took and however many have failed. The rest of the deadline covers a wait in discovery's
+//! Discovery counts this replica as notified of a change [`NOTIFICATION_DEADLINE`] after it had the change and could
+//! be reached, whether this replica knows the change or not. A failed call does not show when discovery becomes
+//! reachable again; in the worst case, that is right after the call started. So the call after a rejected one starts
+//! within [`max_call_interval`] of the start of that one, however long it took and however many were rejected; after
+//! the call of an established watch, within the interval of its rejection. After other failures, the backoff is
+//! counted from the failure, and the next call may start later. The rest of the deadline covers a wait in discovery's
 //! queue. A rejected call is repeated at a random time within the interval: the fewer replicas of a fleet call at
 //! once, the fewer are rejected.
 use crate::policy::random::Random;
@@ -12,13 +14,14 @@
 
 /// Backoff after the first failed call, before jitter; doubles with each further one.
 const FAILURE_BACKOFF: Millis = 400.0;
-/// Largest backoff after failed calls, as a divisor of `poll_acknowledge_timeout`.
+/// `poll_acknowledge_timeout` divided by this is the largest backoff after failed calls.
 const MAX_FAILURE_BACKOFF_DIVISOR: f64 = 3.0;
 /// Smallest random fraction of a backoff after failed calls.
 const MIN_FAILURE_JITTER: f64 = 0.5;
 /// Largest number of doublings, so that they cannot overflow.
 const MAX_DOUBLINGS: u32 = 10;
-/// A change counts as notified at the latest this long after discovery had it and could be reached.
+/// Discovery counts a replica as notified of a change at the latest this long after it had the change and could be
+/// reached.
 const NOTIFICATION_DEADLINE: Millis = 6000.0;
 /// The same as a multiple of `poll_acknowledge_timeout`, where that is less.
 const NOTIFICATION_DEADLINE_MULTIPLE: f64 = 4.0;
@@ -44,7 +47,7 @@
     Rejected,
 }
 
-/// Longest time between the starts of two calls.
+/// Longest time from the start of a rejected call to the start of the next one.
 fn max_call_interval(settings: &Settings) -> Millis {
     let deadline = NOTIFICATION_DEADLINE
         .min(settings.poll_acknowledge_timeout * NOTIFICATION_DEADLINE_MULTIPLE);
@@ -54,9 +57,10 @@
 /// The state of the calls to discovery.
 #[derive(Default)]
 pub(super) struct EndpointPolling {
-    /// Consecutive calls that failed and were not rejected.
+    /// Failed calls since the last response or migration, without those rejected while an endpoint accepted
+    /// requests.
     consecutive_failures: u32,
-    /// When the pending call started; `None` for a call of an established watch.
+    /// When the pending call started; `None` if none is pending, or if it is the call of an established watch.
     call_started_at: Option<Millis>,
     /// When discovery last confirmed the list.
     confirmed_at: Option<Millis>,
@@ -81,8 +85,8 @@
         self.migrated_at = Some(now);
     }
 
-    /// Records a failed call and returns the pause before the next one. A rejection counts as any other failure
-    /// while no endpoint is ready, so that the pause stays short.
+    /// Records a failed call and returns the pause before the next one. While no endpoint accepts requests, a
+    /// rejection is treated like any other failure, so that the pause stays short.
     pub(super) fn record_failure(
         &mut self,
         failure: CallFailure,
@@ -127,7 +131,7 @@
         let interval = max_call_interval(settings);
         let earliest = now + MIN_REJECTION_PAUSE;
         let Some(call_started_at) = call_started_at else {
-            // Discovery had no change to report to the established watch until it rejected its call.
+            // Until discovery rejected the call of the established watch, it had no change to report.
             return now + interval;
         };
         // A watch that failed may have missed changes since the list was confirmed.
--- a/balancer-core/src/policy/endpoints.rs
+++ b/balancer-core/src/policy/endpoints.rs
@@ -103,7 +103,8 @@
         self.subset.max_candidates()
     }
 
-    /// The part of this replica's quota that endpoints in its zone serve.
+    /// The part of this replica's quota that endpoints in its zone can serve; above one if its zone has more than an
+    /// even part of the endpoints.
     pub(super) fn local_endpoint_ratio(&self) -> f64 {
         self.subset.local_endpoint_ratio()
     }
@@ -192,7 +193,8 @@
         }
     }
 
-    /// Records that an attempt ended; must be called before its outcome is recorded.
+    /// Stops counting an ending attempt among the requests without an expected response; must be called before its
+    /// outcome is recorded.
     pub(super) fn remove_from_unawaited(&mut self, attempt: &Attempt) {
         if !attempt.is_awaited {
             self.slots[attempt.endpoint].in_flight.decrement_unawaited();
--- a/balancer-core/src/policy/endpoints/health.rs
+++ b/balancer-core/src/policy/endpoints/health.rs
@@ -16,8 +16,8 @@
 const OUTLIER_RATIO: f64 = 2.0;
 /// Fewest attempts after which an outlier is ejected, unless it is unresponsive.
 const MIN_ATTEMPTS: u32 = 3;
-/// At most one in this many ready endpoints is ejected at a time, so that the others can carry the load; one is
-/// always allowed.
+/// At most one in this many endpoints that accept requests is ejected at a time, so that the others can carry the
+/// load; one is always allowed.
 const MAX_EJECTED_DIVISOR: usize = 3;
 /// Duration of the first ejection, before jitter; each further one is longer by this.
 const EJECTION_STEP: Millis = 2000.0;
@@ -56,7 +56,8 @@
         self.attempts += 1;
         self.failure_rate += FAILURE_GAIN * (f64::from(failed) - self.failure_rate);
         if is_unresponsive {
-            // It does not respond while others do: no further timeouts are needed as proof.
+            // The endpoint has sent no response for many times the latency that is expected of all endpoints: no
+            // further timeouts are needed as proof.
             self.failure_rate = 1.0;
         }
     }
@@ -122,8 +123,8 @@
         in_flight.awaited() > 0 && in_flight.wait(now) > (factor * expected).max(MIN_OVERDUE_WAIT)
     }
 
-    /// Records the outcome of an attempt. Returns whether the endpoint is an outlier, so that a failure is its
-    /// own and not the tier's.
+    /// Records the outcome of an attempt. Returns whether the endpoint is an outlier: its failures are then its own
+    /// and not the tier's.
     pub(in crate::policy) fn record_outcome(
         &mut self,
         attempt: &Attempt,
--- a/balancer-core/src/policy/endpoints/idle_connections.rs
+++ b/balancer-core/src/policy/endpoints/idle_connections.rs
@@ -22,7 +22,7 @@
 pub(super) struct IdleConnections {
     /// Number of connections that should be open, in use or idle.
     open: u32,
-    /// Since when one of them may have been idle.
+    /// Earliest time at which one of them may have become idle: all were last in use then.
     idle_since: Millis,
 }
 
@@ -104,7 +104,7 @@
         if is_unrelated_to_idle_time {
             return;
         }
-        // A reset after that time shows that the connection was usable.
+        // A reset later than `IMMEDIATE_RESET` after the send shows that the connection was usable.
         let is_immediate_reset = outcome == AttemptOutcome::Reset && duration < IMMEDIATE_RESET;
         let is_lost = is_immediate_reset || outcome == AttemptOutcome::Timeout;
         let gain = if is_immediate_reset && bucket > 0 {
--- a/balancer-core/src/policy/endpoints/in_flight.rs
+++ b/balancer-core/src/policy/endpoints/in_flight.rs
@@ -10,7 +10,8 @@
     unawaited: u32,
     /// The class of each request.
     classes: Vec<usize>,
-    /// When the endpoint last responded, or when it was first expected to after that.
+    /// When the endpoint last responded; or when it was next expected to respond, if no response was expected in
+    /// between.
     awaited_since: Millis,
 }
 
@@ -35,7 +36,8 @@
         &self.classes
     }
 
-    /// Time since the endpoint last responded, or since it was first expected to after that.
+    /// Time since the endpoint last responded; or since it was next expected to respond, if no response was expected
+    /// in between.
     pub(super) fn wait(&self, now: Millis) -> Millis {
         now - self.awaited_since
     }
@@ -66,7 +68,7 @@
         self.unawaited += 1;
     }
 
-    /// Records that a request without an expected response is about to be removed.
+    /// Counts one request less that the endpoint is not expected to respond to.
     pub(super) fn decrement_unawaited(&mut self) {
         self.unawaited = self.unawaited.saturating_sub(1);
     }
--- a/balancer-core/src/policy/endpoints/picker.rs
+++ b/balancer-core/src/policy/endpoints/picker.rs
@@ -18,7 +18,7 @@
 pub(crate) struct PickCriteria {
     pub(crate) now: Millis,
     pub(crate) class: usize,
-    /// Requests per millisecond that this replica sends each endpoint with full capacity.
+    /// Requests per millisecond that this replica sends to an endpoint with full capacity, if it divides them evenly.
     pub(crate) even_rate: f64,
     /// The endpoint of the previous attempt, which is not picked again.
     pub(crate) previous: Option<usize>,
--- a/balancer-core/src/policy/endpoints/start_times.rs
+++ b/balancer-core/src/policy/endpoints/start_times.rs
@@ -23,12 +23,12 @@
 #[derive(Default)]
 pub(super) struct StartTimes {
     by_id: BTreeMap<UpstreamId, Start>,
-    /// Whether a list was recorded: new start times in later ones are of recent starts.
+    /// Whether a list was recorded: a start time that appears first in a later list is that of a recent start.
     has_list: bool,
 }
 
 impl StartTimes {
-    /// Records a listed endpoint and returns when it started; zero: long ago.
+    /// Records an endpoint of a list or delta and returns when it started; zero: long ago.
     pub(super) fn record(&mut self, endpoint: &Endpoint, now: Millis) -> Millis {
         let started_at = self.started_at(endpoint, now);
         self.by_id.insert(
--- a/balancer-core/src/policy/endpoints/subset.rs
+++ b/balancer-core/src/policy/endpoints/subset.rs
@@ -27,7 +27,7 @@
 
 impl RingEntry<'_> {
     /// Position on the ring, the same at every balancer. Endpoints of a group are neighbours, so that the
-    /// subset holds others of the same group for retries with an idempotency key.
+    /// subset holds other endpoints of the group for retries with an idempotency key.
     fn ring_key(&self) -> (u64, u64, UpstreamId) {
         let group = UpstreamId(self.endpoint.group.into());
         let id = self.endpoint.id;
@@ -56,8 +56,8 @@
     /// Wanted number of endpoints per class and zone choice.
     size: usize,
     by_class: Vec<Candidates>,
-    /// Number of endpoints in this replica's zone, as a multiple of an even division among the zones that have
-    /// replicas.
+    /// Number of endpoints in this replica's zone, divided by the number that it would have if the zones with
+    /// replicas divided all endpoints evenly.
     local_endpoint_ratio: f64,
 }
 
@@ -165,7 +165,8 @@
         .collect()
 }
 
-/// A stable position on the ring: a hash of the id (the finalizer of SplitMix64).
+/// A stable position on the ring: a hash of an upstream's id, or of a group in the place of an id (the finalizer of
+/// SplitMix64).
 fn ring_position(id: UpstreamId) -> u64 {
     let mixed = (id.0 ^ (id.0 >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
--- a/balancer-core/src/policy/latency.rs
+++ b/balancer-core/src/policy/latency.rs
@@ -84,7 +84,8 @@
     }
 }
 
-/// How late a response is: 0 while it is on time, 1 at its objective, at most [`MAX_LATENCY_RATIO`].
+/// How late a response is: its time beyond [`ON_TIME_FRACTION`] of the objective, divided by the rest of the
+/// objective. 0 while the response is on time, 1 at its objective, at most [`MAX_LATENCY_RATIO`].
 pub(super) fn latency_ratio(duration: Millis, objective: Millis) -> f64 {
     let excess = duration / objective - ON_TIME_FRACTION;
     (excess / (1.0 - ON_TIME_FRACTION)).clamp(0.0, MAX_LATENCY_RATIO)
--- a/balancer-core/src/policy/pending_request.rs
+++ b/balancer-core/src/policy/pending_request.rs
@@ -147,8 +147,8 @@
     }
 }
 
-/// When a request whose client has this deadline expires. A late response without value would only use capacity
-/// in every tier above.
+/// When a request expires whose client waits until `deadline`. A late response without value would only use
+/// capacity in every tier above.
 pub(super) fn expiry(class: &Class, deadline: Millis, now: Millis) -> Millis {
     let is_always_useful = deadline == f64::INFINITY || class.late_weight > 0.0;
     let useful_end = if is_always_useful {
--- a/balancer-core/src/policy/random.rs
+++ b/balancer-core/src/policy/random.rs
@@ -1,4 +1,4 @@
-//! The random numbers of an instance: one generator with a fixed seed.
+//! The random numbers of a balancer: one generator, seeded once.
 use rand_core::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
--- a/balancer-core/src/policy/requests.rs
+++ b/balancer-core/src/policy/requests.rs
@@ -117,7 +117,7 @@
         actions.push(response);
     }
 
-    /// Removes a closed request once no attempt is in flight.
+    /// Removes a request, which the caller has closed, if no attempt is in flight.
     fn remove_if_none_in_flight(&mut self, id: RequestId) {
         let has_none_in_flight = self
             .pending
--- a/balancer-core/src/policy/retry_budget.rs
+++ b/balancer-core/src/policy/retry_budget.rs
@@ -72,7 +72,7 @@
         Some(RetrySource::Requests)
     }
 
-    /// Returns a retry that was not needed.
+    /// Gives back a retry that was not sent.
     pub(super) fn give_back(&mut self, source: RetrySource) {
         self.add(source, 1.0);
     }
--- a/balancer-core/src/policy/tenant_limits.rs
+++ b/balancer-core/src/policy/tenant_limits.rs
@@ -1,10 +1,10 @@
 //! Division of capacity among tenants.
 
-/// The limit of each tenant for the next cycle, from its demand in the last one.
+/// The limit of each tenant for the next cycle, from its expected demand.
 ///
-/// Each tenant has a default limit by its weight. What a tenant does not use of it is lent to the others,
-/// except for `reserved_fraction` of it. Limits are not negative, and their sum is at most `capacity`, up to
-/// rounding.
+/// Each tenant has a default limit by its weight. The part of its default limit that a tenant does not use is lent
+/// to the others, except for `reserved_fraction` of the default limit. Limits are not negative, and their sum is at
+/// most `capacity`, up to rounding.
 pub fn tenant_limits(
     capacity: f64,
     demands: &[f64],
@@ -17,6 +17,7 @@
         .zip(&defaults)
         .map(|(&demand, &default)| demand.max(default * reserved_fraction))
         .collect();
+    // Negative if the tenant wants more than its default limit.
     let spare_limits: Vec<f64> = defaults
         .iter()
         .zip(&wanted)
@@ -41,7 +42,7 @@
     (0..demands.len()).map(limit).collect()
 }
 
-/// Capacity divided by weight, or evenly if all weights are zero.
+/// Capacity divided in proportion to the weights, or evenly if all weights are zero.
 fn default_limits(capacity: f64, weights: &[f64]) -> Vec<f64> {
     let total: f64 = weights.iter().sum();
     let even = 1.0 / weights.len() as f64;
--- a/balancer-core/src/request.rs
+++ b/balancer-core/src/request.rs
@@ -1,7 +1,7 @@
 //! Requests and the outcomes of their attempts.
 use crate::time::Millis;
 
-/// Identifies a request; never reused by an instance.
+/// Identifies a request; never used for a second request at the same balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestId(pub u32);
 
@@ -44,8 +44,8 @@
 }
 
 impl AttemptOutcome {
-    /// Whether this outcome proves that the request never ran. For `Rejected`, see also
-    /// [`Settings::rejects_after_start`](crate::Settings::rejects_after_start).
+    /// Whether this outcome proves that the request never ran. `Rejected` proves it only if
+    /// [`Settings::rejects_after_start`](crate::Settings::rejects_after_start) is not set, which the caller checks.
     pub fn never_ran(self) -> bool {
         matches!(
             self,
--- a/balancer-core/src/settings.rs
+++ b/balancer-core/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a balancer instance, with defaults.
+//! Settings of a balancer, with defaults.
 mod validation;
 
 use crate::class::{Class, Idempotency};
@@ -11,20 +11,20 @@
 pub struct Tenant {
     /// Weight relative to the other tenants; weights need not sum to one. At least zero.
     pub weight: f64,
-    /// Requests per second within its quota, over all balancers together; zero if not stated.
+    /// Quota in requests per second, over all balancers together; zero: none is stated.
     pub quota_per_s: f64,
 }
 
-/// All settings of one instance. [`Settings::default`] gives documented defaults.
+/// All settings of one balancer. [`Settings::default`] gives documented defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
-    /// Position of this instance among the balancers of its tier, from zero.
+    /// Position of this balancer among those that send to the same tier, from zero.
     pub index: u32,
-    /// Number of balancers in the tier. At least one.
+    /// Number of balancers that send to the same tier. At least one.
     pub balancers: u32,
-    /// The tier that this instance sends to; zero is the tier that clients reach first.
+    /// The tier that this balancer sends to; zero is the tier that clients reach first.
     pub tier: u32,
-    /// The zone that this instance runs in.
+    /// The zone that this balancer runs in.
     pub zone: u16,
     /// Request classes; requests name them by position. At least one.
     pub classes: Vec<Class>,
@@ -36,7 +36,7 @@
     pub cancel: bool,
     /// Whether the endpoint list must be polled (`true`) or is pushed (`false`).
     pub poll_endpoints: bool,
-    /// An instance that has neither subscribed nor polled for this long counts as notified of every change.
+    /// Discovery counts a balancer that has neither subscribed nor polled for this long as notified of every change.
     pub poll_acknowledge_timeout: Millis,
     /// Idle connections are closed after this time.
     pub idle_close: Millis,
@@ -44,20 +44,20 @@
     pub connect_timeout: Millis,
     /// Largest `Retry-After` that clients respect; zero: none is sent.
     pub max_retry_after: Millis,
-    /// Fraction of its capacity that an upstream has at least at the beginning of its slow start.
+    /// Smallest fraction of its full capacity that an upstream has at the beginning of its slow start.
     pub slow_start_initial_fraction: f64,
-    /// An upstream reaches its full capacity within this time.
+    /// An upstream reaches its full capacity within this time after its start.
     pub slow_start_duration: Millis,
     /// An upstream in slow start fails when it is sent more than this multiple of its current capacity.
     pub slow_start_overload_factor: f64,
     /// Period over which `slow_start_overload_factor` applies.
     pub slow_start_overload_window: Millis,
-    /// Whether upstreams also shed requests that they have started: [`AttemptOutcome::Rejected`] then does not
+    /// Whether upstreams also reject requests that they have started: [`AttemptOutcome::Rejected`] then does not
     /// prove that an attempt never ran.
     ///
     /// [`AttemptOutcome::Rejected`]: crate::AttemptOutcome::Rejected
     pub rejects_after_start: bool,
-    /// Price of one zone crossing per first attempt, as a fraction of a request's value.
+    /// Price of sending the first attempt of a request to another zone, as a fraction of the request's value.
     pub cross_zone_price: f64,
 }
 
--- a/balancer-core/src/settings/validation.rs
+++ b/balancer-core/src/settings/validation.rs
@@ -3,7 +3,8 @@
 use crate::settings::{Settings, Tenant};
 use std::fmt;
 
-/// Upper limit of every number: products of two such numbers stay finite. The texts below name it.
+/// Upper limit of every number: products of two such numbers stay finite. The texts below repeat it and have to
+/// agree with it.
 const MAX_NUMBER: f64 = 1e15;
 
 const TIME_ABOVE_ZERO: &str = "a time in ms above 0 and at most 1e15";
