--- a/balancer-core/src/policy/attempt.rs
+++ b/balancer-core/src/policy/attempt.rs
@@ -14,7 +14,7 @@
     pub(super) idle_bucket: usize,
     /// When the request was completely sent; infinite until then.
     pub(super) sent_at: Millis,
-    /// Whether its timeout is before its request expires, so that it can be retried then.
+    /// Whether its timeout is before the request expires, which leaves time for a retry.
     pub(super) has_early_timeout: bool,
     /// Whether the endpoint is expected to respond now.
     pub(super) is_awaited: bool,
@@ -22,7 +22,7 @@
 
 /// The first attempt that may have run.
 #[derive(Clone, Copy)]
-pub(super) struct FirstRun {
+pub(super) struct FirstPossibleRun {
     pub(super) attempt: u32,
     pub(super) sent_at: Millis,
     pub(super) zone: u16,
@@ -33,15 +33,15 @@
 #[derive(Clone, Copy)]
 pub(super) struct RetryConstraint {
     pub(super) scope: DedupScope,
-    pub(super) first_run: FirstRun,
+    pub(super) first_possible_run: FirstPossibleRun,
 }
 
 impl RetryConstraint {
     pub(super) fn allows(&self, endpoint: &Endpoint) -> bool {
         match self.scope {
             DedupScope::All => true,
-            DedupScope::Zone => endpoint.zone == self.first_run.zone,
-            DedupScope::Group => endpoint.group == self.first_run.group,
+            DedupScope::Zone => endpoint.zone == self.first_possible_run.zone,
+            DedupScope::Group => endpoint.group == self.first_possible_run.group,
         }
     }
 }
--- a/balancer-core/src/policy/endpoints/in_flight.rs
+++ b/balancer-core/src/policy/endpoints/in_flight.rs
@@ -10,7 +10,8 @@
     unawaited: u32,
     /// The class of each request.
     classes: Vec<usize>,
-    /// When the endpoint last responded, or when it was first expected to after that.
+    /// When the endpoint last responded; or when it was next expected to respond, if no response was expected in
+    /// between.
     awaited_since: Millis,
 }
 
@@ -35,7 +36,8 @@
         &self.classes
     }
 
-    /// Time since the endpoint last responded, or since it was first expected to after that.
+    /// Time since the endpoint last responded; or since it was next expected to respond, if no response was expected
+    /// in between.
     pub(super) fn wait(&self, now: Millis) -> Millis {
         now - self.awaited_since
     }
@@ -66,15 +68,15 @@
         self.unawaited += 1;
     }
 
-    /// Records that a request without an expected response is about to be removed.
-    pub(super) fn remove_unawaited(&mut self) {
+    /// Counts one request less that the endpoint is not expected to respond to.
+    pub(super) fn decrement_unawaited(&mut self) {
         self.unawaited = self.unawaited.saturating_sub(1);
     }
 
     /// Records that the endpoint is expected to respond to one more of the requests from now on.
     pub(super) fn start_awaiting(&mut self, now: Millis) {
         self.reset_wait_if_none_awaited(now);
-        self.remove_unawaited();
+        self.decrement_unawaited();
     }
 
     fn reset_wait_if_none_awaited(&mut self, now: Millis) {
--- a/balancer-core/src/policy/endpoints/picker.rs
+++ b/balancer-core/src/policy/endpoints/picker.rs
@@ -18,7 +18,7 @@
 pub(crate) struct PickCriteria {
     pub(crate) now: Millis,
     pub(crate) class: usize,
-    /// Requests per millisecond that this replica sends each endpoint with full capacity.
+    /// Requests per millisecond that this replica sends to an endpoint with full capacity, if it divides them evenly.
     pub(crate) even_rate: f64,
     /// The endpoint of the previous attempt, which is not picked again.
     pub(crate) previous: Option<usize>,
@@ -128,9 +128,9 @@
     fn is_excluded(&self, index: usize, criteria: &PickCriteria) -> bool {
         let endpoint = &self.slots[index].endpoint;
         let constraint = criteria.retry_constraint;
-        let discards_retry = constraint.is_none_or(|constraint| constraint.allows(endpoint));
+        let meets_constraint = constraint.is_none_or(|constraint| constraint.allows(endpoint));
         criteria.previous == Some(index)
-            || !discards_retry
+            || !meets_constraint
             || self.is_overloaded(index, criteria.now)
             || (!criteria.is_last_resort && self.is_avoided(index, criteria.now))
     }
