--- a/balancer/src/net/descriptor_budget.rs
+++ b/balancer/src/net/descriptor_budget.rs
@@ -104,7 +104,7 @@
     }
 
     /// Whether more than a quarter of the budget is free.
-    pub fn is_plentiful(&self) -> bool {
+    pub fn has_headroom(&self) -> bool {
         self.connections.available_permits() > self.max_connections as usize / 4
     }
 
--- a/balancer/src/net/listener/tests.rs
+++ b/balancer/src/net/listener/tests.rs
@@ -23,7 +23,7 @@
 /// Guards against dropping a request whose client half-closes its connection before it is
 /// registered.
 #[test]
-fn distinguishes_a_client_that_left_from_one_that_left_a_request() {
+fn distinguishes_a_disconnected_client_from_one_that_left_a_request() {
     let listener = TcpListener::bind(loopback()).expect("listens");
     let address = listener.local_addr().expect("an address");
     for (request, has_left) in [("", true), ("GET", false)] {
--- a/balancer/src/net/received_bytes.rs
+++ b/balancer/src/net/received_bytes.rs
@@ -1,14 +1,14 @@
 //! The bytes of the newest response on a connection, to tell whether further bytes are a copy of it.
 
 /// Longest response that is kept. Most are shorter; of a longer one nothing is told.
-pub const MAX_KEPT_BYTES: usize = 4 << 10;
+pub const MAX_RECORDED_BYTES: usize = 4 << 10;
 
 /// What has been received since the newest request began.
 #[derive(Default)]
 pub struct ReceivedBytes {
     bytes: Vec<u8>,
     /// Whether there was more than is kept.
-    is_cut: bool,
+    is_truncated: bool,
     /// How many of the bytes had arrived when the response was complete.
     response_length: Option<usize>,
 }
@@ -17,16 +17,16 @@
     /// A request begins.
     pub fn begin_request(&mut self) {
         self.bytes.clear();
-        self.is_cut = false;
+        self.is_truncated = false;
         self.response_length = None;
     }
 
     /// Keeps bytes that were read.
     pub fn append(&mut self, bytes: &[u8]) {
-        if self.bytes.len() + bytes.len() > MAX_KEPT_BYTES {
-            self.is_cut = true;
+        if self.bytes.len() + bytes.len() > MAX_RECORDED_BYTES {
+            self.is_truncated = true;
         }
-        if !self.is_cut {
+        if !self.is_truncated {
             self.bytes.extend_from_slice(bytes);
         }
     }
@@ -44,7 +44,7 @@
             Some(length) if length < total => length,
             Some(_) | None => total / 2,
         };
-        if self.is_cut || length == 0 || !total.is_multiple_of(length) {
+        if self.is_truncated || length == 0 || !total.is_multiple_of(length) {
             return false;
         }
         let response = &self.bytes[..length];
--- a/balancer/src/net/received_bytes/tests.rs
+++ b/balancer/src/net/received_bytes/tests.rs
@@ -37,10 +37,10 @@
 }
 
 #[test]
-fn nothing_is_told_of_a_long_response() {
-    let long = vec![b'x'; MAX_KEPT_BYTES + 1];
+fn a_response_too_long_to_record_is_no_copy() {
+    let long = vec![b'x'; MAX_RECORDED_BYTES + 1];
     assert!(!received(&long, &long).is_response_repeated());
-    let half = vec![b'x'; MAX_KEPT_BYTES / 2];
+    let half = vec![b'x'; MAX_RECORDED_BYTES / 2];
     assert!(received(&half, &half).is_response_repeated());
     let mut next = received(&long, b"");
     next.begin_request();
--- a/balancer/src/net/shared_stream.rs
+++ b/balancer/src/net/shared_stream.rs
@@ -1,6 +1,6 @@
 //! A TCP stream that stays accessible while hyper reads and writes it: how far a message is
 //! written, whether the peer has disconnected, and since when bytes are unread.
-use crate::net::received_bytes::{ReceivedBytes, MAX_KEPT_BYTES};
+use crate::net::received_bytes::{ReceivedBytes, MAX_RECORDED_BYTES};
 use crate::net::socket_io;
 use crate::net::tcp_stream::TcpStream;
 use std::cell::{Cell, RefCell};
@@ -133,17 +133,17 @@
     /// Whether what follows the newest response is the same response again. Takes unread bytes: the
     /// connection is of no further use.
     pub fn is_response_repeated(&self) -> bool {
-        let mut buffer = [0; MAX_KEPT_BYTES];
+        let mut buffer = [0; MAX_RECORDED_BYTES];
         let mut unread = ReadBuf::new(&mut buffer);
         // Without them the answer is no.
         let _ = socket_io::try_read(&self.stream, &mut unread);
-        self.keep_received(unread.filled());
+        self.record_received(unread.filled());
         self.received
             .as_ref()
             .is_some_and(|received| received.borrow().is_response_repeated())
     }
 
-    fn keep_received(&self, bytes: &[u8]) {
+    fn record_received(&self, bytes: &[u8]) {
         if let Some(received) = &self.received {
             received.borrow_mut().append(bytes);
         }
@@ -233,7 +233,7 @@
         }
     }
 
-    fn poll_read_unkept(
+    fn poll_read_unrecorded(
         &self,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
@@ -258,8 +258,8 @@
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
         let filled = buf.filled().len();
-        let result = self.poll_read_unkept(cx, buf);
-        self.keep_received(&buf.filled()[filled..]);
+        let result = self.poll_read_unrecorded(cx, buf);
+        self.record_received(&buf.filled()[filled..]);
         result
     }
 }
--- a/balancer/src/outbound/attempt.rs
+++ b/balancer/src/outbound/attempt.rs
@@ -306,8 +306,8 @@
 
     async fn return_connection(&self, mut connection: Connection) {
         let ready = timeout(CONNECTION_READY_TIMEOUT, connection.sender.ready()).await;
-        let may_rest = self.transport.connector.may_rest(&self.upstream);
-        if matches!(ready, Ok(Ok(()))) && may_rest {
+        let may_keep_idle = self.transport.connector.may_keep_idle(&self.upstream);
+        if matches!(ready, Ok(Ok(()))) && may_keep_idle {
             self.upstream.return_after_response(connection);
         }
     }
--- a/balancer/src/outbound/attempt/tests.rs
+++ b/balancer/src/outbound/attempt/tests.rs
@@ -13,7 +13,7 @@
 use tokio::task::LocalSet;
 
 /// Longer than a connection rests before it is reused.
-const REST: Duration = Duration::from_secs(1);
+const REUSE_WAIT: Duration = Duration::from_secs(1);
 
 fn connector(sockets: DescriptorBudget) -> Connector {
     Connector::new(
@@ -209,7 +209,7 @@
                 result.response,
                 Some(FinalResponse::Served { .. })
             ));
-            tokio::time::sleep(REST).await;
+            tokio::time::sleep(REUSE_WAIT).await;
         }
         let stale = server.join().expect("the upstream");
         assert!(
@@ -243,7 +243,7 @@
             transport.attempt(upstream.clone(), request, deadline, || (), |_| ())
         };
         assert_eq!(attempt().await.outcome, AttemptOutcome::Success);
-        tokio::time::sleep(REST).await;
+        tokio::time::sleep(REUSE_WAIT).await;
         let detection = async {
             second_awaited.await.expect("a request");
             upstream.record_surplus(SurplusEvidence::ExpectedCopy, Instant::now());
@@ -251,7 +251,7 @@
         let (result, ()) = tokio::join!(attempt(), detection);
         assert_eq!(result.outcome, AttemptOutcome::Error);
         // The connection's task closes it.
-        tokio::time::sleep(REST).await;
+        tokio::time::sleep(REUSE_WAIT).await;
         assert!(server.is_finished(), "the connection is closed");
         let further = server.join().expect("the upstream");
         assert!(further.is_empty(), "nothing more is written to it");
--- a/balancer/src/outbound/connection_pool.rs
+++ b/balancer/src/outbound/connection_pool.rs
@@ -2,7 +2,7 @@
 use crate::body::request_body::AttemptBody;
 use crate::net::shared_stream::{SharedStream, UnreadState};
 use crate::outbound::connection_use::ConnectionUse;
-use crate::outbound::surplus_history::{SurplusEvidence, SurplusHistory, LONG_REST};
+use crate::outbound::surplus_history::{SurplusEvidence, SurplusHistory, LONG_REUSE_DELAY};
 use crate::outbound::surplus_reporter::{SurplusRecord, SurplusReporter};
 use crate::telemetry::upstream_counts::UpstreamCounts;
 use hyper::client::conn::http1;
@@ -19,7 +19,7 @@
 const PREFERRED_IDLE_TIME: Duration = Duration::from_secs(1);
 /// How long a connection that may not be used again stays open, to observe whether surplus data
 /// still follows the upstream's responses.
-const OBSERVATION_TIME: Duration = LONG_REST;
+const OBSERVATION_TIME: Duration = LONG_REUSE_DELAY;
 
 /// One open connection; closed when dropped.
 pub struct Connection {
@@ -107,7 +107,7 @@
         if self.is_observed_only {
             return None;
         }
-        let delay = if self.connection.connection_use().has_carried_request() {
+        let delay = if self.connection.connection_use().has_completed_request() {
             reuse_delay
         } else {
             Duration::ZERO
@@ -259,7 +259,7 @@
         self.close_expired(now, idle_limit);
         while let Some(connection) = self.remove_best_idle(now) {
             if connection.check_reusable() {
-                if connection.connection_use().has_carried_request() {
+                if connection.connection_use().has_completed_request() {
                     self.surplus.record_reuse();
                 }
                 return PooledConnection::Ready(connection);
@@ -289,13 +289,13 @@
     fn remove_best_idle(&self, now: Instant) -> Option<Connection> {
         let reuse_delay = self.reuse_delay(now);
         let mut idle = self.idle.borrow_mut();
-        let is_rested = |idle: &IdleConnection, delay: Duration| {
+        let is_reusable = |idle: &IdleConnection, delay: Duration| {
             idle.reusable_at(delay).is_some_and(|at| at <= now)
         };
         let position = idle
             .iter()
-            .rposition(|idle| is_rested(idle, PREFERRED_IDLE_TIME.max(reuse_delay)))
-            .or_else(|| idle.iter().position(|idle| is_rested(idle, reuse_delay)))?;
+            .rposition(|idle| is_reusable(idle, PREFERRED_IDLE_TIME.max(reuse_delay)))
+            .or_else(|| idle.iter().position(|idle| is_reusable(idle, reuse_delay)))?;
         Some(idle.remove(position).connection)
     }
 
@@ -306,7 +306,7 @@
         connection.socket.acknowledge_received_data();
         connection.connection_use().record_response(now);
         connection.socket.complete_response();
-        let is_single_use = self.surplus.is_single_use(now + LONG_REST);
+        let is_single_use = self.surplus.is_single_use(now + LONG_REUSE_DELAY);
         if !(is_single_use && self.is_observing()) {
             self.add_idle(connection, is_single_use);
         }
@@ -361,7 +361,7 @@
     /// None of the idle connections is used again, unless a long rest shows whether a copy follows
     /// on them too.
     fn record_surplus(&self, evidence: SurplusEvidence, now: Instant) -> Option<Duration> {
-        if !self.surplus.is_covered_by_rest(evidence, now) {
+        if !self.surplus.is_covered_by_reuse_delay(evidence, now) {
             self.close_idle();
         }
         self.surplus.record(evidence, now)
--- a/balancer/src/outbound/connection_pool/tests.rs
+++ b/balancer/src/outbound/connection_pool/tests.rs
@@ -36,7 +36,7 @@
 /// Guards against paying for other connections than the one that carries a copy, once all of them
 /// rest long enough to show theirs.
 #[tokio::test]
-async fn an_expected_copy_closes_idle_connections_only_before_long_rests() {
+async fn an_expected_copy_closes_idle_connections_only_before_the_long_reuse_delay() {
     let test = async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let upstream = Upstream::new(listener.local_addr().expect("an address"));
@@ -52,7 +52,7 @@
 /// Guards against a second wrong response, and against connections that carry one request though
 /// the data is explained.
 #[tokio::test]
-async fn a_used_connection_is_reused_after_a_long_rest_once_there_was_surplus_data() {
+async fn a_used_connection_is_reused_after_the_long_delay_once_there_was_surplus_data() {
     let test = async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let upstream = Upstream::new(listener.local_addr().expect("an address"));
@@ -65,7 +65,7 @@
             assert!(response_at.elapsed() < TIMEOUT, "it is not reused");
             sleep(Duration::from_millis(10)).await;
         }
-        assert!(response_at.elapsed() >= LONG_REST);
+        assert!(response_at.elapsed() >= LONG_REUSE_DELAY);
     };
     LocalSet::new().run_until(test).await;
 }
@@ -82,7 +82,7 @@
             upstream.return_after_response(connection);
         }
         assert_eq!(upstream.idle.borrow().len(), 1, "one is observed");
-        sleep(LONG_REST + MARGIN).await;
+        sleep(LONG_REUSE_DELAY + MARGIN).await;
         assert!(!is_ready(&upstream), "it is not reused");
     };
     LocalSet::new().run_until(test).await;
--- a/balancer/src/outbound/connection_use.rs
+++ b/balancer/src/outbound/connection_use.rs
@@ -1,5 +1,5 @@
 //! What one connection to an upstream has carried, and what surplus data on it shows.
-use crate::outbound::surplus_history::{SurplusEvidence, LONG_REST, MAX_EXPECTED_LATENESS};
+use crate::outbound::surplus_history::{SurplusEvidence, LONG_REUSE_DELAY, MAX_EXPECTED_LATENESS};
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -13,17 +13,16 @@
     last_response_at: Cell<Option<Instant>>,
     /// Whether its newest request has not got a complete response.
     awaits_response: Cell<bool>,
-    /// Whether a request followed a response before [`LONG_REST`] had passed.
+    /// Whether a request followed a response before [`LONG_REUSE_DELAY`] had passed.
     has_been_reused_early: Cell<bool>,
 }
 
 impl ConnectionUse {
     /// The connection is used for a request.
     pub fn record_request(&self, now: Instant) {
-        let follows_early = self
-            .last_response_at
-            .get()
-            .is_some_and(|response_at| now.saturating_duration_since(response_at) < LONG_REST);
+        let follows_early = self.last_response_at.get().is_some_and(|response_at| {
+            now.saturating_duration_since(response_at) < LONG_REUSE_DELAY
+        });
         self.has_been_reused_early
             .set(self.has_been_reused_early.get() || follows_early);
         self.requests.set(self.requests.get().saturating_add(1));
@@ -37,12 +36,12 @@
     }
 
     /// Whether it has got a complete response.
-    pub fn has_carried_request(&self) -> bool {
+    pub fn has_completed_request(&self) -> bool {
         self.last_response_at.get().is_some()
     }
 
     /// Whether its newest request is not its first.
-    pub fn carries_later_request(&self) -> bool {
+    pub fn is_reused(&self) -> bool {
         self.requests.get() > 1
     }
 
--- a/balancer/src/outbound/connection_use/tests.rs
+++ b/balancer/src/outbound/connection_use/tests.rs
@@ -1,16 +1,16 @@
 //! What surplus data shows, by what its connection has carried.
 use super::*;
 
-const MOMENT: Duration = Duration::from_millis(1);
+const ONE_MS: Duration = Duration::from_millis(1);
 
 /// A connection that has carried requests, each after such a rest.
-fn used_connection(rests: &[Duration]) -> (ConnectionUse, Instant) {
+fn used_connection(delays: &[Duration]) -> (ConnectionUse, Instant) {
     let connection = ConnectionUse::default();
     let mut now = Instant::now();
     connection.record_request(now);
     connection.record_response(now);
-    for rest in rests {
-        now += *rest;
+    for delay in delays {
+        now += *delay;
         connection.record_request(now);
         connection.record_response(now);
     }
@@ -28,12 +28,12 @@
         "unused"
     );
     connection.record_request(now);
-    assert!(!connection.has_carried_request());
-    let at_once = connection.evidence_of_surplus(false, now + LONG_REST);
+    assert!(!connection.has_completed_request());
+    let at_once = connection.evidence_of_surplus(false, now + LONG_REUSE_DELAY);
     assert_eq!(at_once, expected, "behind the response");
     connection.record_response(now);
-    assert!(connection.has_carried_request() && !connection.carries_later_request());
-    for lateness in [Duration::ZERO, MOMENT, MAX_EXPECTED_LATENESS] {
+    assert!(connection.has_completed_request() && !connection.is_reused());
+    for lateness in [Duration::ZERO, ONE_MS, MAX_EXPECTED_LATENESS] {
         let evidence = connection.evidence_of_surplus(false, now + lateness);
         assert_eq!(evidence, expected, "{lateness:?}");
     }
@@ -42,31 +42,35 @@
 /// Guards against taking the response to a request that got a wrong one for harmless.
 #[test]
 fn surplus_data_after_early_reuse_is_unexplained_for_good() {
-    let early = LONG_REST - MOMENT;
-    for rests in [&[early][..], &[early, LONG_REST], &[LONG_REST, early]] {
-        let (connection, now) = used_connection(rests);
-        assert!(connection.carries_later_request());
+    let early = LONG_REUSE_DELAY - ONE_MS;
+    for delays in [
+        &[early][..],
+        &[early, LONG_REUSE_DELAY],
+        &[LONG_REUSE_DELAY, early],
+    ] {
+        let (connection, now) = used_connection(delays);
+        assert!(connection.is_reused());
         let evidence = connection.evidence_of_surplus(false, now);
-        assert_eq!(evidence, SurplusEvidence::Unexplained, "{rests:?}");
+        assert_eq!(evidence, SurplusEvidence::Unexplained, "{delays:?}");
     }
 }
 
 /// Guards against paying for each copy with a period of single use: no earlier response's copy can
 /// follow that late.
 #[test]
-fn surplus_data_after_long_rests_is_expected() {
-    let (connection, now) = used_connection(&[LONG_REST, LONG_REST * 2]);
-    let evidence = connection.evidence_of_surplus(false, now + MOMENT);
+fn surplus_data_after_long_reuse_delays_is_expected() {
+    let (connection, now) = used_connection(&[LONG_REUSE_DELAY, LONG_REUSE_DELAY * 2]);
+    let evidence = connection.evidence_of_surplus(false, now + ONE_MS);
     assert_eq!(evidence, SurplusEvidence::ExpectedCopy);
 }
 
 /// Guards against relying on a rest that is hardly longer than copies are late.
 #[test]
-fn surplus_data_that_is_nearly_too_late_for_the_rest_is_unexplained() {
-    for rests in [&[][..], &[LONG_REST]] {
-        let (connection, now) = used_connection(rests);
-        let evidence = connection.evidence_of_surplus(false, now + MAX_EXPECTED_LATENESS + MOMENT);
-        assert_eq!(evidence, SurplusEvidence::Unexplained, "{rests:?}");
+fn surplus_data_beyond_the_expected_lateness_is_unexplained() {
+    for delays in [&[][..], &[LONG_REUSE_DELAY]] {
+        let (connection, now) = used_connection(delays);
+        let evidence = connection.evidence_of_surplus(false, now + MAX_EXPECTED_LATENESS + ONE_MS);
+        assert_eq!(evidence, SurplusEvidence::Unexplained, "{delays:?}");
     }
 }
 
@@ -74,25 +78,25 @@
 /// it.
 #[test]
 fn surplus_data_behind_a_later_response_is_expected() {
-    let (connection, now) = used_connection(&[LONG_REST]);
-    let next = now + LONG_REST * 2;
+    let (connection, now) = used_connection(&[LONG_REUSE_DELAY]);
+    let next = now + LONG_REUSE_DELAY * 2;
     connection.record_request(next);
-    let evidence = connection.evidence_of_surplus(false, next + MOMENT);
+    let evidence = connection.evidence_of_surplus(false, next + ONE_MS);
     assert_eq!(evidence, SurplusEvidence::ExpectedCopy);
 }
 
-/// Guards against long rests where the bytes show that the newest response was the right one.
+/// Guards against long delays where the bytes show that the newest response was the right one.
 #[test]
 fn the_same_response_again_is_a_copy_with_its_lateness() {
-    for rests in [&[][..], &[LONG_REST]] {
-        let (connection, now) = used_connection(rests);
-        for lateness in [Duration::ZERO, MOMENT, MAX_EXPECTED_LATENESS] {
+    for delays in [&[][..], &[LONG_REUSE_DELAY]] {
+        let (connection, now) = used_connection(delays);
+        for lateness in [Duration::ZERO, ONE_MS, MAX_EXPECTED_LATENESS] {
             let evidence = connection.evidence_of_surplus(true, now + lateness);
-            assert_eq!(evidence, SurplusEvidence::Copy { lateness }, "{rests:?}");
+            assert_eq!(evidence, SurplusEvidence::Copy { lateness }, "{delays:?}");
         }
-        let late = now + MAX_EXPECTED_LATENESS + MOMENT;
+        let late = now + MAX_EXPECTED_LATENESS + ONE_MS;
         let evidence = connection.evidence_of_surplus(true, late);
-        assert_eq!(evidence, SurplusEvidence::Unexplained, "{rests:?}");
+        assert_eq!(evidence, SurplusEvidence::Unexplained, "{delays:?}");
     }
 }
 
@@ -100,7 +104,7 @@
 /// be a copy of an earlier one, of which a further copy tells nothing.
 #[test]
 fn the_same_response_again_after_early_reuse_is_unexplained() {
-    let (connection, now) = used_connection(&[MOMENT]);
-    let evidence = connection.evidence_of_surplus(true, now + MOMENT);
+    let (connection, now) = used_connection(&[ONE_MS]);
+    let evidence = connection.evidence_of_surplus(true, now + ONE_MS);
     assert_eq!(evidence, SurplusEvidence::Unexplained);
 }
--- a/balancer/src/outbound/connector.rs
+++ b/balancer/src/outbound/connector.rs
@@ -90,8 +90,8 @@
 
     /// Whether a connection to this upstream may be kept until it has rested. Where sockets are short
     /// and its surplus data demands a long rest, others need them sooner.
-    pub fn may_rest(&self, upstream: &Upstream) -> bool {
-        self.sockets.is_plentiful() || !upstream.surplus().requires_rest(Instant::now())
+    pub fn may_keep_idle(&self, upstream: &Upstream) -> bool {
+        self.sockets.has_headroom() || !upstream.surplus().has_extended_reuse_delay(Instant::now())
     }
 
     /// Returns the first connection to the upstream that is available by `deadline`: an idle one,
@@ -144,8 +144,8 @@
 
     /// Whether an attempt waits for an idle connection to become reusable rather than open one more.
     fn waits_for_idle(&self, upstream: &Upstream) -> bool {
-        let may_wait = upstream.has_one_connection() || !self.sockets.is_plentiful();
-        may_wait && !upstream.surplus().requires_rest(Instant::now())
+        let may_wait = upstream.has_one_connection() || !self.sockets.has_headroom();
+        may_wait && !upstream.surplus().has_extended_reuse_delay(Instant::now())
     }
 
     /// Starts a dial that continues without its attempt: a connection that nothing waits for any
@@ -157,7 +157,7 @@
         tokio::task::spawn_local(async move {
             let dialled = tokio::select! {
                 dialled = connector.dial(&upstream, deadline) => dialled,
-                () = unneeded_and_unaffordable(&results, &connector.sockets) => return,
+                () = until_abandoned_without_headroom(&results, &connector.sockets) => return,
             };
             if let Err(SendError(Ok(mut unused))) = results.send(dialled).await {
                 if unused.sender.ready().await.is_ok() {
@@ -240,7 +240,7 @@
     }
 
     fn may_hedge(&self) -> bool {
-        (1..MAX_DIALS).contains(&self.started) && self.connector.sockets.is_plentiful()
+        (1..MAX_DIALS).contains(&self.started) && self.connector.sockets.has_headroom()
     }
 
     fn hedge(&mut self) {
@@ -269,9 +269,12 @@
 }
 
 /// Returns once no attempt waits for a dial and sockets are too short to continue it.
-async fn unneeded_and_unaffordable(results: &mpsc::Sender<DialResult>, sockets: &DescriptorBudget) {
+async fn until_abandoned_without_headroom(
+    results: &mpsc::Sender<DialResult>,
+    sockets: &DescriptorBudget,
+) {
     results.closed().await;
-    if sockets.is_plentiful() {
+    if sockets.has_headroom() {
         std::future::pending::<()>().await;
     }
 }
--- a/balancer/src/outbound/growing_period/tests.rs
+++ b/balancer/src/outbound/growing_period/tests.rs
@@ -3,7 +3,7 @@
 
 const FIRST: Duration = Duration::from_secs(2);
 const MAX: Duration = Duration::from_secs(60);
-const MOMENT: Duration = Duration::from_millis(1);
+const ONE_MS: Duration = Duration::from_millis(1);
 
 /// A period that has begun four times, and the time at which the newest began.
 fn grown_period() -> (GrowingPeriod, Instant) {
@@ -25,7 +25,7 @@
     let mut expected = FIRST;
     for _ in 0..10 {
         assert_eq!(period.record_fault(now), Some(expected));
-        assert!(period.contains(now + expected - MOMENT));
+        assert!(period.contains(now + expected - ONE_MS));
         now += expected;
         assert!(!period.contains(now), "it ends after {expected:?}");
         expected = (expected * 2).min(MAX);
@@ -38,32 +38,32 @@
     let period = GrowingPeriod::new(FIRST, MAX);
     let start = Instant::now();
     assert_eq!(period.record_fault(start), Some(FIRST));
-    let again = start + FIRST - MOMENT;
+    let again = start + FIRST - ONE_MS;
     assert_eq!(period.record_fault(again), None);
-    assert!(period.contains(again + FIRST - MOMENT));
+    assert!(period.contains(again + FIRST - ONE_MS));
     assert!(!period.contains(again + FIRST));
 }
 
 #[test]
 fn clean_observations_halve_the_length_down_to_the_first() {
     let (period, start) = grown_period();
-    period.record_clean(start + MOMENT);
+    period.record_clean(start + ONE_MS);
     assert!(period.contains(start + FIRST * 4));
-    assert!(!period.contains(start + FIRST * 4 + MOMENT));
+    assert!(!period.contains(start + FIRST * 4 + ONE_MS));
     for _ in 0..3 {
-        period.record_clean(start + MOMENT);
+        period.record_clean(start + ONE_MS);
     }
-    assert!(!period.contains(start + FIRST + MOMENT));
+    assert!(!period.contains(start + FIRST + ONE_MS));
     let relapse = period.record_fault(start + FIRST * 8);
     assert_eq!(relapse, Some(FIRST * 2));
 }
 
 /// Guards against a clean observation that lets a period last longer.
 #[test]
-fn a_clean_observation_does_not_move_the_end_back() {
+fn a_clean_observation_does_not_postpone_the_end() {
     let (period, start) = grown_period();
     let end = start + FIRST * 8;
-    period.record_clean(end - MOMENT);
+    period.record_clean(end - ONE_MS);
     assert!(!period.contains(end));
 }
 
--- a/balancer/src/outbound/reuse_lease.rs
+++ b/balancer/src/outbound/reuse_lease.rs
@@ -13,7 +13,7 @@
     upstream: Rc<Upstream>,
     carried_earlier_request: bool,
     /// Detections of surplus data when the use began.
-    known_detections: u64,
+    detections_at_start: u64,
 }
 
 impl ReuseLease {
@@ -23,8 +23,8 @@
         connection.socket.begin_request();
         ReuseLease {
             upstream: upstream.clone(),
-            carried_earlier_request: connection.connection_use().carries_later_request(),
-            known_detections: upstream.surplus().uncovered_detections(),
+            carried_earlier_request: connection.connection_use().is_reused(),
+            detections_at_start: upstream.surplus().uncovered_detections(),
         }
     }
 
@@ -36,7 +36,7 @@
     /// Whether the response on this connection must not be used.
     pub fn is_revoked(&self) -> bool {
         self.carried_earlier_request
-            && self.upstream.surplus().uncovered_detections() != self.known_detections
+            && self.upstream.surplus().uncovered_detections() != self.detections_at_start
     }
 
     /// Returns once the response on this connection must not be used.
@@ -46,7 +46,7 @@
         }
         self.upstream
             .surplus()
-            .detected_since(self.known_detections)
+            .detected_since(self.detections_at_start)
             .await;
     }
 }
--- a/balancer/src/outbound/surplus_history.rs
+++ b/balancer/src/outbound/surplus_history.rs
@@ -15,12 +15,12 @@
 /// The same once the upstream has sent surplus data that is no certain copy. Copies of responses that are up to a second
 /// late show within it, also where the machine is busy. A copy closes its connection only, so the
 /// price follows the number of copies.
-pub const LONG_REST: Duration = Duration::from_millis(1500);
+pub const LONG_REUSE_DELAY: Duration = Duration::from_millis(1500);
 /// A rest is this much longer than the latest known copy, as the next one may be later.
-const REST_PER_LATENESS: u32 = 8;
+const REUSE_DELAY_PER_LATENESS: u32 = 8;
 /// Shortest rest once the upstream has sent surplus data.
-const MIN_REST_AFTER_SURPLUS: Duration = Duration::from_millis(200);
-/// How late a copy may be for [`LONG_REST`] to show it. Beyond it connections carry one request.
+const MIN_REUSE_DELAY_AFTER_SURPLUS: Duration = Duration::from_millis(200);
+/// How late a copy may be for [`LONG_REUSE_DELAY`] to show it. Beyond it connections carry one request.
 pub const MAX_EXPECTED_LATENESS: Duration = Duration::from_millis(1250);
 /// The same on the only connection to an upstream that is trusted: requests that follow one another
 /// wait for it.
@@ -36,7 +36,7 @@
 /// rest for [`REUSE_DELAY`] again.
 const CLEAN_PERIODS: u32 = 60;
 /// How long each connection carries one request after unexplained surplus data. Longer than
-/// [`LONG_REST`], so that responses in flight at its begin show before connections are reused. Each
+/// [`LONG_REUSE_DELAY`], so that responses in flight at its begin show before connections are reused. Each
 /// relapse doubles it.
 const FIRST_SINGLE_USE_PERIOD: Duration = Duration::from_secs(2);
 /// Longest such period.
@@ -50,7 +50,7 @@
         /// Time since that response.
         lateness: Duration,
     },
-    /// Probably a copy of the newest response on its connection, early enough for [`LONG_REST`] to show it.
+    /// Probably a copy of the newest response on its connection, early enough for [`LONG_REUSE_DELAY`] to show it.
     ExpectedCopy,
     /// Perhaps the response to a request that got another one's, or a copy that is too late.
     Unexplained,
@@ -59,12 +59,11 @@
 impl SurplusEvidence {
     /// Time between a response and the next request on its connection in which the next such data
     /// shows.
-    fn required_rest(self) -> Duration {
+    fn required_reuse_delay(self) -> Duration {
         match self {
-            SurplusEvidence::Copy { lateness } => {
-                (lateness * REST_PER_LATENESS).clamp(MIN_REST_AFTER_SURPLUS, LONG_REST)
-            }
-            SurplusEvidence::ExpectedCopy | SurplusEvidence::Unexplained => LONG_REST,
+            SurplusEvidence::Copy { lateness } => (lateness * REUSE_DELAY_PER_LATENESS)
+                .clamp(MIN_REUSE_DELAY_AFTER_SURPLUS, LONG_REUSE_DELAY),
+            SurplusEvidence::ExpectedCopy | SurplusEvidence::Unexplained => LONG_REUSE_DELAY,
         }
     }
 }
@@ -77,7 +76,7 @@
     single_use: GrowingPeriod,
     /// Time between a response and the next request on its connection, as far as surplus data
     /// demands one.
-    rest: Cell<Duration>,
+    extended_reuse_delay: Cell<Duration>,
     /// How often surplus data was detected that the rest of its connection did not cover, so that
     /// requests in flight on other connections may get it.
     uncovered_detections: Cell<u64>,
@@ -92,7 +91,7 @@
         SurplusHistory {
             suspect: GrowingPeriod::new(FIRST_SUSPECT_PERIOD, MAX_SUSPECT_PERIOD),
             single_use: GrowingPeriod::new(FIRST_SINGLE_USE_PERIOD, MAX_SINGLE_USE_PERIOD),
-            rest: Cell::default(),
+            extended_reuse_delay: Cell::default(),
             uncovered_detections: Cell::default(),
             reuses: Cell::default(),
             detected: Notify::default(),
@@ -112,7 +111,7 @@
     }
 
     /// Whether surplus data makes connections rest for longer between two requests.
-    pub fn requires_rest(&self, now: Instant) -> bool {
+    pub fn has_extended_reuse_delay(&self, now: Instant) -> bool {
         self.suspect
             .end_and_length()
             .is_some_and(|(end, length)| now < end + length * CLEAN_PERIODS)
@@ -121,8 +120,8 @@
     /// Time between a response and the next request on its connection, which may be the only one to
     /// the upstream.
     pub fn reuse_delay(&self, is_sole: bool, now: Instant) -> Duration {
-        if self.requires_rest(now) {
-            self.rest.get()
+        if self.has_extended_reuse_delay(now) {
+            self.extended_reuse_delay.get()
         } else if is_sole && self.reuses.get() >= TRUSTED_REUSES {
             SOLE_REUSE_DELAY
         } else {
@@ -137,22 +136,26 @@
 
     /// Whether this evidence asks for no more rest than connections have, so that idle ones may be
     /// used again.
-    pub fn is_covered_by_rest(&self, evidence: SurplusEvidence, now: Instant) -> bool {
-        self.requires_rest(now)
+    pub fn is_covered_by_reuse_delay(&self, evidence: SurplusEvidence, now: Instant) -> bool {
+        self.has_extended_reuse_delay(now)
             && evidence != SurplusEvidence::Unexplained
-            && evidence.required_rest() <= self.rest.get()
+            && evidence.required_reuse_delay() <= self.extended_reuse_delay.get()
     }
 
     /// Records that surplus data was detected. Returns the period for which the upstream is
     /// suspect, if it begins now; a period that has begun is extended.
     pub fn record(&self, evidence: SurplusEvidence, now: Instant) -> Option<Duration> {
-        let is_covered = self.is_covered_by_rest(evidence, now);
-        if !self.requires_rest(now) {
+        let is_covered = self.is_covered_by_reuse_delay(evidence, now);
+        if !self.has_extended_reuse_delay(now) {
             self.suspect.reset();
             self.single_use.reset();
-            self.rest.set(Duration::ZERO);
+            self.extended_reuse_delay.set(Duration::ZERO);
         }
-        self.rest.set(self.rest.get().max(evidence.required_rest()));
+        self.extended_reuse_delay.set(
+            self.extended_reuse_delay
+                .get()
+                .max(evidence.required_reuse_delay()),
+        );
         let suspect_period = self.suspect.record_fault(now);
         if evidence == SurplusEvidence::Unexplained {
             self.single_use.record_fault(now);
--- a/balancer/src/outbound/surplus_history/tests.rs
+++ b/balancer/src/outbound/surplus_history/tests.rs
@@ -1,7 +1,7 @@
 //! How long connections rest, and when they carry one request each.
 use super::*;
 
-const MOMENT: Duration = Duration::from_millis(1);
+const ONE_MS: Duration = Duration::from_millis(1);
 
 #[test]
 fn a_relapse_doubles_the_suspect_period_up_to_its_limit() {
@@ -12,7 +12,7 @@
     for _ in 0..10 {
         let began = history.record(SurplusEvidence::ExpectedCopy, now);
         assert_eq!(began, Some(expected));
-        assert!(history.is_suspect(now + expected - MOMENT));
+        assert!(history.is_suspect(now + expected - ONE_MS));
         now += expected;
         assert!(!history.is_suspect(now), "it ends after {expected:?}");
         expected = (expected * 2).min(MAX_SUSPECT_PERIOD);
@@ -27,23 +27,23 @@
     let evidence = SurplusEvidence::ExpectedCopy;
     let began = history.record(evidence, start);
     assert_eq!(began, Some(FIRST_SUSPECT_PERIOD));
-    let again = start + FIRST_SUSPECT_PERIOD - MOMENT;
+    let again = start + FIRST_SUSPECT_PERIOD - ONE_MS;
     assert_eq!(history.record(evidence, again), None);
-    assert!(history.is_suspect(again + FIRST_SUSPECT_PERIOD - MOMENT));
+    assert!(history.is_suspect(again + FIRST_SUSPECT_PERIOD - ONE_MS));
     assert!(!history.is_suspect(again + FIRST_SUSPECT_PERIOD));
 }
 
 /// Guards against failing requests in flight on rested connections at each copy that the rest has
 /// caught: one response in ten sent twice made a quarter of the requests fail.
 #[test]
-fn surplus_data_that_the_rest_covers_concerns_no_request_in_flight() {
+fn covered_surplus_data_affects_no_request_in_flight() {
     let history = SurplusHistory::default();
     let now = Instant::now();
     let mut expected = 0;
     for (evidence, is_covered) in [
         (SurplusEvidence::ExpectedCopy, false),
         (SurplusEvidence::ExpectedCopy, true),
-        (SurplusEvidence::Copy { lateness: MOMENT }, true),
+        (SurplusEvidence::Copy { lateness: ONE_MS }, true),
         (SurplusEvidence::Unexplained, false),
         (SurplusEvidence::ExpectedCopy, true),
     ] {
@@ -56,7 +56,7 @@
 /// Guards against a second wrong response after a period: data that is up to a second late shows
 /// before the connection carries another request, with a margin for a busy machine.
 #[test]
-fn connections_rest_for_longer_than_a_second_once_there_was_surplus_data() {
+fn reuse_delay_exceeds_a_second_after_surplus_data() {
     for evidence in [SurplusEvidence::ExpectedCopy, SurplusEvidence::Unexplained] {
         let history = SurplusHistory::default();
         let start = Instant::now();
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn connections_rest_for_a_short_time_again_after_a_long_time_without_surplus_data() {
+fn reuse_delay_is_short_again_after_a_long_time_without_surplus_data() {
     let history = SurplusHistory::default();
     let mut now = Instant::now();
     let evidence = SurplusEvidence::ExpectedCopy;
@@ -84,8 +84,8 @@
         now += length;
     }
     let clean = now + FIRST_SUSPECT_PERIOD * 2 * CLEAN_PERIODS;
-    assert!(history.requires_rest(clean - MOMENT));
-    assert!(!history.requires_rest(clean));
+    assert!(history.has_extended_reuse_delay(clean - ONE_MS));
+    assert!(!history.has_extended_reuse_delay(clean));
     assert_eq!(history.reuse_delay(true, clean), REUSE_DELAY);
     let relapse = history.record(evidence, clean);
     assert_eq!(relapse, Some(FIRST_SUSPECT_PERIOD), "it is forgiven");
@@ -109,10 +109,10 @@
     let history = SurplusHistory::default();
     let mut now = Instant::now();
     let mut expected = FIRST_SINGLE_USE_PERIOD;
-    assert!(expected > LONG_REST);
+    assert!(expected > LONG_REUSE_DELAY);
     for _ in 0..15 {
         history.record(SurplusEvidence::Unexplained, now);
-        assert!(history.is_single_use(now + expected - MOMENT));
+        assert!(history.is_single_use(now + expected - ONE_MS));
         now += expected;
         assert!(!history.is_single_use(now), "it ends after {expected:?}");
         expected = (expected * 2).min(MAX_SINGLE_USE_PERIOD);
@@ -131,13 +131,13 @@
     history.record(SurplusEvidence::Unexplained, now);
     history.record_clean_observation(now);
     history.record_clean_observation(now);
-    assert!(history.is_single_use(now + FIRST_SINGLE_USE_PERIOD - MOMENT));
+    assert!(history.is_single_use(now + FIRST_SINGLE_USE_PERIOD - ONE_MS));
     assert!(!history.is_single_use(now + FIRST_SINGLE_USE_PERIOD));
-    assert!(history.requires_rest(now + FIRST_SINGLE_USE_PERIOD));
+    assert!(history.has_extended_reuse_delay(now + FIRST_SINGLE_USE_PERIOD));
 }
 
 #[test]
-fn the_only_connection_to_a_trusted_upstream_rests_for_a_shorter_time() {
+fn sole_connection_to_a_trusted_upstream_has_a_shorter_reuse_delay() {
     let history = SurplusHistory::default();
     let now = Instant::now();
     for _ in 0..TRUSTED_REUSES {
@@ -156,33 +156,40 @@
 /// Guards against rests that are hardly longer than copies are late, and against paying for longer
 /// ones than the copies ask for.
 #[test]
-fn the_rest_follows_the_latest_known_copy() {
-    for (lateness_ms, rest_ms) in [(0, 200), (5, 200), (60, 480), (200, 1500), (1000, 1500)] {
+fn reuse_delay_follows_the_latest_known_copy() {
+    for (lateness_ms, delay_ms) in [(0, 200), (5, 200), (60, 480), (200, 1500), (1000, 1500)] {
         let history = SurplusHistory::default();
         let now = Instant::now();
         for lateness in [lateness_ms, 0] {
             history.record(copy(lateness), now);
-            let rest = Duration::from_millis(rest_ms);
-            assert_eq!(history.reuse_delay(true, now), rest, "{lateness_ms} ms");
+            let delay = Duration::from_millis(delay_ms);
+            assert_eq!(history.reuse_delay(true, now), delay, "{lateness_ms} ms");
             assert!(!history.is_single_use(now));
         }
         history.record(SurplusEvidence::Unexplained, now);
-        assert_eq!(history.reuse_delay(true, now), LONG_REST);
+        assert_eq!(history.reuse_delay(true, now), LONG_REUSE_DELAY);
         history.record(copy(lateness_ms), now);
-        assert_eq!(history.reuse_delay(true, now), LONG_REST, "it stays long");
+        assert_eq!(
+            history.reuse_delay(true, now),
+            LONG_REUSE_DELAY,
+            "it stays long"
+        );
     }
 }
 
 #[test]
-fn a_rest_covers_copies_that_ask_for_no_longer_one() {
+fn reuse_delay_covers_copies_that_require_no_longer_delay() {
     let history = SurplusHistory::default();
     let now = Instant::now();
-    assert!(!history.is_covered_by_rest(copy(5), now), "the first");
+    assert!(
+        !history.is_covered_by_reuse_delay(copy(5), now),
+        "the first"
+    );
     history.record(copy(5), now);
-    assert!(history.is_covered_by_rest(copy(25), now));
-    assert!(!history.is_covered_by_rest(copy(26), now));
-    assert!(!history.is_covered_by_rest(SurplusEvidence::ExpectedCopy, now));
+    assert!(history.is_covered_by_reuse_delay(copy(25), now));
+    assert!(!history.is_covered_by_reuse_delay(copy(26), now));
+    assert!(!history.is_covered_by_reuse_delay(SurplusEvidence::ExpectedCopy, now));
     history.record(SurplusEvidence::ExpectedCopy, now);
-    assert!(history.is_covered_by_rest(SurplusEvidence::ExpectedCopy, now));
-    assert!(!history.is_covered_by_rest(SurplusEvidence::Unexplained, now));
+    assert!(history.is_covered_by_reuse_delay(SurplusEvidence::ExpectedCopy, now));
+    assert!(!history.is_covered_by_reuse_delay(SurplusEvidence::Unexplained, now));
 }
--- a/balancer/src/outbound/surplus_reporter.rs
+++ b/balancer/src/outbound/surplus_reporter.rs
@@ -1,7 +1,7 @@
 //! Reports surplus data on a connection to its upstream, the metrics and the log.
 use crate::net::shared_stream::SharedStream;
 use crate::outbound::connection_use::ConnectionUse;
-use crate::outbound::surplus_history::{SurplusEvidence, LONG_REST};
+use crate::outbound::surplus_history::{SurplusEvidence, LONG_REUSE_DELAY};
 use crate::telemetry::log::LogOutput;
 use crate::telemetry::upstream_counts::UpstreamCounts;
 use std::error::Error;
@@ -76,7 +76,7 @@
                 "upstream {address}: data beyond its responses: one request per connection for {} s \
                  unless it rests up to {} s",
                 period.as_secs(),
-                LONG_REST.as_secs_f64()
+                LONG_REUSE_DELAY.as_secs_f64()
             ));
         }
     }
