--- a/balancer/src/net/descriptor_budget.rs
+++ b/balancer/src/net/descriptor_budget.rs
@@ -1,21 +1,21 @@
-//! The process's budget of file descriptors, which client and upstream connections share.
+//! The process's budget of file descriptors, which connections to clients and upstreams share.
 use std::cell::RefCell;
 use std::io;
 use std::rc::Rc;
 use std::sync::Arc;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Descriptors reserved for everything else: the listener, discovery, the runtime, sockets that are
-/// closing.
+/// Descriptors reserved for all other uses: the listener, discovery, the runtime, and sockets that
+/// are closing.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Largest budget.
+/// Largest budget, in connections.
 const MAX_BUDGET: u32 = 1 << 20;
 
 /// `errno` values of Linux that mean a shortage of resources on this machine.
 const ENOMEM: i32 = 12;
 const ENFILE: i32 = 23;
 const EMFILE: i32 = 24;
-/// The loop watches as many descriptors as it may.
+/// The limit of descriptors registered with `epoll` is reached.
 const ENOSPC: i32 = 28;
 const EADDRNOTAVAIL: i32 = 99;
 const ENOBUFS: i32 = 105;
@@ -23,13 +23,13 @@
 /// Counts open connections and limits them.
 #[derive(Clone)]
 pub struct DescriptorBudget {
-    /// Permits of all connections.
+    /// Permits of all connections, to clients and upstreams.
     connections: Arc<Semaphore>,
     /// Permits of client connections, each of which also needs a permit of `connections`.
     clients: Arc<Semaphore>,
     max_connections: u32,
     max_clients: u32,
-    /// Permits that another process of this balancer uses.
+    /// Permits that are yielded to another process of this balancer.
     yielded: Rc<RefCell<Vec<OwnedSemaphorePermit>>>,
 }
 
@@ -40,8 +40,9 @@
 }
 
 impl DescriptorBudget {
-    /// A budget for a process with this many descriptors. Clients may use three quarters of it, so
-    /// that connections to upstreams are always possible; upstreams may use all that clients leave.
+    /// Creates the budget of a process that may have this many descriptors. Clients may use three
+    /// quarters of it, so that connections to upstreams are always possible. Upstreams may use all
+    /// that clients do not use.
     pub fn new(descriptors: usize) -> DescriptorBudget {
         let max_connections = u32::try_from(descriptors.saturating_sub(RESERVED_DESCRIPTORS))
             .unwrap_or(u32::MAX)
@@ -75,7 +76,7 @@
             .extend([clients, connections].into_iter().flatten());
     }
 
-    /// Takes the yielded half back: the other process has ended.
+    /// Takes back the yielded half, after the other process has ended.
     pub fn reclaim(&self) {
         self.yielded.borrow_mut().clear();
     }
@@ -89,7 +90,8 @@
         })
     }
 
-    /// Waits for a permit for a client connection.
+    /// Waits for a permit for a client connection. `None` cannot occur: the semaphores are never
+    /// closed.
     pub async fn acquire_client(&self) -> Option<ConnectionPermit> {
         let client = self.clients.clone().acquire_owned().await.ok()?;
         Some(ConnectionPermit {
@@ -108,19 +110,20 @@
         self.connections.available_permits() > self.max_connections as usize / 4
     }
 
-    /// Whether nothing of the budget is free.
+    /// Whether no permit is free.
     pub fn is_exhausted(&self) -> bool {
         self.connections.available_permits() == 0
     }
 
-    /// Waits until no client is connected.
+    /// Waits until no client is connected. Takes back a yielded half first, so that only permits of
+    /// clients are awaited.
     pub async fn all_clients_closed(&self) {
         self.reclaim();
         let _all = self.clients.acquire_many(self.max_clients).await;
     }
 }
 
-/// Whether a socket call failed because this machine is short of a resource.
+/// Whether a socket call failed because this machine has run out of a resource.
 pub fn is_resource_shortage(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
--- a/balancer/src/net/descriptor_budget/tests.rs
+++ b/balancer/src/net/descriptor_budget/tests.rs
@@ -1,11 +1,11 @@
-//! Sharing of the budget between two processes of a balancer.
+//! How two processes of a balancer share the budget.
 use super::*;
 
 fn acquire_all_clients(budget: &DescriptorBudget) -> Vec<ConnectionPermit> {
     std::iter::from_fn(|| budget.try_acquire_client()).collect()
 }
 
-/// Guards against two processes that together use more descriptors than one may.
+/// Guards against two processes that together use more descriptors than a single one may.
 #[tokio::test]
 async fn yields_half_of_the_budget_until_the_other_process_ends() {
     let budget = DescriptorBudget::new(RESERVED_DESCRIPTORS + 40);
--- a/balancer/src/net/listener.rs
+++ b/balancer/src/net/listener.rs
@@ -8,15 +8,16 @@
 use std::net::{SocketAddr, TcpListener};
 use std::task::{Context, Poll};
 
-/// Connections that may wait to be accepted.
+/// Most connections that the kernel queues until they are accepted.
 const LISTEN_BACKLOG: i32 = 1024;
 
-/// A listening socket. Connections that it accepts are not registered with the loop yet, so that
-/// one whose registration fails is not lost.
+/// A listening socket. Connections that it accepts are not yet registered with the event loop, so
+/// that one whose registration fails is not lost.
 pub struct Listener(WatchedDescriptor<TcpListener>);
 
 impl Listener {
-    /// Listens at an address, which another process of this balancer may share.
+    /// Listens on an address. With `shares_address`, another process of this balancer may listen on
+    /// it too.
     pub fn bind(address: SocketAddr, shares_address: bool) -> io::Result<Listener> {
         let socket = Socket::new(Domain::for_address(address), Type::STREAM, None)?;
         socket.set_nonblocking(true)?;
@@ -29,7 +30,7 @@
         Ok(Listener(WatchedDescriptor::new(socket.into())?))
     }
 
-    /// Where it listens.
+    /// The address that it listens on.
     pub fn local_addr(&self) -> io::Result<SocketAddr> {
         self.0.get().local_addr()
     }
@@ -48,8 +49,8 @@
         poll_fn(|cx| self.poll_accept(cx)).await
     }
 
-    /// Accepts a connection that is in the queue now; fails with `WouldBlock` without one. Asks the
-    /// system, because the loop learns of new connections only when it next polls.
+    /// Accepts a connection that is queued now; fails with `WouldBlock` if there is none. Asks the
+    /// kernel, because the event loop learns of new connections only when it next polls.
     pub fn accept_queued(&self) -> io::Result<std::net::TcpStream> {
         let (stream, _) = self.0.get().accept()?;
         stream.set_nonblocking(true)?;
@@ -57,8 +58,8 @@
     }
 }
 
-/// Has the loop watch an accepted connection, as soon as the system allows it. `None` if the client
-/// disconnects before.
+/// Registers an accepted connection with the event loop, and retries until that succeeds. `None` if
+/// the client disconnects before.
 pub async fn register_when_possible(mut stream: std::net::TcpStream) -> Option<TcpStream> {
     loop {
         match TcpStream::register(stream) {
@@ -70,7 +71,7 @@
     }
 }
 
-/// Whether the client has disconnected and has left no request behind.
+/// Whether the client has disconnected and has left no unread bytes.
 fn has_disconnected(stream: &std::net::TcpStream) -> bool {
     use io::ErrorKind::{Interrupted, WouldBlock};
     match stream.peek(&mut [0]) {
--- a/balancer/src/net/received_bytes.rs
+++ b/balancer/src/net/received_bytes.rs
@@ -1,27 +1,29 @@
-//! The bytes of the newest response on a connection, to tell whether further bytes are a copy of it.
+//! Records the bytes of the newest response on a connection, to determine whether further bytes are
+//! a copy of it.
 
-/// Longest response that is kept. Most are shorter; of a longer one nothing is told.
+/// Most bytes that are recorded. Most responses are shorter; whether a longer one is repeated is
+/// not determined.
 pub const MAX_RECORDED_BYTES: usize = 4 << 10;
 
-/// What has been received since the newest request began.
+/// The bytes received since the newest request began.
 #[derive(Default)]
 pub struct ReceivedBytes {
     bytes: Vec<u8>,
-    /// Whether there was more than is kept.
+    /// Whether more bytes arrived than are recorded.
     is_truncated: bool,
-    /// How many of the bytes had arrived when the response was complete.
+    /// How many of the recorded bytes had arrived when the response was complete.
     response_length: Option<usize>,
 }
 
 impl ReceivedBytes {
-    /// A request begins.
+    /// Discards the recorded bytes, as a new request begins.
     pub fn begin_request(&mut self) {
         self.bytes.clear();
         self.is_truncated = false;
         self.response_length = None;
     }
 
-    /// Keeps bytes that were read.
+    /// Records bytes that were read.
     pub fn append(&mut self, bytes: &[u8]) {
         if self.bytes.len() + bytes.len() > MAX_RECORDED_BYTES {
             self.is_truncated = true;
@@ -31,13 +33,14 @@
         }
     }
 
-    /// The response to the newest request is complete.
+    /// Records that the response to the newest request is complete.
     pub fn complete_response(&mut self) {
         self.response_length = Some(self.bytes.len());
     }
 
-    /// Whether what follows the newest response is the same response again. If both came at once
-    /// the boundary is unknown, and the halves are compared.
+    /// Whether the bytes after the newest response are one or more copies of it. If nothing arrived
+    /// after the response was complete, a copy may have arrived together with it: the boundary is
+    /// then unknown, and the two halves are compared.
     pub fn is_response_repeated(&self) -> bool {
         let total = self.bytes.len();
         let length = match self.response_length {
--- a/balancer/src/net/received_bytes/tests.rs
+++ b/balancer/src/net/received_bytes/tests.rs
@@ -1,7 +1,7 @@
-//! What is taken for a copy of the newest response.
+//! Which bytes count as a copy of the newest response.
 use super::*;
 
-/// A connection that received a response, and then more.
+/// The bytes of a connection that received a response, and further bytes after it was complete.
 fn received(response: &[u8], further: &[u8]) -> ReceivedBytes {
     let mut received = ReceivedBytes::default();
     received.append(b"an earlier response");
@@ -47,5 +47,5 @@
     next.append(b"one");
     next.complete_response();
     next.append(b"one");
-    assert!(next.is_response_repeated(), "the next response is kept");
+    assert!(next.is_response_repeated(), "the next response is recorded");
 }
--- a/balancer/src/net/retry_io.rs
+++ b/balancer/src/net/retry_io.rs
@@ -1,14 +1,14 @@
-//! Repeats I/O calls that fail for a transient reason.
+//! Retries I/O calls that fail with a transient error.
 use crate::time::sleep;
 use std::io;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time between two attempts.
+/// Pause between two attempts.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Repeats a call until it succeeds, fails permanently, or `limit` has passed. Returns the last
-/// result.
+/// Retries a call until it succeeds, fails with a permanent error, or `limit` has passed. Returns
+/// the last result.
 pub async fn retry_io<T>(
     limit: Duration,
     mut attempt: impl FnMut() -> io::Result<T>,
@@ -24,8 +24,8 @@
     }
 }
 
-/// Like [`retry_io`], but blocks the thread between two attempts: for the start of a process that has
-/// no timers yet.
+/// Like [`retry_io`], but blocks the thread between two attempts. For the start of a process,
+/// before it has timers.
 pub fn retry_io_blocking<T>(
     limit: Duration,
     mut attempt: impl FnMut() -> io::Result<T>,
@@ -41,7 +41,7 @@
     }
 }
 
-/// Whether the same call may succeed a little later.
+/// Whether the same call may succeed shortly after this error.
 fn is_transient(error: &io::Error) -> bool {
     use io::ErrorKind::{InvalidData, InvalidInput, NotFound, PermissionDenied, Unsupported};
     !matches!(
--- a/balancer/src/net/retry_io/tests.rs
+++ b/balancer/src/net/retry_io/tests.rs
@@ -1,4 +1,4 @@
-//! Which calls are repeated, and for how long.
+//! Which calls are retried, and for how long.
 use super::*;
 
 const LIMIT: Duration = Duration::from_secs(3);
--- a/balancer/src/net/shared_stream.rs
+++ b/balancer/src/net/shared_stream.rs
@@ -1,4 +1,4 @@
-//! A TCP stream that stays accessible while hyper reads and writes it: how far a message is
+//! A TCP stream that can be inspected while hyper reads and writes it: how far a message is
 //! written, whether the peer has disconnected, and since when bytes are unread.
 use crate::net::received_bytes::{ReceivedBytes, MAX_RECORDED_BYTES};
 use crate::net::socket_io;
@@ -14,13 +14,13 @@
 use tokio::io::{AsyncRead, AsyncWrite, Interest, ReadBuf};
 use tokio::time::Instant;
 
-/// Largest head of a request or response; hyper rejects a larger one.
+/// Largest head of a request or response, in bytes; hyper rejects a larger one.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
 
 /// How far a message has been written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteProgress {
-    /// Some of the message is still to be handed to the stream.
+    /// Part of the message has not been handed to the stream yet.
     Partial,
     /// All of the message has been handed to the stream.
     HandedOver,
@@ -28,10 +28,10 @@
     Complete,
 }
 
-/// What an open socket holds unread.
+/// Whether a socket has unread bytes, or its connection has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum UnreadState {
-    /// The connection is open, and nothing is unread.
+    /// The connection is open, and no bytes are unread.
     Nothing,
     /// Bytes are unread.
     Bytes,
@@ -39,7 +39,7 @@
     Closed,
 }
 
-/// Decides whether the next message may be written; called once, at its first byte.
+/// Decides whether the next message may be written. Called once, when its first byte is written.
 pub type WritePermit = Box<dyn FnOnce() -> bool>;
 
 /// The error of a write that its [`WritePermit`] denied.
@@ -47,24 +47,24 @@
 #[error("the write was denied")]
 struct WriteDenied;
 
-/// A stream with several holders; closed when the last one drops it.
+/// A stream with several owners; closed when the last one drops it.
 #[derive(Clone)]
 pub struct SharedStream {
     stream: Rc<TcpStream>,
     write_progress: Rc<Cell<WriteProgress>>,
-    /// Counts the messages that are written completely.
+    /// The number of messages that have been written completely.
     messages_written: Rc<Cell<u64>>,
-    /// Whether the runtime's readiness was cleared while bytes may be unread: the reader asks the
-    /// system first.
+    /// Whether the runtime's readiness was cleared although bytes may be unread. The next read then
+    /// asks the kernel before it waits for readiness.
     readiness_cleared: Rc<Cell<bool>>,
     /// Since when bytes are known to be unread.
     unread_since: Rc<Cell<Option<Instant>>>,
     write_permit: Rc<RefCell<Option<WritePermit>>>,
-    /// The newest response, on a connection to an upstream.
+    /// The bytes of the newest response, on a connection to an upstream only.
     received: Option<Rc<RefCell<ReceivedBytes>>>,
 }
 
-/// The other side of a shared stream. Does not keep the connection open.
+/// The peer of a shared stream. Does not keep the connection open.
 pub struct Peer(Weak<TcpStream>);
 
 impl Peer {
@@ -76,7 +76,8 @@
     }
 }
 
-/// Asks the system whether there is an unread byte. Returns 0 at the end of the stream.
+/// Asks the kernel whether there is an unread byte, without reading it. Returns 0 at the end of the
+/// stream.
 fn peek_byte(stream: &TcpStream) -> io::Result<usize> {
     socket_io::retry_interrupted(|| {
         socket2::SockRef::from(stream).peek(&mut [MaybeUninit::uninit()])
@@ -88,14 +89,15 @@
 fn peer_disconnected(stream: &TcpStream) -> bool {
     match peek_byte(stream) {
         Ok(0) => true,
-        // The runtime reports the end of the stream even behind unread bytes.
+        // The runtime learns of the end of the stream even if bytes before it are unread.
         Ok(_) => stream.is_read_closed(),
         Err(error) => error.kind() != io::ErrorKind::WouldBlock,
     }
 }
 
 impl SharedStream {
-    /// Shares a stream. `messages_written` counts the messages that are written completely.
+    /// Wraps a stream. `messages_written` is incremented for each message that is written
+    /// completely.
     pub fn new(stream: TcpStream, messages_written: Rc<Cell<u64>>) -> SharedStream {
         SharedStream {
             stream: Rc::new(stream),
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Shares a stream to an upstream, and keeps its newest response.
+    /// Wraps a stream to an upstream, and records the bytes of its newest response.
     pub fn to_upstream(stream: TcpStream, messages_written: Rc<Cell<u64>>) -> SharedStream {
         SharedStream {
             received: Some(Rc::default()),
@@ -116,26 +118,26 @@
         }
     }
 
-    /// A request begins, whose response is kept.
+    /// Begins to record the response to a new request.
     pub fn begin_request(&self) {
         if let Some(received) = &self.received {
             received.borrow_mut().begin_request();
         }
     }
 
-    /// The response to the newest request is complete.
+    /// Records that the response to the newest request is complete.
     pub fn complete_response(&self) {
         if let Some(received) = &self.received {
             received.borrow_mut().complete_response();
         }
     }
 
-    /// Whether what follows the newest response is the same response again. Takes unread bytes: the
-    /// connection is of no further use.
+    /// Whether the bytes after the newest response are a copy of it. Reads the unread bytes, so
+    /// that the connection cannot be used any more.
     pub fn is_response_repeated(&self) -> bool {
         let mut buffer = [0; MAX_RECORDED_BYTES];
         let mut unread = ReadBuf::new(&mut buffer);
-        // Without them the answer is no.
+        // If the read fails, only bytes that were read before count.
         let _ = socket_io::try_read(&self.stream, &mut unread);
         self.record_received(unread.filled());
         self.received
@@ -155,8 +157,8 @@
         self.write_progress.clone()
     }
 
-    /// What the socket holds unread. Asks the system, because the runtime learns of bytes and of
-    /// the end only when it next polls.
+    /// Whether the socket has unread bytes or has ended. Asks the kernel, because the runtime
+    /// learns of either only when it next polls.
     pub fn unread_state(&self) -> UnreadState {
         match peek_byte(&self.stream) {
             Ok(0) => UnreadState::Closed,
@@ -177,12 +179,12 @@
         peer_disconnected(&self.stream)
     }
 
-    /// The other side.
+    /// The peer.
     pub fn peer(&self) -> Peer {
         Peer(Rc::downgrade(&self.stream))
     }
 
-    /// Writes the next message only if `permit` allows it at the first byte.
+    /// Has the next message written only if `permit` allows it at the message's first byte.
     pub fn set_write_permit(&self, permit: WritePermit) {
         *self.write_permit.borrow_mut() = Some(permit);
     }
@@ -195,13 +197,15 @@
         Err(io::Error::other(WriteDenied))
     }
 
-    /// Acknowledges received bytes at once: some peers delay a further small write until then.
+    /// Acknowledges received bytes at once: some peers delay a further small write until the
+    /// acknowledgement.
     pub fn acknowledge_received_data(&self) {
-        // A failure only delays such a write.
+        // A failure here only delays such a write.
         let _ = socket2::SockRef::from(&*self.stream).set_tcp_quickack(true);
     }
 
-    /// Records that bytes are unread, if there are any: they arrived at `since` at the earliest.
+    /// Records `since` as the arrival time of unread bytes, if there are any and no time is
+    /// recorded yet: they arrived at `since` at the earliest.
     pub fn record_unread(&self, since: Instant) {
         if self.unread_since.get().is_some() {
             return;
@@ -211,18 +215,19 @@
         }
     }
 
-    /// When the bytes that were just read arrived: at the recorded time, or now.
+    /// The arrival time of the bytes that were just read: the recorded time, which is cleared, or
+    /// now.
     pub fn take_arrival_time(&self) -> Instant {
         self.unread_since.take().unwrap_or_else(Instant::now)
     }
 
-    /// Returns once the peer has disconnected.
+    /// Returns when the peer has disconnected.
     pub async fn wait_for_disconnect(&self) {
         while !self.peer_disconnected() {
             self.record_unread(Instant::now());
-            // With unread bytes the stream stays readable, and the end behind them would not wake
-            // this task. Clearing the readiness makes the runtime wait for the next event; it never
-            // clears the end of the stream.
+            // With unread bytes the stream stays readable, and the end of the stream after them
+            // would not wake this task. Clearing the readiness makes the runtime wait for the next
+            // event; it never clears the end of the stream.
             self.readiness_cleared.set(true);
             let clear = || Err::<(), _>(io::ErrorKind::WouldBlock.into());
             let _ = self.stream.try_io(Interest::READABLE, clear);
@@ -275,8 +280,8 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The socket has no buffer of this process. hyper flushes it only after it has written all
-        // of the message.
+        // Nothing is buffered in this process. hyper flushes the stream only after it has written
+        // all of the message.
         if self.write_progress.get() == WriteProgress::HandedOver {
             self.write_progress.set(WriteProgress::Complete);
             self.messages_written
--- a/balancer/src/net/shared_stream/tests.rs
+++ b/balancer/src/net/shared_stream/tests.rs
@@ -1,4 +1,4 @@
-//! Writes, reads and arrival of bytes on a shared stream.
+//! Writes and reads on a shared stream.
 use super::*;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -14,8 +14,8 @@
     (stream, peer)
 }
 
-/// Guards against reporting a request as possibly run though no connection took its last byte: a
-/// message counts as written only when the socket has it, and then once.
+/// Guards against reporting a request as possibly run although no socket accepted its last byte: a
+/// message counts as written only once the socket has accepted all of it, and is counted once.
 #[tokio::test]
 async fn counts_a_message_as_written_once_the_socket_has_all_of_it() {
     let messages_written = Rc::new(Cell::new(0));
@@ -41,9 +41,9 @@
     drop(peer);
 }
 
-/// Guards against treating a short read as the end of the available bytes: the system may end a
-/// read early, here at out-of-band data, and the rest would be read only after still more bytes
-/// arrive.
+/// Guards against treating a short read as the end of the available bytes: the kernel may end a
+/// read early, here at out-of-band data, and the remaining bytes would be read only when further
+/// bytes arrive.
 #[tokio::test]
 async fn reads_all_available_bytes_after_a_short_read() {
     let (mut stream, mut peer) = connected_pair(Rc::default()).await;
--- a/balancer/src/net/socket_io.rs
+++ b/balancer/src/net/socket_io.rs
@@ -1,7 +1,7 @@
 //! Reads and writes on sockets, where a call may be short or interrupted.
 //!
 //! After a short read or write the runtime assumes that the socket is drained or full, and waits
-//! for the next event. But the system may end a call early for other reasons, and then that event
+//! for the next event. But the kernel may end a call early for other reasons, and then that event
 //! never arrives. Here only `EAGAIN` means drained or full, and a call that a signal interrupted is
 //! repeated.
 use crate::net::tcp_stream::TcpStream;
@@ -59,7 +59,7 @@
     }
 }
 
-/// A stream whose reads and writes may be short or interrupted.
+/// A stream that handles short and interrupted reads and writes as this module describes.
 pub struct Socket(TcpStream);
 
 impl Socket {
@@ -89,7 +89,7 @@
     }
 
     fn poll_flush(self: Pin<&mut Self>, _cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        // The socket has no buffer of this process.
+        // Nothing is buffered in this process.
         Poll::Ready(Ok(()))
     }
 
--- a/balancer/src/net/socket_io/tests.rs
+++ b/balancer/src/net/socket_io/tests.rs
@@ -1,4 +1,4 @@
-//! Repetition of interrupted calls.
+//! Which calls are repeated.
 use super::*;
 
 #[test]
--- a/balancer/src/net/tcp_stream.rs
+++ b/balancer/src/net/tcp_stream.rs
@@ -1,5 +1,5 @@
-//! TCP connections that the loop watches. Unlike those of the runtime, one that cannot be watched for
-//! a moment is not lost.
+//! TCP connections that are registered with the event loop. Unlike a connection of the runtime's
+//! own type, one whose registration fails for a time is not lost.
 use crate::net::watched_descriptor::{RegistrationError, WatchedDescriptor};
 use crate::time::sleep;
 use socket2::{Domain, Socket, Type};
@@ -11,16 +11,16 @@
 use std::time::Duration;
 use tokio::io::Interest;
 
-/// Pause after a registration that failed.
+/// Pause before a failed registration is retried.
 pub const REGISTRATION_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// `errno` of a connection that is being established.
+/// `errno` value of Linux for a connection that is being established.
 const EINPROGRESS: i32 = 115;
 
-/// A TCP connection that the loop watches.
+/// A TCP connection that is registered with the event loop.
 pub struct TcpStream(WatchedDescriptor<std::net::TcpStream>);
 
 impl TcpStream {
-    /// Connects to an address.
+    /// Connects to an address. The caller limits the time.
     pub async fn connect(address: SocketAddr) -> io::Result<TcpStream> {
         let socket = Socket::new(
             Domain::for_address(address),
@@ -39,14 +39,15 @@
         }
     }
 
-    /// Has the loop watch a connection that does not block.
+    /// Registers a non-blocking connection with the event loop.
     pub fn register(
         stream: std::net::TcpStream,
     ) -> Result<TcpStream, RegistrationError<std::net::TcpStream>> {
         WatchedDescriptor::register(stream, Interest::READABLE | Interest::WRITABLE).map(TcpStream)
     }
 
-    /// Has the loop watch a connection, as soon as the system allows it. The caller limits the time.
+    /// Registers a connection with the event loop, and retries until that succeeds. The caller
+    /// limits the time.
     async fn register_repeatedly(mut stream: std::net::TcpStream) -> TcpStream {
         loop {
             match TcpStream::register(stream) {
@@ -57,7 +58,7 @@
         }
     }
 
-    /// Polls until bytes or the end may be available.
+    /// Polls until bytes or the end of the stream may be available.
     pub fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.0.poll_read_ready(cx)
     }
@@ -67,7 +68,7 @@
         self.0.poll_write_ready(cx)
     }
 
-    /// Makes a call on the socket if it may be ready. If the call fails with `WouldBlock`, the socket
+    /// Calls `call` if the socket may be ready for it. If that fails with `WouldBlock`, the socket
     /// counts as not ready until the next event.
     pub fn try_io<R>(
         &self,
@@ -77,17 +78,18 @@
         self.0.try_io(interest, |_| call())
     }
 
-    /// Whether the loop has learned that nothing more can be read, be it behind unread bytes.
+    /// Whether the event loop has learned that the stream has ended for reading. Bytes before the
+    /// end may still be unread.
     pub fn is_read_closed(&self) -> bool {
         self.0.is_read_closed()
     }
 
-    /// Sends small writes at once.
+    /// Sets whether small writes are sent at once (`TCP_NODELAY`).
     pub fn set_nodelay(&self, nodelay: bool) -> io::Result<()> {
         self.0.get().set_nodelay(nodelay)
     }
 
-    /// Ends the side that is written.
+    /// Shuts down the writing side of the connection.
     pub fn shutdown_write(&self) -> io::Result<()> {
         self.0.get().shutdown(Shutdown::Write)
     }
--- a/balancer/src/net/watched_descriptor.rs
+++ b/balancer/src/net/watched_descriptor.rs
@@ -1,4 +1,4 @@
-//! A descriptor that the loop watches for readiness.
+//! A file descriptor that the event loop watches for readiness.
 use crate::contained_panic::contain;
 use crate::net::socket_io::retry_interrupted;
 use std::future::{poll_fn, Future};
@@ -10,32 +10,33 @@
 use tokio::io::unix::AsyncFd;
 use tokio::io::Interest;
 
-/// A descriptor that the loop watches. Its owner cannot be replaced while it is watched.
+/// A file descriptor that the event loop watches. Its owner cannot be replaced in the meantime.
 pub struct WatchedDescriptor<T> {
-    /// Taken when dropped only.
+    /// `None` only while this value is dropped.
     watched: Option<AsyncFd<Owner<T>>>,
 }
 
 impl<T> Drop for WatchedDescriptor<T> {
-    /// The runtime wakes its loop when several watches have ended, and panics if that fails. By then
-    /// the watch has ended, and the loop, whose thread this is, need not be woken.
+    /// Catches a panic of the runtime, which wakes its event loop after several registrations have
+    /// ended, and panics if that fails. By then the registration has ended, and the event loop need
+    /// not be woken, as it runs on this thread.
     fn drop(&mut self) {
         let watched = self.watched.take();
         let _ = contain(|| drop(watched));
     }
 }
 
-/// The loop could not watch a descriptor, which is unchanged.
+/// A descriptor could not be registered with the event loop. The descriptor is unchanged.
 #[derive(Debug, Error)]
-#[error("{source}")]
+#[error("cannot register a descriptor with the event loop: {source}")]
 pub struct RegistrationError<T> {
     /// The owner of the descriptor.
     pub descriptor: T,
-    /// The system's error.
+    /// The operating system's error.
     pub source: io::Error,
 }
 
-/// The owner of a descriptor, and the number under which it is registered.
+/// The owner of a descriptor, and the descriptor's number at its registration.
 struct Owner<T> {
     descriptor: T,
     number: RawFd,
@@ -54,15 +55,15 @@
 }
 
 impl<T: AsFd> WatchedDescriptor<T> {
-    /// Has the loop watch a descriptor that does not block.
+    /// Registers a non-blocking descriptor with the event loop.
     pub fn register(
         descriptor: T,
         interest: Interest,
     ) -> Result<WatchedDescriptor<T>, RegistrationError<T>> {
         let number = descriptor.as_fd().as_raw_fd();
         let owner = Owner { descriptor, number };
-        // SAFETY: the owner keeps the descriptor open until the registration has ended, as it is
-        // neither replaced nor given out before, and its number stays the same.
+        // SAFETY: the descriptor stays open until the registration has ended, as its owner is
+        // neither replaced nor given away before, and its number stays the same.
         #[allow(unsafe_code)]
         let watched = unsafe { AsyncFd::register_with_interest(owner, interest) };
         let watched = watched.map(|watched| WatchedDescriptor {
@@ -77,7 +78,8 @@
         })
     }
 
-    /// Has the loop watch a descriptor that is read only. It is closed if that fails.
+    /// Registers a descriptor that is only read, not written. Drops its owner if that fails, which
+    /// closes the descriptor.
     pub fn new(descriptor: T) -> io::Result<WatchedDescriptor<T>> {
         WatchedDescriptor::register(descriptor, Interest::READABLE).map_err(|error| error.source)
     }
@@ -87,19 +89,21 @@
         &self.watched().get_ref().descriptor
     }
 
-    #[expect(clippy::expect_used, reason = "only the drop takes it")]
+    #[expect(clippy::expect_used, reason = "only `drop` takes the value")]
     fn watched(&self) -> &AsyncFd<Owner<T>> {
-        self.watched.as_ref().expect("a watched descriptor")
+        self.watched
+            .as_ref()
+            .expect("the registration is taken only in drop")
     }
 
-    /// Waits until the descriptor is readable, and calls `read`, which fails with `WouldBlock` if it
-    /// is not. A call that a signal interrupted is repeated. After another error the descriptor
-    /// counts as readable, so that the next call reads at once.
+    /// Waits until the descriptor is readable, and calls `read`, which must fail with `WouldBlock`
+    /// if it is not. A call that a signal interrupted is repeated. After any other error the
+    /// descriptor still counts as readable, so that the next call reads at once.
     pub async fn read<R>(&self, mut read: impl FnMut(&T) -> io::Result<R>) -> io::Result<R> {
         poll_fn(|cx| self.poll_read(cx, &mut read)).await
     }
 
-    /// Polls for what [`WatchedDescriptor::read`] waits for.
+    /// The polling form of [`WatchedDescriptor::read`].
     pub fn poll_read<R>(
         &self,
         cx: &mut Context<'_>,
@@ -124,8 +128,9 @@
         self.watched().poll_write_ready(cx).map_ok(drop)
     }
 
-    /// Makes a call if the descriptor may be ready for it. If the call fails with `WouldBlock`, the
-    /// descriptor counts as not ready until the next event.
+    /// Calls `call` if the descriptor may be ready for it. If that fails with `WouldBlock`, the
+    /// descriptor counts as not ready until the next event. A call that a signal interrupted is
+    /// repeated.
     pub fn try_io<R>(
         &self,
         interest: Interest,
@@ -136,7 +141,8 @@
         })
     }
 
-    /// Whether the loop has learned that nothing more can be read.
+    /// Whether the event loop has learned that the stream has ended for reading. Bytes before the
+    /// end may still be unread.
     pub fn is_read_closed(&self) -> bool {
         let readiness = pin!(self.watched().ready(Interest::READABLE))
             .poll(&mut Context::from_waker(Waker::noop()));
--- a/balancer/src/outbound/attempt.rs
+++ b/balancer/src/outbound/attempt.rs
@@ -27,14 +27,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long a request's body is held back on a connection that was idle. The reset of a stale
-/// connection arrives within this time, and a request whose last byte is unwritten has not run and
-/// may use another connection.
+/// How long the body of a request is withheld on a reused connection. If the upstream has closed
+/// the connection, its reset arrives within this time. A request whose last byte is unwritten has
+/// not run, so it may then use another connection.
 const STALE_CONNECTION_CHECK: Duration = Duration::from_millis(2);
 /// Time allowed for a connection to become ready for its next request after a complete response.
 const CONNECTION_READY_TIMEOUT: Duration = Duration::from_millis(5);
 
-/// What all attempts share.
+/// The connector and the write checks that all attempts share.
 #[derive(Clone)]
 pub struct Transport {
     connector: Connector,
@@ -43,7 +43,8 @@
 }
 
 impl Transport {
-    /// Attempts on the connections of this connector.
+    /// Creates a transport whose attempts use the connections of `connector`; `guard` checks their
+    /// writes.
     pub fn new(connector: Connector, guard: Guard) -> Self {
         Transport {
             connector,
@@ -65,8 +66,9 @@
     /// Carries out one attempt, which writes its request at most once. Dropping the future closes
     /// the connection.
     ///
-    /// Calls `on_connected` when there is a connection to write to. Passes a large response to
-    /// `on_response_started` when it begins; the attempt ends with that response's body.
+    /// Calls `on_connected` each time the attempt has got a connection. Passes a large response to
+    /// `on_response_started` once its head has arrived; the attempt then lasts until the end of
+    /// that response's body.
     pub async fn attempt(
         &self,
         upstream: Rc<Upstream>,
@@ -92,7 +94,7 @@
     }
 }
 
-/// A request on its way to one upstream.
+/// A request that is being sent to one upstream.
 struct Attempt<'a> {
     transport: &'a Transport,
     upstream: Rc<Upstream>,
@@ -101,7 +103,7 @@
     deadline: Instant,
 }
 
-/// A request that was written, and the head of its response.
+/// A request whose response has begun: its connection, and the head of the response.
 struct Exchange {
     connection: Connection,
     lease: ReuseLease,
@@ -109,8 +111,9 @@
 }
 
 impl Attempt<'_> {
-    /// Connects, writes the request and reads the head of its response. Each stale idle connection
-    /// is used once; its closing says nothing about the upstream.
+    /// Connects, writes the request and reads the head of its response. Takes another connection
+    /// whenever an idle one turns out to be stale: that the upstream closed it is no evidence of a
+    /// failure of the upstream.
     async fn exchange(&self, on_connected: impl Fn()) -> Result<Exchange, ExchangeError> {
         loop {
             let connector = &self.transport.connector;
@@ -123,7 +126,8 @@
     }
 
     /// Writes the request to this connection and reads the head of its response. `None` if the
-    /// connection is stale: it was closed while it was idle, and the request has not run.
+    /// request has not run and needs another connection: this one was closed while it was idle, or
+    /// its next response may belong to an earlier request.
     async fn exchange_on(
         &self,
         acquired: AcquiredConnection,
@@ -141,12 +145,13 @@
         let sent = tokio::select! {
             biased;
             sent = connection.sender.try_send_request(request) => sent,
-            // An upstream that stops reading a body has not run the request.
+            // The upstream has stopped reading the body, so it has not run the request.
             () = self.request.body.stalled() => {
                 return Err(AttemptOutcome::ConnectFailed.into());
             }
             () = lease.revoked() => {
-                // Without its last byte the request has not run, and may use another connection.
+                // A request whose last byte is unwritten has not run, and may use another
+                // connection.
                 return match progress.get() {
                     WriteProgress::Complete => Err(AttemptOutcome::Error.into()),
                     WriteProgress::Partial | WriteProgress::HandedOver => Ok(None),
@@ -175,8 +180,9 @@
         }
     }
 
-    /// Whether a response is an earlier request's: it arrived before the body was written, which is
-    /// held back on a connection that was idle, so no upstream can have served this request.
+    /// Whether a response belongs to an earlier request. On a reused connection the body is
+    /// withheld at first, so the upstream cannot have served a request whose body is not written
+    /// yet.
     fn is_surplus(
         &self,
         lease: &ReuseLease,
@@ -189,7 +195,7 @@
             && outcome_of_response(response) == AttemptOutcome::Success
     }
 
-    /// The write conditions may have changed while the attempt connected.
+    /// Checks the write conditions, which may have changed while the attempt connected.
     fn check_write_allowed(&self) -> Result<(), AttemptOutcome> {
         let conditions = write_conditions(&self.upstream, &self.request, self.deadline, false);
         self.transport
@@ -198,9 +204,9 @@
             .map_err(|_| AttemptOutcome::NotSent)
     }
 
-    /// Checks the write conditions again at the request's first byte: the connection's task may
-    /// write it later, and the whole process may be suspended in between. Returns whether the write
-    /// was denied.
+    /// Has the write conditions checked again at the request's first byte: the connection's task
+    /// may write it later, and the whole process may be suspended in between. The returned flag
+    /// tells whether that check denied the write.
     fn deny_late_first_byte(&self, socket: &SharedStream) -> Rc<Cell<bool>> {
         let denied = Rc::new(Cell::new(false));
         let denied_by_permit = denied.clone();
@@ -217,8 +223,8 @@
         denied
     }
 
-    /// The request with its remaining time, and with a body that waits until the connection is
-    /// known to be open.
+    /// Builds the request to write: with its remaining time, in microseconds, as a header, and on a
+    /// reused connection with a body that is withheld until the connection is known to be open.
     fn build_request(
         &self,
         origin: ConnectionOrigin,
@@ -272,7 +278,7 @@
                 relay.run(buffered).await?;
                 None
             }
-            // The rest stays unread, so the connection is closed.
+            // The rest of the body stays unread, so the connection cannot be reused and is closed.
             BufferedBody::Partial(_) => {
                 return Ok(AttemptResult {
                     outcome,
@@ -280,13 +286,13 @@
                 })
             }
         };
-        // Before the outcome is reported: the next attempt that the core starts may use this
-        // connection.
+        // The connection is returned before the outcome is reported, so that the next attempt that
+        // the core starts can use it.
         self.return_connection(connection).await;
         Ok(AttemptResult { outcome, response })
     }
 
-    /// Passes the head of a large response on.
+    /// Passes on the head of a large response, and returns the relay for its body.
     fn start_relay(
         &self,
         mut head: response::Parts,
@@ -313,8 +319,8 @@
     }
 }
 
-/// Fails unless the error shows that an idle connection was stale. Without its last byte the
-/// request has not run.
+/// Returns the outcome of the attempt as an error, unless `error` shows that an idle connection was
+/// stale: the request's last byte is unwritten, so the request has not run.
 fn require_stale_connection(
     mut error: TrySendError<Request<AttemptBody>>,
     origin: ConnectionOrigin,
@@ -347,12 +353,12 @@
 }
 
 /// The final response to a request that its upstream found invalid. Another upstream would reject
-/// it too, and it says nothing about this one.
+/// it too, and it is no evidence of a failure of this one.
 fn client_error(outcome: AttemptOutcome, status: StatusCode) -> Option<FinalResponse> {
     (outcome == AttemptOutcome::Cancelled).then_some(FinalResponse::ClientError(status))
 }
 
-/// The conditions under which a request is written now. The attempt ends at `deadline`.
+/// The conditions that forbid writing the request, as of now. The attempt ends at `deadline`.
 fn write_conditions(
     upstream: &Upstream,
     request: &OutboundRequest,
--- a/balancer/src/outbound/attempt/tests.rs
+++ b/balancer/src/outbound/attempt/tests.rs
@@ -1,4 +1,4 @@
-//! Attempts over real sockets: which connection carries them, and how they end.
+//! Attempts over real sockets: which connection carries them, and which outcome they have.
 use super::*;
 use crate::body::request_body::RequestBody;
 use crate::net::descriptor_budget::DescriptorBudget;
@@ -12,7 +12,7 @@
 use std::net::TcpListener;
 use tokio::task::LocalSet;
 
-/// Longer than a connection rests before it is reused.
+/// Longer than the reuse delay of a connection.
 const REUSE_WAIT: Duration = Duration::from_secs(1);
 
 fn connector(sockets: DescriptorBudget) -> Connector {
@@ -54,9 +54,9 @@
     LocalSet::new().block_on(&runtime, test);
 }
 
-/// Guards against writing a request to a connection that is closed or has unread bytes, as the
-/// system knows before the runtime does: nothing between the last response and the next request
-/// yields.
+/// Guards against writing a request to a connection that is closed or has unread bytes. The kernel
+/// knows this before the runtime does, as nothing between the last response and the next request
+/// yields to the runtime.
 #[test]
 fn does_not_reuse_a_closed_connection_or_one_with_unread_bytes() {
     run_test(async {
@@ -142,7 +142,7 @@
             let server = std::thread::spawn(move || {
                 let (mut peer, _) = listener.accept().expect("accepts");
                 read_until(&mut peer, b"body");
-                // The reader may disconnect before it has read all of it.
+                // The balancer may disconnect before it has read the whole response.
                 let _ = peer.write_all(text.as_bytes());
             });
             let request = OutboundRequest {
@@ -160,8 +160,9 @@
     }
 }
 
-/// Serves a request, resets its connection at the head of the next one, and serves that on a second
-/// connection. Returns what was written to the first connection before the reset.
+/// Serves a request, resets its connection after the head of the next request, and serves that
+/// request on a second connection. Returns what the first connection received of it before the
+/// reset.
 fn serve_with_one_stale_connection(listener: &TcpListener) -> Vec<u8> {
     let (mut first, _) = listener.accept().expect("accepts");
     assert!(read_until(&mut first, b"body").ends_with(b"body"));
@@ -181,9 +182,11 @@
     stale
 }
 
-/// Guards against losing a non-idempotent request to a connection that went stale while it was
-/// idle: the reset arrives for the request's head, and it has not run. The check here is too long
-/// to end by itself. The connection rests first, as a young one is not reused while others open.
+/// Guards against losing a non-idempotent request on a connection that became stale while it was
+/// idle: the reset answers the request's head, and the request has not run. The body is withheld
+/// for so long here that only the reset can end the wait. The test waits between the two requests,
+/// as a connection that was idle for less than the reuse delay is not used while a new one can be
+/// opened.
 #[test]
 fn repeats_a_request_whose_idle_connection_was_stale() {
     run_test(async {
@@ -214,12 +217,12 @@
         let stale = server.join().expect("the upstream");
         assert!(
             stale.ends_with(b"\r\n\r\n"),
-            "the body was written to a connection that was not yet checked"
+            "the body was written before the stale connection check had ended"
         );
     });
 }
 
-/// Guards against taking a connection that was closed because of surplus data for a stale one: the
+/// Guards against treating a connection that was closed because of surplus data as a stale one: the
 /// core would close all idle connections before each attempt.
 #[test]
 fn reports_a_request_that_may_get_another_response_as_error() {
@@ -250,7 +253,7 @@
         };
         let (result, ()) = tokio::join!(attempt(), detection);
         assert_eq!(result.outcome, AttemptOutcome::Error);
-        // The connection's task closes it.
+        // The connection's task takes some time to close it.
         tokio::time::sleep(REUSE_WAIT).await;
         assert!(server.is_finished(), "the connection is closed");
         let further = server.join().expect("the upstream");
@@ -268,8 +271,8 @@
     all
 }
 
-/// Guards against reporting our own shortage of descriptors as a failure of the upstream: nothing
-/// was sent.
+/// Guards against reporting a shortage of descriptors in this process as a failure of the upstream:
+/// nothing was sent.
 #[test]
 fn reports_a_shortage_of_descriptors_as_not_sent() {
     run_test(async {
--- a/balancer/src/outbound/attempt_result.rs
+++ b/balancer/src/outbound/attempt_result.rs
@@ -1,4 +1,4 @@
-//! How an attempt ended, and why one ended early.
+//! How an attempt ended, and why one ended before it had a response.
 use crate::body::body_error::BodyError;
 use crate::outbound::message::FinalResponse;
 use balancer_core::AttemptOutcome;
@@ -6,10 +6,10 @@
 /// How an attempt ended.
 #[derive(Debug)]
 pub struct AttemptResult {
-    /// The outcome for the decision module.
+    /// The outcome that is reported to the core.
     pub outcome: AttemptOutcome,
-    /// The final response that the attempt has for the client. `None` if it has none, or has passed
-    /// it on already.
+    /// The final response for the client. `None` if the attempt has none, or has passed it on
+    /// already.
     pub response: Option<FinalResponse>,
 }
 
@@ -22,11 +22,11 @@
     }
 }
 
-/// Why an attempt ended before the head of a response.
+/// Why an attempt ended before it received the head of a response.
 pub enum ExchangeError {
-    /// The outcome for the decision module.
+    /// The outcome that is reported to the core.
     Outcome(AttemptOutcome),
-    /// The client's side of the request body failed.
+    /// The client failed to send the request body.
     RequestBody(BodyError),
 }
 
--- a/balancer/src/outbound/connection_pool.rs
+++ b/balancer/src/outbound/connection_pool.rs
@@ -14,27 +14,27 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Connections that have been idle for this long are preferred: the longer a connection rests, the
-/// surer it is that no surplus data follows its last response.
+/// Connections that have been idle for this long are preferred: the longer a connection has been
+/// idle, the less likely it is that surplus data still follows its last response.
 const PREFERRED_IDLE_TIME: Duration = Duration::from_secs(1);
-/// How long a connection that may not be used again stays open, to observe whether surplus data
+/// How long a connection that may not be reused stays open for observation: whether surplus data
 /// still follows the upstream's responses.
 const OBSERVATION_TIME: Duration = LONG_REUSE_DELAY;
 
-/// One open connection; closed when dropped.
+/// An open connection; closed when dropped.
 pub struct Connection {
     /// Sends one request at a time.
     pub sender: http1::SendRequest<AttemptBody>,
-    /// The socket below it.
+    /// The underlying socket.
     pub socket: SharedStream,
-    /// The upstream's generation for which it was opened.
+    /// The upstream's generation when the dial began.
     generation: u64,
-    /// Its task, which reads and writes.
+    /// The task that reads and writes the connection.
     task: AbortHandle,
     surplus_reporter: SurplusReporter,
-    /// Counts the open connections to its upstream.
+    /// The number of open connections to its upstream.
     open_connections: Rc<Cell<usize>>,
-    /// Its share of the process's descriptors.
+    /// Its share of the descriptor budget.
     _permit: OwnedSemaphorePermit,
 }
 
@@ -46,8 +46,8 @@
 }
 
 impl Connection {
-    /// An open connection to `upstream`: `task` serves it, `permit` is its share of the process's
-    /// descriptors.
+    /// Wraps an open connection to `upstream`. `task` reads and writes it, and `permit` is its
+    /// share of the descriptor budget.
     pub fn new(
         upstream: &Upstream,
         sender: http1::SendRequest<AttemptBody>,
@@ -70,18 +70,18 @@
         }
     }
 
-    /// What it has carried.
+    /// The requests that it has carried.
     pub fn connection_use(&self) -> &ConnectionUse {
         self.surplus_reporter.connection_use()
     }
 
-    /// Reports surplus data of its upstream.
+    /// Reports surplus data on this connection.
     pub fn surplus_reporter(&self) -> &SurplusReporter {
         &self.surplus_reporter
     }
 
-    /// Whether the connection can carry a request: the other side has not closed it, and there are
-    /// no unread bytes that would be taken for the next response. Reports such bytes.
+    /// Whether the connection can carry a request: the upstream has not closed it, and there are no
+    /// unread bytes that would be taken for the next response. Reports such bytes as surplus data.
     fn check_reusable(&self) -> bool {
         match self.socket.unread_state() {
             UnreadState::Nothing => self.sender.is_ready(),
@@ -97,12 +97,13 @@
 struct IdleConnection {
     connection: Connection,
     idle_since: Instant,
-    /// Whether it carries no further request and is only observed.
+    /// Whether it is kept open for observation only, and carries no further request.
     is_observed_only: bool,
 }
 
 impl IdleConnection {
-    /// When it may carry a request, at least `reuse_delay` after its last response.
+    /// When it may carry a request: at least `reuse_delay` after its last response, or at once if
+    /// it has had none. `None` if it carries no further request.
     fn reusable_at(&self, reuse_delay: Duration) -> Option<Instant> {
         if self.is_observed_only {
             return None;
@@ -124,7 +125,7 @@
         now - self.idle_since >= limit
     }
 
-    /// Whether it was observed to the end without surplus data.
+    /// Whether it has been observed for the whole observation time without surplus data.
     fn is_observed_clean(&self, now: Instant) -> bool {
         self.is_observed_only
             && now - self.idle_since >= OBSERVATION_TIME
@@ -145,13 +146,13 @@
 /// One upstream: its address, and its idle connections in the order in which they became idle.
 pub struct Upstream {
     address: Cell<SocketAddr>,
-    /// After this time nothing may be written to the upstream. Set while it drains, is gone or is
-    /// suspended.
+    /// After this time nothing may be written to the upstream. Set while the upstream is draining,
+    /// gone or suspended.
     write_deadline: Cell<Option<Instant>>,
-    /// Counts the processes behind the address.
+    /// Increases with each process that replaces the upstream's previous one.
     generation: Cell<u64>,
     idle: RefCell<Vec<IdleConnection>>,
-    /// Idle connections, and those that carry a request.
+    /// The number of open connections: idle ones, and those that carry a request.
     open_connections: Rc<Cell<usize>>,
     surplus: SurplusHistory,
     /// Wakes an attempt that waits for a connection when one becomes idle.
@@ -159,7 +160,7 @@
 }
 
 impl Upstream {
-    /// An upstream without connections.
+    /// Creates an upstream without connections.
     pub fn new(address: SocketAddr) -> Rc<Upstream> {
         Rc::new(Upstream {
             address: Cell::new(address),
@@ -182,19 +183,20 @@
         self.address.replace(address)
     }
 
-    /// Counts the processes behind the address: a connection belongs to one of them.
+    /// The generation of the upstream, which increases with each process that replaces the previous
+    /// one. A connection belongs to one generation.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
 
-    /// Another process has replaced the upstream's: no connection to the old one carries another
-    /// request.
+    /// Records that a new process has replaced the upstream's: no connection to the old one carries
+    /// another request.
     pub fn mark_replaced(&self) {
         self.generation.set(self.generation.get() + 1);
         self.close_idle();
     }
 
-    /// After this time nothing may be written to the upstream, if it is set.
+    /// The time after which nothing may be written to the upstream, if one is set.
     pub fn write_deadline(&self) -> Option<Instant> {
         self.write_deadline.get()
     }
@@ -204,14 +206,14 @@
         self.write_deadline.set(deadline);
     }
 
-    /// Whether nothing may be written to the upstream any more.
+    /// Whether the write deadline has passed, so that nothing may be written to the upstream.
     pub fn is_closed_for_writes(&self, now: Instant) -> bool {
         self.write_deadline
             .get()
             .is_some_and(|deadline| now >= deadline)
     }
 
-    /// What is known of its surplus data.
+    /// The history of its surplus data.
     pub fn surplus(&self) -> &SurplusHistory {
         &self.surplus
     }
@@ -221,8 +223,8 @@
         self.idle.borrow_mut().clear();
     }
 
-    /// Closes the connections that have been idle for `idle_limit`, and those that the other side
-    /// closed.
+    /// Closes the connections that have been idle for `idle_limit` or observed for long enough, and
+    /// drops those that the upstream has closed.
     pub fn close_expired(&self, now: Instant, idle_limit: Duration) {
         self.idle.borrow_mut().retain(|idle| {
             if idle.is_observed_clean(now) {
@@ -240,12 +242,12 @@
         self.idle.borrow().iter().any(is_usable)
     }
 
-    /// Since when the longest idle connection is idle.
+    /// Since when the connection that has been idle for longest is idle.
     pub fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.borrow().first().map(|idle| idle.idle_since)
     }
 
-    /// Closes the longest idle connection.
+    /// Closes the connection that has been idle for longest.
     pub fn close_oldest_idle(&self) {
         let mut idle = self.idle.borrow_mut();
         if !idle.is_empty() {
@@ -253,7 +255,8 @@
         }
     }
 
-    /// Takes a connection that is ready and has been idle for less than `idle_limit`.
+    /// Takes a connection that may carry a request now and has been idle for less than
+    /// `idle_limit`. Without one, tells when the next one may be reused.
     pub fn take_idle(&self, idle_limit: Duration) -> PooledConnection {
         let now = Instant::now();
         self.close_expired(now, idle_limit);
@@ -278,14 +281,15 @@
         self.surplus.reuse_delay(self.has_one_connection(), now)
     }
 
-    /// Whether one connection to it is open, idle or in use.
+    /// Whether exactly one connection to the upstream is open, idle or in use.
     pub fn has_one_connection(&self) -> bool {
         self.open_connections.get() == 1
     }
 
-    /// Removes the most recently used connection that is preferred; the others stay idle and
-    /// expire, instead of all being kept open in turn. Without one, removes the longest idle
-    /// connection that may be used.
+    /// Removes the most recently used of the connections that have been idle for
+    /// [`PREFERRED_IDLE_TIME`]: the others stay idle and expire, whereas using them in turn would
+    /// keep all of them open. Without one, removes the connection that has been idle for longest
+    /// of those that may be used.
     fn remove_best_idle(&self, now: Instant) -> Option<Connection> {
         let reuse_delay = self.reuse_delay(now);
         let mut idle = self.idle.borrow_mut();
@@ -299,8 +303,9 @@
         Some(idle.remove(position).connection)
     }
 
-    /// Returns a connection after a complete response. Where connections carry one request each for
-    /// longer than it would rest, one of them stays open for observation.
+    /// Returns a connection to the pool after a complete response. If the single-use period lasts
+    /// beyond the connection's reuse delay, it carries no further request: it is kept for
+    /// observation if no other one is, and closed otherwise.
     pub fn return_after_response(&self, connection: Connection) {
         let now = Instant::now();
         connection.socket.acknowledge_received_data();
@@ -317,12 +322,12 @@
         self.idle.borrow().iter().any(|idle| idle.is_observed_only)
     }
 
-    /// Adds a connection that has not carried a request since it became available.
+    /// Adds a new connection, which has not carried a request, to the pool.
     pub fn add_unused(&self, connection: Connection) {
         self.add_idle(connection, false);
     }
 
-    /// Adds an idle connection. Closes one that may not be used again.
+    /// Adds an idle connection to the pool, or closes it if it may not be reused.
     fn add_idle(&self, connection: Connection, is_observed_only: bool) {
         let now = Instant::now();
         let is_current = connection.generation == self.generation.get();
@@ -342,7 +347,7 @@
         self.idle_added.notified().await;
     }
 
-    /// A reporter of surplus data for one connection to it.
+    /// Creates a reporter of surplus data on one connection to this upstream.
     pub fn surplus_reporter(
         self: &Rc<Self>,
         socket: SharedStream,
@@ -358,8 +363,8 @@
         self.address.get()
     }
 
-    /// None of the idle connections is used again, unless a long rest shows whether a copy follows
-    /// on them too.
+    /// Closes all idle connections, unless their reuse delay is long enough to detect such data on
+    /// them too.
     fn record_surplus(&self, evidence: SurplusEvidence, now: Instant) -> Option<Duration> {
         if !self.surplus.is_covered_by_reuse_delay(evidence, now) {
             self.close_idle();
--- a/balancer/src/outbound/connection_pool/tests.rs
+++ b/balancer/src/outbound/connection_pool/tests.rs
@@ -1,4 +1,5 @@
-//! Which idle connections surplus data closes, and when a used one carries its next request.
+//! Which idle connections are closed after surplus data, and when a used one carries its next
+//! request.
 use super::*;
 use crate::net::descriptor_budget::DescriptorBudget;
 use crate::outbound::connector::{ConnectionOrigin, Connector};
@@ -7,10 +8,10 @@
 use tokio::time::sleep;
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Time that a busy machine may take beyond a rest.
+/// Additional time that a busy machine may need after a reuse delay.
 const MARGIN: Duration = Duration::from_millis(50);
 
-/// Opens a connection that is not idle.
+/// Opens a connection that is not in the pool.
 async fn open_connection(upstream: &Rc<Upstream>) -> Connection {
     let connector = Connector::new(TIMEOUT, TIMEOUT, DescriptorBudget::new(64), Rc::default());
     let connected = connector.connect(upstream, Instant::now() + TIMEOUT).await;
@@ -26,15 +27,15 @@
     matches!(upstream.take_idle(TIMEOUT), PooledConnection::Ready(_))
 }
 
-/// Whether an idle connection is still there after this evidence was recorded.
+/// Whether the pool still has an idle connection after this evidence was recorded.
 async fn keeps_idle_connection(upstream: &Rc<Upstream>, evidence: SurplusEvidence) -> bool {
     upstream.add_unused(open_connection(upstream).await);
     upstream.record_surplus(evidence, Instant::now());
     is_ready(upstream)
 }
 
-/// Guards against paying for other connections than the one that carries a copy, once all of them
-/// rest long enough to show theirs.
+/// Guards against closing other connections than the one with the copy, once the reuse delay is
+/// long enough to detect a copy on each of them.
 #[tokio::test]
 async fn an_expected_copy_closes_idle_connections_only_before_the_long_reuse_delay() {
     let test = async {
@@ -49,8 +50,8 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against a second wrong response, and against connections that carry one request though
-/// the data is explained.
+/// Guards against a second wrong response, and against single use of connections after surplus data
+/// that is an expected copy.
 #[tokio::test]
 async fn a_used_connection_is_reused_after_the_long_delay_once_there_was_surplus_data() {
     let test = async {
--- a/balancer/src/outbound/connection_use.rs
+++ b/balancer/src/outbound/connection_use.rs
@@ -1,4 +1,5 @@
-//! What one connection to an upstream has carried, and what surplus data on it shows.
+//! The requests that one connection to an upstream has carried, and what surplus data on it is
+//! evidence of.
 use crate::outbound::surplus_history::{SurplusEvidence, LONG_REUSE_DELAY, MAX_EXPECTED_LATENESS};
 use std::cell::Cell;
 use std::time::Duration;
@@ -7,18 +8,18 @@
 /// The requests that one connection has carried.
 #[derive(Default)]
 pub struct ConnectionUse {
-    /// How many requests it was used for.
+    /// How many requests it has carried.
     requests: Cell<u32>,
     /// When its newest response was complete.
     last_response_at: Cell<Option<Instant>>,
-    /// Whether its newest request has not got a complete response.
+    /// Whether its newest request still lacks a complete response.
     awaits_response: Cell<bool>,
-    /// Whether a request followed a response before [`LONG_REUSE_DELAY`] had passed.
+    /// Whether any request followed a response before [`LONG_REUSE_DELAY`] had passed.
     has_been_reused_early: Cell<bool>,
 }
 
 impl ConnectionUse {
-    /// The connection is used for a request.
+    /// Records that the connection is used for a request.
     pub fn record_request(&self, now: Instant) {
         let follows_early = self.last_response_at.get().is_some_and(|response_at| {
             now.saturating_duration_since(response_at) < LONG_REUSE_DELAY
@@ -29,29 +30,30 @@
         self.awaits_response.set(true);
     }
 
-    /// Its newest request has got a complete response.
+    /// Records that the response to the newest request is complete.
     pub fn record_response(&self, now: Instant) {
         self.last_response_at.set(Some(now));
         self.awaits_response.set(false);
     }
 
-    /// Whether it has got a complete response.
+    /// Whether any of its requests has got a complete response.
     pub fn has_completed_request(&self) -> bool {
         self.last_response_at.get().is_some()
     }
 
-    /// Whether its newest request is not its first.
+    /// Whether it has been used for more than one request.
     pub fn is_reused(&self) -> bool {
         self.requests.get() > 1
     }
 
-    /// What surplus data that arrives now shows. On a connection that carried one request it is a
-    /// copy of that request's response. After early reuse it may be the response to a request that
-    /// got an earlier one's. What comes very late would have been taken for a response if the
-    /// connection had been reused.
+    /// What surplus data that arrives at `now` is evidence of. On a connection that has carried one
+    /// request it is a copy of that request's response. After early reuse it may be the response to
+    /// a request that was given the response to an earlier one. Data later than
+    /// [`MAX_EXPECTED_LATENESS`] could have been taken for a response on a reused connection.
     ///
-    /// If it is the same as the newest response (`is_copy`), its lateness is known. That holds only if
-    /// the newest response was surely its request's: after early reuse it may be a copy itself.
+    /// If the data equals the newest response (`is_copy`), its lateness is known. That holds only
+    /// if the newest response certainly belongs to its request: after early reuse it may be a copy
+    /// itself.
     pub fn evidence_of_surplus(&self, is_copy: bool, now: Instant) -> SurplusEvidence {
         let lateness = self.lateness(now);
         let is_late = lateness > MAX_EXPECTED_LATENESS;
@@ -64,7 +66,8 @@
         }
     }
 
-    /// Time since the newest response. What comes before it is known to be complete, comes with it.
+    /// Time since the newest response was complete. Zero before the first response, and while a
+    /// response is awaited or incomplete: data that arrives then counts as arriving with it.
     fn lateness(&self, now: Instant) -> Duration {
         match self.last_response_at.get() {
             Some(response_at) if !self.awaits_response.get() => {
--- a/balancer/src/outbound/connection_use/tests.rs
+++ b/balancer/src/outbound/connection_use/tests.rs
@@ -1,9 +1,10 @@
-//! What surplus data shows, by what its connection has carried.
+//! What surplus data is evidence of, depending on what its connection has carried.
 use super::*;
 
 const ONE_MS: Duration = Duration::from_millis(1);
 
-/// A connection that has carried requests, each after such a rest.
+/// A connection that has carried one request, and a further one after each of these delays. Also
+/// returns the time of its newest response.
 fn used_connection(delays: &[Duration]) -> (ConnectionUse, Instant) {
     let connection = ConnectionUse::default();
     let mut now = Instant::now();
@@ -39,7 +40,8 @@
     }
 }
 
-/// Guards against taking the response to a request that got a wrong one for harmless.
+/// Guards against treating surplus data as harmless that is the response to a request that was
+/// given a wrong one.
 #[test]
 fn surplus_data_after_early_reuse_is_unexplained_for_good() {
     let early = LONG_REUSE_DELAY - ONE_MS;
@@ -55,8 +57,8 @@
     }
 }
 
-/// Guards against paying for each copy with a period of single use: no earlier response's copy can
-/// follow that late.
+/// Guards against a single-use period after each copy: the copy of an earlier response cannot
+/// arrive that late.
 #[test]
 fn surplus_data_after_long_reuse_delays_is_expected() {
     let (connection, now) = used_connection(&[LONG_REUSE_DELAY, LONG_REUSE_DELAY * 2]);
@@ -64,7 +66,7 @@
     assert_eq!(evidence, SurplusEvidence::ExpectedCopy);
 }
 
-/// Guards against relying on a rest that is hardly longer than copies are late.
+/// Guards against relying on a reuse delay that is hardly longer than the lateness of copies.
 #[test]
 fn surplus_data_beyond_the_expected_lateness_is_unexplained() {
     for delays in [&[][..], &[LONG_REUSE_DELAY]] {
@@ -74,8 +76,8 @@
     }
 }
 
-/// Guards against counting the lateness of data that comes with a response from the response before
-/// it.
+/// Guards against measuring the lateness of data that arrives with a response from the response
+/// before it.
 #[test]
 fn surplus_data_behind_a_later_response_is_expected() {
     let (connection, now) = used_connection(&[LONG_REUSE_DELAY]);
@@ -85,7 +87,8 @@
     assert_eq!(evidence, SurplusEvidence::ExpectedCopy);
 }
 
-/// Guards against long delays where the bytes show that the newest response was the right one.
+/// Guards against the long reuse delay where the bytes prove that the newest response was the right
+/// one.
 #[test]
 fn the_same_response_again_is_a_copy_with_its_lateness() {
     for delays in [&[][..], &[LONG_REUSE_DELAY]] {
@@ -100,8 +103,8 @@
     }
 }
 
-/// Guards against wrong responses again and again: after early reuse the newest response may itself
-/// be a copy of an earlier one, of which a further copy tells nothing.
+/// Guards against repeated wrong responses: after early reuse the newest response may itself be a
+/// copy of an earlier one, and then a further copy is no evidence that it was the right one.
 #[test]
 fn the_same_response_again_after_early_reuse_is_unexplained() {
     let (connection, now) = used_connection(&[ONE_MS]);
--- a/balancer/src/outbound/connector.rs
+++ b/balancer/src/outbound/connector.rs
@@ -1,4 +1,4 @@
-//! Connections to upstreams: an idle one from the pool, or a new one.
+//! Gets an attempt a connection to its upstream: an idle one from the pool, or a new one.
 use crate::net::descriptor_budget::{is_resource_shortage, DescriptorBudget};
 use crate::net::shared_stream::{SharedStream, MAX_HEAD_BYTES};
 use crate::net::tcp_stream::TcpStream;
@@ -14,15 +14,15 @@
 use tokio::sync::mpsc::{self, error::SendError};
 use tokio::time::Instant;
 
-/// Subtracted from an upstream's idle timeout: a request on a connection that the upstream is about
-/// to close ends as a reset, and the upstream counts from its last byte, not from when it was read
-/// here.
+/// Subtracted from the upstreams' idle timeout. A request on a connection that the upstream is
+/// about to close would end as a reset, and the upstream measures idle time from when it sent its
+/// last byte, which is before that byte was read here.
 const IDLE_MARGIN: Duration = Duration::from_millis(250);
-/// Shortest time for which a dial continues, whether or not its attempt still waits for it. TCP
-/// retransmits lost handshake packets after a second.
+/// Shortest time limit of a dial, which continues even if its attempt no longer waits for it. TCP
+/// retransmits a lost handshake packet after a second, so a shorter limit would end it too early.
 const MIN_DIAL_TIME: Duration = Duration::from_secs(2);
-/// A hedged dial to the same upstream starts each time this fraction of the dial timeout has
-/// passed; the first open connection is used.
+/// An attempt without a connection starts another dial to the same upstream, a hedge, each time the
+/// dial timeout divided by this number has passed. It uses the first connection that opens.
 const HEDGES_PER_DIAL_TIMEOUT: u32 = 8;
 /// Most dials for one attempt.
 const MAX_DIALS: usize = 3;
@@ -30,13 +30,13 @@
 /// Where a connection comes from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOrigin {
-    /// From the pool: it was idle, and may have gone stale.
+    /// From the pool: it was idle, and may be stale.
     Reused,
     /// Opened for this attempt.
     New,
 }
 
-/// A connection that an attempt may use.
+/// A connection for an attempt.
 pub struct AcquiredConnection {
     /// The open connection.
     pub connection: Connection,
@@ -47,7 +47,7 @@
 /// The result of a dial.
 type DialResult = Result<Connection, AttemptOutcome>;
 
-/// Opens connections within the process's budget of descriptors.
+/// Opens connections within the process's budget of file descriptors.
 #[derive(Clone)]
 pub struct Connector {
     /// Longest time that an attempt waits for a new connection.
@@ -59,8 +59,8 @@
 }
 
 impl Connector {
-    /// Upstreams close connections that are idle for `upstream_idle_timeout`. The connections
-    /// update `counts`.
+    /// Creates a connector. Upstreams close connections that have been idle for
+    /// `upstream_idle_timeout`. The connections update `counts`.
     pub fn new(
         dial_timeout: Duration,
         upstream_idle_timeout: Duration,
@@ -88,15 +88,15 @@
         self.sockets.is_exhausted()
     }
 
-    /// Whether a connection to this upstream may be kept until it has rested. Where sockets are short
-    /// and its surplus data demands a long rest, others need them sooner.
+    /// Whether an idle connection to this upstream may be kept. If descriptors are scarce and
+    /// surplus data extends the reuse delay, other connections need the descriptor sooner.
     pub fn may_keep_idle(&self, upstream: &Upstream) -> bool {
         self.sockets.has_headroom() || !upstream.surplus().has_extended_reuse_delay(Instant::now())
     }
 
     /// Returns the first connection to the upstream that is available by `deadline`: an idle one,
-    /// one that becomes idle, or a new one. A dial that loses or is too late continues, and its
-    /// connection joins the pool.
+    /// one that becomes idle, or a new one. A dial whose connection is not used continues, and adds
+    /// it to the pool.
     pub async fn connect(
         &self,
         upstream: &Rc<Upstream>,
@@ -142,14 +142,15 @@
         }
     }
 
-    /// Whether an attempt waits for an idle connection to become reusable rather than open one more.
+    /// Whether an attempt waits for an idle connection to become reusable instead of opening
+    /// another.
     fn waits_for_idle(&self, upstream: &Upstream) -> bool {
         let may_wait = upstream.has_one_connection() || !self.sockets.has_headroom();
         may_wait && !upstream.surplus().has_extended_reuse_delay(Instant::now())
     }
 
-    /// Starts a dial that continues without its attempt: a connection that nothing waits for any
-    /// more joins the pool.
+    /// Starts a dial, which continues if its attempt ends. A connection that no attempt waits for
+    /// any more is added to the pool.
     fn start_dial(&self, upstream: &Rc<Upstream>, results: mpsc::Sender<DialResult>) {
         let connector = self.clone();
         let upstream = upstream.clone();
@@ -168,7 +169,7 @@
     }
 
     async fn dial(&self, upstream: &Rc<Upstream>, deadline: Instant) -> DialResult {
-        // A shortage of descriptors here says nothing about the upstream.
+        // A shortage of descriptors in this process is no evidence of a failure of the upstream.
         let permit = self
             .sockets
             .try_acquire_upstream()
@@ -186,7 +187,8 @@
         let open_count = self.counts.record_connection_opened();
         let task = tokio::task::spawn_local(async move {
             let _open_count = open_count;
-            // The attempt on the connection sees how it ends, unless it is idle.
+            // An attempt on the connection gets its error too; on an idle connection only this task
+            // does.
             if let Err(error) = connection.await {
                 reporter.report_if_cause(&error);
             }
@@ -208,7 +210,8 @@
     connector: &'a Connector,
     upstream: &'a Rc<Upstream>,
     started: usize,
-    /// Why a dial failed. An idle connection may still become reusable.
+    /// The outcome of a dial that failed. The attempt continues if an idle connection will become
+    /// reusable.
     failure: Option<AttemptOutcome>,
     hedge_delay: Duration,
     next_hedge_at: Instant,
@@ -268,7 +271,8 @@
     }
 }
 
-/// Returns once no attempt waits for a dial and sockets are too short to continue it.
+/// Returns when the attempt that started a dial stops waiting for it, if descriptors are too scarce
+/// then to continue it. Never returns otherwise.
 async fn until_abandoned_without_headroom(
     results: &mpsc::Sender<DialResult>,
     sockets: &DescriptorBudget,
--- a/balancer/src/outbound/connector/tests.rs
+++ b/balancer/src/outbound/connector/tests.rs
@@ -27,7 +27,7 @@
     Instant::now() + LONG_TIMEOUT
 }
 
-/// Guards against dialling again and again in vain where connections open late.
+/// Guards against repeated dials without success where connections open late.
 #[tokio::test]
 async fn next_attempt_uses_a_connection_that_opened_late() {
     let test = async {
@@ -50,7 +50,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against waiting for a dial though another connection has become idle.
+/// Guards against waiting for a dial although another connection has become idle.
 #[tokio::test]
 async fn dialling_attempt_uses_a_connection_that_becomes_idle() {
     let test = async {
@@ -84,7 +84,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against using a connection to a process that has been replaced meanwhile.
+/// Guards against using a connection to a process that was replaced during the dial.
 #[tokio::test]
 async fn discards_a_late_connection_to_a_replaced_process() {
     let test = async {
@@ -103,7 +103,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against losing a request's time to one connection that opens late, where another would
+/// Guards against spending a request's time on one connection that opens late, where another would
 /// open at once.
 #[tokio::test]
 async fn hedged_dial_overtakes_a_late_one() {
--- a/balancer/src/outbound/dispatch.rs
+++ b/balancer/src/outbound/dispatch.rs
@@ -1,4 +1,4 @@
-//! How the attempts of a balancer are carried out.
+//! How a balancer carries out attempts: over sockets, or simulated without them.
 use crate::body::response_body::ResponseContent;
 use crate::outbound::attempt::Transport;
 use crate::outbound::attempt_result::AttemptResult;
@@ -16,8 +16,7 @@
 pub enum Dispatch {
     /// Over sockets to the upstreams.
     Sockets(Transport),
-    /// Without sockets: each attempt ends at once as if its upstream had served it with an empty
-    /// body.
+    /// Without sockets: each attempt succeeds at once, with an empty response body.
     Hollow,
 }
 
--- a/balancer/src/outbound/endpoint_table.rs
+++ b/balancer/src/outbound/endpoint_table.rs
@@ -1,5 +1,5 @@
-//! The endpoints that the decision module may name, and their connections. Follows the updates of
-//! discovery.
+//! The endpoints that the core may choose for an attempt, with their connections. Kept up to date
+//! with the endpoint lists of discovery.
 use crate::discovery::endpoints::{EndpointUpdate, ListedEndpoint};
 use crate::outbound::connection_pool::Upstream;
 use balancer_core::{Availability, Millis, UpstreamId};
@@ -11,7 +11,7 @@
 struct EndpointEntry {
     upstream: Rc<Upstream>,
     availability: Availability,
-    /// When the upstream last started.
+    /// When the upstream's process last started, as discovery reports it.
     started_at: Millis,
 }
 
@@ -25,8 +25,8 @@
         }
     }
 
-    /// Applies a discovery report. Writes to an upstream that drains or is gone must end by
-    /// `write_deadline`.
+    /// Applies the state that discovery reports. No request is written after `write_deadline` to an
+    /// upstream that is draining or gone.
     fn update(&mut self, endpoint: &ListedEndpoint, suspended: bool, write_deadline: Instant) {
         let member = &endpoint.member;
         let previous_address = self.upstream.replace_address(endpoint.address);
@@ -47,7 +47,7 @@
         self.drain(write_deadline);
     }
 
-    /// Closes idle connections. An earlier write deadline stays in force.
+    /// Sets the write deadline, unless one is set already, and closes idle connections.
     fn drain(&self, write_deadline: Instant) {
         let write_deadline = self.upstream.write_deadline().unwrap_or(write_deadline);
         self.upstream.set_write_deadline(Some(write_deadline));
@@ -55,19 +55,20 @@
     }
 }
 
-/// Every endpoint that the decision module may name: the listed ones, and removed ones that have
-/// attempts in flight.
+/// Every endpoint that the core may choose: the listed ones, and removed ones that have attempts in
+/// flight.
 pub struct EndpointTable {
     by_id: HashMap<UpstreamId, EndpointEntry>,
-    /// Writes to a draining upstream must end within this time after the update.
+    /// How long after an update requests may still be written to an upstream that it reports as
+    /// draining or no longer lists.
     drain_grace: Duration,
     /// Whether any endpoint has ever been listed.
     has_ever_listed: bool,
 }
 
 impl EndpointTable {
-    /// A table without endpoints. Writes to a draining upstream must end within `drain_grace` of
-    /// the update.
+    /// Creates a table without endpoints. Requests may be written to a draining upstream for
+    /// `drain_grace` after the update that reports it.
     pub fn new(drain_grace: Duration) -> EndpointTable {
         EndpointTable {
             by_id: HashMap::new(),
@@ -114,7 +115,8 @@
         self.by_id.get(&id).map(|entry| &entry.upstream)
     }
 
-    /// Applies an update: a snapshot also removes the endpoints that it does not list.
+    /// Applies an update of discovery. A snapshot also removes the endpoints that it does not list.
+    /// An update does not lift the write deadline of an upstream that an operator has suspended.
     pub fn apply(
         &mut self,
         update: &EndpointUpdate,
@@ -149,7 +151,7 @@
         }
     }
 
-    /// An operator suspends an upstream: nothing more is written to it.
+    /// Suspends an upstream on behalf of an operator: no more requests are written to it.
     pub fn suspend(&self, id: UpstreamId) {
         if let Some(entry) = self.by_id.get(&id) {
             entry.upstream.set_write_deadline(Some(Instant::now()));
@@ -157,7 +159,8 @@
         }
     }
 
-    /// An operator restores an upstream, which was restarted while it was suspended.
+    /// Restores an upstream that an operator suspended. Its process was restarted in the meantime,
+    /// so its old connections are not used again.
     pub fn restore(&self, id: UpstreamId) {
         if let Some(entry) = self.by_id.get(&id) {
             entry.upstream.mark_replaced();
@@ -167,7 +170,7 @@
         }
     }
 
-    /// How many upstreams have sent surplus data lately.
+    /// How many upstreams are suspect: they have sent surplus data recently.
     pub fn single_use_count(&self) -> usize {
         let now = Instant::now();
         self.by_id
@@ -184,7 +187,7 @@
         }
     }
 
-    /// Closes the longest idle connection of all upstreams.
+    /// Closes the connection that has been idle for longest, of all upstreams.
     pub fn close_oldest_idle(&self) {
         let oldest = self
             .by_id
--- a/balancer/src/outbound/growing_period.rs
+++ b/balancer/src/outbound/growing_period.rs
@@ -1,17 +1,17 @@
-//! A period of caution that grows with each relapse.
+//! A period that starts at a fault, and whose length doubles each time the fault recurs after it.
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The newest period.
+/// When a period ends, and its length.
 #[derive(Clone, Copy)]
 struct Period {
     until: Instant,
     length: Duration,
 }
 
-/// A period that begins with a fault and ends after as much time without one. A relapse after its
-/// end begins one of twice the length.
+/// A period that begins with a fault, and ends once no fault has occurred for its length. A fault
+/// after its end begins a new period of twice the length.
 pub struct GrowingPeriod {
     first_length: Duration,
     max_length: Duration,
@@ -19,7 +19,8 @@
 }
 
 impl GrowingPeriod {
-    /// No period. The first one has `first_length`, the longest `max_length`.
+    /// Creates one without a current period. The first period has `first_length`; none is longer
+    /// than `max_length`.
     pub const fn new(first_length: Duration, max_length: Duration) -> GrowingPeriod {
         GrowingPeriod {
             first_length,
@@ -28,13 +29,13 @@
         }
     }
 
-    /// Whether the period lasts at this time.
+    /// Whether a period is in progress at `now`.
     pub fn contains(&self, now: Instant) -> bool {
         self.newest.get().is_some_and(|newest| now < newest.until)
     }
 
-    /// Records a fault: begins a period, or extends the one that lasts. Returns its length if it
-    /// begins now.
+    /// Records a fault: begins a period, or extends the one in progress. Returns the length of a
+    /// period that begins now.
     pub fn record_fault(&self, now: Instant) -> Option<Duration> {
         let begins = !self.contains(now);
         let length = match self.newest.get() {
@@ -49,8 +50,8 @@
         begins.then_some(length)
     }
 
-    /// Records that there was no fault where one was looked for: halves the period, which ends
-    /// accordingly earlier.
+    /// Records a check that found no fault: halves the period's length, but not below the first
+    /// length, and ends it at most this long after `now`.
     pub fn record_clean(&self, now: Instant) {
         if let Some(newest) = self.newest.get() {
             let length = (newest.length / 2).max(self.first_length);
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Ends the period: the next one has the first length again.
+    /// Ends the period. The next one has the first length again.
     pub fn reset(&self) {
         self.newest.set(None);
     }
--- a/balancer/src/outbound/growing_period/tests.rs
+++ b/balancer/src/outbound/growing_period/tests.rs
@@ -58,7 +58,7 @@
     assert_eq!(relapse, Some(FIRST * 2));
 }
 
-/// Guards against a clean observation that lets a period last longer.
+/// Guards against a clean observation that makes a period last longer.
 #[test]
 fn a_clean_observation_does_not_postpone_the_end() {
     let (period, start) = grown_period();
--- a/balancer/src/outbound/headers.rs
+++ b/balancer/src/outbound/headers.rs
@@ -1,7 +1,7 @@
 //! Headers that the balancer adds, reads or removes when it forwards requests and responses.
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// Remaining time of an attempt, as the balancer states it to an upstream.
+/// Tells an upstream the remaining time of an attempt.
 pub const DEADLINE_HEADER: HeaderName = HeaderName::from_static("req-deadline");
 /// Marks a response whose upstream rejected the request without running it.
 pub const REJECTED_HEADER: HeaderName = HeaderName::from_static("srv-declined");
@@ -18,8 +18,8 @@
     header::UPGRADE,
 ];
 
-/// Removes the headers that belong to one connection, and those that frame the body: the next
-/// connection frames it anew.
+/// Removes the headers that belong to one connection, and those that frame the body, which is
+/// framed anew for the next connection.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let connection_options: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
--- a/balancer/src/outbound/message.rs
+++ b/balancer/src/outbound/message.rs
@@ -1,4 +1,4 @@
-//! A request as it goes to upstreams, and the final response to it.
+//! A request as it is forwarded to upstreams, and the final response to it.
 use crate::body::body_error::BodyError;
 use crate::body::request_body::{AttemptBody, RequestBody};
 use crate::body::response_body::ResponseContent;
@@ -10,22 +10,23 @@
 use std::cell::Cell;
 use thiserror::Error;
 
-/// A request as it is forwarded to upstreams.
+/// A request to forward to upstreams.
 pub struct OutboundRequest {
     /// The client's id for the request.
     pub request_id: Option<HeaderValue>,
-    /// Its method.
+    /// The method.
     pub method: Method,
     /// Path and query.
     pub target: Uri,
     /// End-to-end headers.
     pub headers: HeaderMap,
-    /// Its body.
+    /// The body.
     pub body: RequestBody,
-    /// Set when the request has its final response or its client has disconnected: nothing more is
-    /// written for it.
+    /// Set when the request has its final response or its client has disconnected: it is not
+    /// written to an upstream any more.
     pub ended: Cell<bool>,
-    /// The client's side of its connection. `None` for requests without a socket.
+    /// The client at the other end of the request's connection. `None` for requests that came
+    /// without a socket.
     pub client: Option<Peer>,
 }
 
@@ -47,7 +48,7 @@
         Ok(request)
     }
 
-    /// Whether the client has disconnected. Asks the system, because the runtime learns of it only
+    /// Whether the client has disconnected. Asks the kernel, because the runtime learns of it only
     /// when it next polls.
     pub fn client_disconnected(&self) -> bool {
         self.client.as_ref().is_some_and(Peer::has_disconnected)
@@ -64,16 +65,16 @@
         /// Its body.
         body: ResponseContent,
     },
-    /// Rejected without having run: the client may retry.
+    /// The request was rejected and has not run: the client may retry.
     Rejected {
-        /// Milliseconds before the client should retry; zero gives no advice.
+        /// Milliseconds after which the client should retry; zero for no advice.
         retry_after: Millis,
     },
     /// The upstream found the request invalid, with this status.
     ClientError(StatusCode),
     /// The client's request body failed.
     RequestBodyFailed(BodyError),
-    /// Failed. The request may have run.
+    /// The request failed, and may have run.
     Failed,
 }
 
@@ -84,6 +85,6 @@
     #[error("the limit of pending requests is reached")]
     AtCapacity,
     /// A request with the same id is pending.
-    #[error("a request with this Req-Id is open")]
+    #[error("a request with this Req-Id is already in progress")]
     DuplicateRequestId,
 }
--- a/balancer/src/outbound/response_outcome.rs
+++ b/balancer/src/outbound/response_outcome.rs
@@ -1,4 +1,4 @@
-//! Maps an upstream's response, or the error that replaced it, to the outcome of the attempt.
+//! Maps an upstream's response, or the error that ended it, to the outcome of the attempt.
 use crate::outbound::headers::REJECTED_HEADER;
 use balancer_core::AttemptOutcome;
 use hyper::header::{self, HeaderName, HeaderValue};
@@ -6,8 +6,8 @@
 use std::error::Error;
 use std::io;
 
-/// Outcome of an attempt by the head of its response. Only a rejection mark proves that the request
-/// never ran.
+/// Outcome of an attempt, from the head of its response. Only the rejection header proves that the
+/// request has not run.
 pub fn outcome_of_response<B>(response: &Response<B>) -> AttemptOutcome {
     let rejected = response
         .headers()
@@ -18,16 +18,16 @@
         StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT if rejected => {
             AttemptOutcome::Rejected
         }
-        // A forwarded 429 would promise the client that nothing has run.
+        // A forwarded 429 would tell the client that the request has not run, which is not known.
         StatusCode::TOO_MANY_REQUESTS => AttemptOutcome::Error,
         status if status.is_client_error() => AttemptOutcome::Cancelled,
         _ => AttemptOutcome::Error,
     }
 }
 
-/// Outcome of an attempt whose response is incomplete: a reset if the connection broke, an error if
-/// the response is malformed. A malformed response does not count against idle connections to the
-/// same upstream.
+/// Outcome of an attempt whose response could not be read to its end: a reset if the connection
+/// broke, an error if the response is malformed. A malformed response is no evidence that idle
+/// connections to the same upstream are stale.
 pub fn outcome_of_read_error(error: &(dyn Error + 'static)) -> AttemptOutcome {
     if is_malformed_response(error) {
         AttemptOutcome::Error
@@ -55,9 +55,9 @@
         })
 }
 
-/// Whether the end of a response's body is unambiguous: the head states one length, or chunks, or
-/// that the connection closes. A body without any of these may be truncated unnoticed, and one with
-/// two framings may be misread.
+/// Whether the end of a response's body is unambiguous: the head declares one length, or chunked
+/// coding, or that the connection closes. A body without any of these may be truncated unnoticed,
+/// and one with two framings may be misread.
 pub fn has_unambiguous_end<B>(response: &Response<B>) -> bool {
     let values = |name: HeaderName| -> Vec<&HeaderValue> {
         response.headers().get_all(name).iter().collect()
--- a/balancer/src/outbound/response_relay.rs
+++ b/balancer/src/outbound/response_relay.rs
@@ -1,5 +1,5 @@
-//! Reads response bodies of upstreams: buffers small ones, relays large ones to the client as they
-//! arrive.
+//! Reads response bodies of upstreams: buffers small ones, and relays large ones to the client as
+//! they arrive.
 use crate::body::limits::{BODY_STALL_TIMEOUT, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
 use crate::body::response_body::BodySender;
 use crate::outbound::response_outcome::outcome_of_read_error;
@@ -11,7 +11,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest time that a body of undeclared length is buffered before it counts as large.
+/// How long a body of undeclared length is buffered before it is relayed like a large one.
 const UNDECLARED_LENGTH_BUFFER_TIME: Duration = Duration::from_secs(1);
 
 /// What was read of a response body before the response was passed on.
@@ -22,8 +22,9 @@
     Partial(Bytes),
 }
 
-/// Buffers a body while it may be a small one. A body that declares a large length is not read at
-/// all. One that declares a small length is read to its end: the attempt's timeout limits it.
+/// Buffers a body as long as it may be a small one. Nothing is read of a body that declares a large
+/// length. A body that declares a small length is read to its end, which only the attempt's timeout
+/// limits.
 pub async fn buffer_body(
     body: &mut Incoming,
     declared_length: Option<u64>,
@@ -37,7 +38,7 @@
     };
     let mut buffer = BytesMut::new();
     while buffer.len() <= MAX_BUFFERED_BODY_BYTES {
-        // Until the first byte there is nothing to relay, so no deadline applies.
+        // Before the first byte there is nothing to relay, so no deadline applies.
         let frame = match deadline {
             Some(deadline) if !buffer.is_empty() => timeout_at(deadline, body.frame()).await,
             _ => Ok(body.frame().await),
@@ -67,8 +68,8 @@
     body: Incoming,
     /// Bytes passed on so far.
     forwarded: u64,
-    /// Applies while no more than a small body's bytes are forwarded. Guards against responses that
-    /// begin and never end.
+    /// When the body must have ended, as long as no more bytes are forwarded than a small body has.
+    /// Guards against responses that begin and never end.
     small_body_deadline: Option<Instant>,
 }
 
@@ -79,8 +80,8 @@
 }
 
 impl Relay {
-    /// Relays `body` to `sender`. While the body may still be a small one, `small_body_deadline`
-    /// ends it.
+    /// Creates a relay from `body` to `sender`. As long as the body may be a small one, it must end
+    /// by `small_body_deadline`.
     pub fn new(sender: BodySender, body: Incoming, small_body_deadline: Option<Instant>) -> Relay {
         Relay {
             sender,
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Forwards `buffered` and then the rest of the body, as fast as the client reads it.
+    /// Forwards `buffered` and then the remainder of the body, as fast as the client reads it.
     pub async fn run(mut self, buffered: Bytes) -> Result<(), AttemptOutcome> {
         self.forwarded = buffered.len() as u64;
         if !buffered.is_empty() {
--- a/balancer/src/outbound/reuse_lease.rs
+++ b/balancer/src/outbound/reuse_lease.rs
@@ -1,23 +1,23 @@
-//! Whether a request's connection may still carry its response.
+//! Whether the response on a request's connection may still be used for that request.
 use crate::outbound::connection_pool::{Connection, Upstream};
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// The use of one connection for one request. It is revoked when the upstream turns out to send
-/// surplus data, if the connection carried an earlier request: its next response may belong to that
-/// one. The first response on a connection is always its own request's.
+/// The use of one connection for one request. It is revoked when surplus data of the upstream is
+/// detected, if the connection carried an earlier request: the next response on it may then belong
+/// to the earlier request. The first response on a connection always belongs to its first request.
 ///
 /// A request whose lease is revoked ends as an error, not as a reset: an early reset would make the
-/// core take all idle connections for stale.
+/// core treat all idle connections as stale.
 pub struct ReuseLease {
     upstream: Rc<Upstream>,
     carried_earlier_request: bool,
-    /// Detections of surplus data when the use began.
+    /// How many uncovered detections of surplus data the upstream had when the use began.
     detections_at_start: u64,
 }
 
 impl ReuseLease {
-    /// The next request's use of this connection to `upstream`.
+    /// Begins the use of this connection to `upstream` for its next request.
     pub fn new(upstream: &Rc<Upstream>, connection: &Connection) -> ReuseLease {
         connection.connection_use().record_request(Instant::now());
         connection.socket.begin_request();
--- a/balancer/src/outbound/surplus_history.rs
+++ b/balancer/src/outbound/surplus_history.rs
@@ -1,64 +1,68 @@
-//! Surplus data from one upstream: bytes that belong to no request in flight.
+//! The history of one upstream's surplus data: bytes that belong to no request in flight.
 //!
-//! An upstream that responds twice to a request puts each of its connections one response behind:
-//! the next request would get the surplus response, which belongs to another client. Such bytes are
-//! therefore a fault of the upstream, not of one connection.
+//! If an upstream responds twice to a request, the responses on that connection are off by one: the
+//! next request would get the surplus response, which belongs to another client. The fault lies
+//! with the upstream, so all connections to it are treated as affected.
 use crate::outbound::growing_period::GrowingPeriod;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Time between a response and the next request on its connection. Surplus data that arrives within
-/// this time is detected as unread data.
+/// Time between a response and the next request on its connection, unless earlier surplus data
+/// extends it.
+/// Surplus data that arrives within this time is detected as unread data.
 const REUSE_DELAY: Duration = Duration::from_millis(50);
-/// The same once the upstream has sent surplus data that is no certain copy. Copies of responses that are up to a second
-/// late show within it, also where the machine is busy. A copy closes its connection only, so the
-/// price follows the number of copies.
+/// The reuse delay once the upstream has sent surplus data that is not certainly a copy. It detects
+/// copies that are up to a second late, even on a busy machine. A copy then closes only the
+/// connection that it arrives on, so the cost is in proportion to the number of copies.
 pub const LONG_REUSE_DELAY: Duration = Duration::from_millis(1500);
-/// A rest is this much longer than the latest known copy, as the next one may be later.
+/// The reuse delay is this multiple of the largest known lateness of a copy, as the next copy may
+/// be later.
 const REUSE_DELAY_PER_LATENESS: u32 = 8;
-/// Shortest rest once the upstream has sent surplus data.
+/// Shortest reuse delay once the upstream has sent surplus data.
 const MIN_REUSE_DELAY_AFTER_SURPLUS: Duration = Duration::from_millis(200);
-/// How late a copy may be for [`LONG_REUSE_DELAY`] to show it. Beyond it connections carry one request.
+/// How late a copy may be for [`LONG_REUSE_DELAY`] to detect it reliably. After a later one, each
+/// connection carries one request for a time.
 pub const MAX_EXPECTED_LATENESS: Duration = Duration::from_millis(1250);
-/// The same on the only connection to an upstream that is trusted: requests that follow one another
-/// wait for it.
+/// The reuse delay on the only connection to a trusted upstream. It is short, as successive
+/// requests wait for it.
 const SOLE_REUSE_DELAY: Duration = Duration::from_millis(10);
 /// Reuses without surplus data after which an upstream is trusted.
 const TRUSTED_REUSES: u32 = 1;
-/// How long an upstream is reported as suspect, in the log and the metrics, after the first surplus data. Each relapse doubles
-/// it.
+/// How long an upstream is reported as suspect, in the log and the metrics, after its first surplus
+/// data. Doubles with each recurrence after the period.
 const FIRST_SUSPECT_PERIOD: Duration = Duration::from_secs(60);
-/// Longest such period.
+/// Longest suspect period.
 const MAX_SUSPECT_PERIOD: Duration = Duration::from_secs(3600);
-/// After this multiple of the suspect period without surplus data, an hour at first, connections
-/// rest for [`REUSE_DELAY`] again.
+/// After this multiple of the suspect period without surplus data, an hour at first, the reuse
+/// delay is [`REUSE_DELAY`] again.
 const CLEAN_PERIODS: u32 = 60;
 /// How long each connection carries one request after unexplained surplus data. Longer than
-/// [`LONG_REUSE_DELAY`], so that responses in flight at its begin show before connections are reused. Each
-/// relapse doubles it.
+/// [`LONG_REUSE_DELAY`], so that responses in flight at its start arrive before connections are
+/// reused. Doubles with each recurrence after the period.
 const FIRST_SINGLE_USE_PERIOD: Duration = Duration::from_secs(2);
-/// Longest such period.
+/// Longest single-use period.
 const MAX_SINGLE_USE_PERIOD: Duration = Duration::from_secs(3600);
 
-/// What surplus data shows.
+/// What surplus data is evidence of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SurplusEvidence {
-    /// A copy of the newest response on its connection, as its bytes show.
+    /// A copy of the newest response on its connection: their bytes are equal.
     Copy {
-        /// Time since that response.
+        /// Time from that response to its copy.
         lateness: Duration,
     },
-    /// Probably a copy of the newest response on its connection, early enough for [`LONG_REUSE_DELAY`] to show it.
+    /// Probably a copy of the newest response on its connection, and early enough for
+    /// [`LONG_REUSE_DELAY`] to detect it.
     ExpectedCopy,
-    /// Perhaps the response to a request that got another one's, or a copy that is too late.
+    /// Possibly the response to a request that was given another request's response, or a copy that
+    /// is too late to be detected by the reuse delay.
     Unexplained,
 }
 
 impl SurplusEvidence {
-    /// Time between a response and the next request on its connection in which the next such data
-    /// shows.
+    /// The reuse delay that is long enough to detect the next such data.
     fn required_reuse_delay(self) -> Duration {
         match self {
             SurplusEvidence::Copy { lateness } => (lateness * REUSE_DELAY_PER_LATENESS)
@@ -70,19 +74,19 @@
 
 /// What is known of one upstream's surplus data.
 pub struct SurplusHistory {
-    /// When it is reported as suspect.
+    /// The period in which the upstream is reported as suspect.
     suspect: GrowingPeriod,
-    /// When each connection carries one request.
+    /// The period in which each connection carries only one request.
     single_use: GrowingPeriod,
-    /// Time between a response and the next request on its connection, as far as surplus data
-    /// demands one.
+    /// The reuse delay that the surplus data so far requires.
     extended_reuse_delay: Cell<Duration>,
-    /// How often surplus data was detected that the rest of its connection did not cover, so that
-    /// requests in flight on other connections may get it.
+    /// How often surplus data was detected that the reuse delay did not cover, so that requests in
+    /// flight on other connections may be given a wrong response.
     uncovered_detections: Cell<u64>,
-    /// How often a connection was reused after a rest in which no surplus data arrived.
+    /// How often a connection was reused after a reuse delay in which no surplus data arrived,
+    /// since the last surplus data.
     reuses: Cell<u32>,
-    /// Notifies the requests in flight of a detection.
+    /// Notifies the requests in flight of a detection that the reuse delay did not cover.
     detected: Notify,
 }
 
@@ -100,7 +104,7 @@
 }
 
 impl SurplusHistory {
-    /// Whether the upstream has sent surplus data lately.
+    /// Whether the upstream is suspect: it has sent surplus data recently.
     pub fn is_suspect(&self, now: Instant) -> bool {
         self.suspect.contains(now)
     }
@@ -110,15 +114,15 @@
         self.single_use.contains(now)
     }
 
-    /// Whether surplus data makes connections rest for longer between two requests.
+    /// Whether earlier surplus data still extends the reuse delay.
     pub fn has_extended_reuse_delay(&self, now: Instant) -> bool {
         self.suspect
             .end_and_length()
             .is_some_and(|(end, length)| now < end + length * CLEAN_PERIODS)
     }
 
-    /// Time between a response and the next request on its connection, which may be the only one to
-    /// the upstream.
+    /// Time between a response and the next request on its connection. `is_sole` tells whether that
+    /// is the only connection to the upstream.
     pub fn reuse_delay(&self, is_sole: bool, now: Instant) -> Duration {
         if self.has_extended_reuse_delay(now) {
             self.extended_reuse_delay.get()
@@ -129,21 +133,21 @@
         }
     }
 
-    /// Records that a connection is reused after a rest in which no surplus data arrived.
+    /// Records that a connection is reused after a reuse delay in which no surplus data arrived.
     pub fn record_reuse(&self) {
         self.reuses.set(self.reuses.get().saturating_add(1));
     }
 
-    /// Whether this evidence asks for no more rest than connections have, so that idle ones may be
-    /// used again.
+    /// Whether this evidence requires no longer reuse delay than the one in force, so that idle
+    /// connections may still be reused.
     pub fn is_covered_by_reuse_delay(&self, evidence: SurplusEvidence, now: Instant) -> bool {
         self.has_extended_reuse_delay(now)
             && evidence != SurplusEvidence::Unexplained
             && evidence.required_reuse_delay() <= self.extended_reuse_delay.get()
     }
 
-    /// Records that surplus data was detected. Returns the period for which the upstream is
-    /// suspect, if it begins now; a period that has begun is extended.
+    /// Records that surplus data was detected. Begins a period for which the upstream is suspect,
+    /// and returns its length, or extends the one in progress.
     pub fn record(&self, evidence: SurplusEvidence, now: Instant) -> Option<Duration> {
         let is_covered = self.is_covered_by_reuse_delay(evidence, now);
         if !self.has_extended_reuse_delay(now) {
@@ -169,17 +173,17 @@
         suspect_period
     }
 
-    /// Records that no surplus data followed on a connection that carried one request.
+    /// Records that a connection, kept open for observation only, received no surplus data.
     pub fn record_clean_observation(&self, now: Instant) {
         self.single_use.record_clean(now);
     }
 
-    /// How often surplus data was detected that rests did not cover.
+    /// How often surplus data was detected that the reuse delay did not cover.
     pub fn uncovered_detections(&self) -> u64 {
         self.uncovered_detections.get()
     }
 
-    /// Returns once such data has been detected more often than `known` times.
+    /// Returns once the number of uncovered detections differs from `known`.
     pub async fn detected_since(&self, known: u64) {
         loop {
             let detected = self.detected.notified();
--- a/balancer/src/outbound/surplus_history/tests.rs
+++ b/balancer/src/outbound/surplus_history/tests.rs
@@ -1,4 +1,4 @@
-//! How long connections rest, and when they carry one request each.
+//! The reuse delays of connections, and when they carry one request each.
 use super::*;
 
 const ONE_MS: Duration = Duration::from_millis(1);
@@ -33,8 +33,8 @@
     assert!(!history.is_suspect(again + FIRST_SUSPECT_PERIOD));
 }
 
-/// Guards against failing requests in flight on rested connections at each copy that the rest has
-/// caught: one response in ten sent twice made a quarter of the requests fail.
+/// Guards against failing the requests in flight at each copy that the reuse delay has detected:
+/// when an upstream sent one response in ten twice, a quarter of the requests failed.
 #[test]
 fn covered_surplus_data_affects_no_request_in_flight() {
     let history = SurplusHistory::default();
@@ -53,8 +53,9 @@
     }
 }
 
-/// Guards against a second wrong response after a period: data that is up to a second late shows
-/// before the connection carries another request, with a margin for a busy machine.
+/// Guards against a second wrong response after the suspect period: data that is up to a second
+/// late is detected before the connection carries another request, with a margin for a busy
+/// machine.
 #[test]
 fn reuse_delay_exceeds_a_second_after_surplus_data() {
     for evidence in [SurplusEvidence::ExpectedCopy, SurplusEvidence::Unexplained] {
@@ -88,10 +89,14 @@
     assert!(!history.has_extended_reuse_delay(clean));
     assert_eq!(history.reuse_delay(true, clean), REUSE_DELAY);
     let relapse = history.record(evidence, clean);
-    assert_eq!(relapse, Some(FIRST_SUSPECT_PERIOD), "it is forgiven");
+    assert_eq!(
+        relapse,
+        Some(FIRST_SUSPECT_PERIOD),
+        "the history was cleared"
+    );
 }
 
-/// Guards against paying for a new connection per request because of one stray copy.
+/// Guards against a new connection for each request because of a single copy.
 #[test]
 fn an_expected_copy_begins_no_single_use() {
     let history = SurplusHistory::default();
@@ -102,8 +107,8 @@
     }
 }
 
-/// Guards against reuse before the responses in flight at a detection could show, and against
-/// trusting an upstream again and again.
+/// Guards against reuse before the responses in flight at a detection have arrived, and against
+/// trusting the upstream again as soon after each recurrence.
 #[test]
 fn unexplained_surplus_data_begins_single_use_that_doubles_at_each_relapse() {
     let history = SurplusHistory::default();
@@ -153,8 +158,8 @@
     SurplusEvidence::Copy { lateness }
 }
 
-/// Guards against rests that are hardly longer than copies are late, and against paying for longer
-/// ones than the copies ask for.
+/// Guards against reuse delays that are hardly longer than the lateness of copies, and against
+/// longer ones than the copies require.
 #[test]
 fn reuse_delay_follows_the_latest_known_copy() {
     for (lateness_ms, delay_ms) in [(0, 200), (5, 200), (60, 480), (200, 1500), (1000, 1500)] {
--- a/balancer/src/outbound/surplus_reporter.rs
+++ b/balancer/src/outbound/surplus_reporter.rs
@@ -1,4 +1,4 @@
-//! Reports surplus data on a connection to its upstream, the metrics and the log.
+//! Reports surplus data on a connection: to the record of its upstream, the metrics and the log.
 use crate::net::shared_stream::SharedStream;
 use crate::outbound::connection_use::ConnectionUse;
 use crate::outbound::surplus_history::{SurplusEvidence, LONG_REUSE_DELAY};
@@ -10,13 +10,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Remembers the surplus data of one upstream.
+/// The record of the surplus data of one upstream.
 pub trait SurplusRecord {
     /// Where the upstream listens.
     fn address(&self) -> SocketAddr;
 
-    /// Records that surplus data was detected, and what it shows. Returns the period for which the
-    /// upstream is suspect, if it begins now.
+    /// Records that surplus data was detected, with the evidence that it gives. Returns the length
+    /// of the period for which the upstream is suspect, if that period begins now.
     fn record_surplus(&self, evidence: SurplusEvidence, now: Instant) -> Option<Duration>;
 }
 
@@ -30,7 +30,8 @@
 }
 
 impl SurplusReporter {
-    /// A reporter for one connection. It updates the upstream's `record` while that exists.
+    /// Creates a reporter for one connection. It updates the upstream's `record` as long as that
+    /// exists.
     pub fn new(
         record: Weak<dyn SurplusRecord>,
         socket: SharedStream,
@@ -44,13 +45,13 @@
         }
     }
 
-    /// What the connection has carried.
+    /// The requests that the connection has carried.
     pub fn connection_use(&self) -> &ConnectionUse {
         &self.connection_use
     }
 
-    /// Surplus data was detected on the connection. Requests in flight on connections that were
-    /// used before are not answered from them.
+    /// Reports that surplus data was detected on the connection. Unless the reuse delay covers it,
+    /// requests in flight on reused connections get no response from them.
     pub fn report(&self) {
         let now = Instant::now();
         let is_copy = self.socket.is_response_repeated();
@@ -58,8 +59,8 @@
         self.report_evidence(evidence, now);
     }
 
-    /// A response arrived before its request was written completely. A copy of an earlier one is so
-    /// late that no rest covers it.
+    /// Reports a response that arrived before its request was written completely. If it is a copy
+    /// of an earlier response, it is later than any reuse delay covers.
     pub fn report_early_response(&self) {
         self.report_evidence(SurplusEvidence::Unexplained, Instant::now());
     }
@@ -73,8 +74,8 @@
         tracing::debug!(upstream = %address, ?evidence, "surplus data detected");
         if let Some(period) = record.record_surplus(evidence, now) {
             LogOutput::StandardError.write_line(&format!(
-                "upstream {address}: data beyond its responses: one request per connection for {} s \
-                 unless it rests up to {} s",
+                "upstream {address}: data beyond its responses: one request per connection \
+                 for {} s unless the connection has been idle for up to {} s",
                 period.as_secs(),
                 LONG_REUSE_DELAY.as_secs_f64()
             ));
@@ -89,7 +90,7 @@
     }
 }
 
-/// Whether data that belongs to no request caused the error, or the error behind it.
+/// Whether data that belongs to no request caused the error, or the error that is its source.
 fn is_caused_by_surplus_data(error: &hyper::Error) -> bool {
     match error.source() {
         None => is_unexpected_message(error),
@@ -99,8 +100,8 @@
     }
 }
 
-/// hyper has no predicate for this kind of error: it is the one without a source that is none of
-/// the other kinds.
+/// Whether hyper received a message that it did not expect. hyper has no predicate for this kind of
+/// error: it is the one kind without a source that no other predicate recognizes.
 fn is_unexpected_message(error: &hyper::Error) -> bool {
     error.source().is_none()
         && !error.is_parse()
--- a/balancer/src/outbound/surplus_reporter/tests.rs
+++ b/balancer/src/outbound/surplus_reporter/tests.rs
@@ -1,4 +1,4 @@
-//! Which errors of a connection show surplus data.
+//! Which errors of a connection are caused by surplus data.
 use crate::body::request_body::AttemptBody;
 use crate::net::descriptor_budget::DescriptorBudget;
 use crate::outbound::connection_pool::Upstream;
@@ -12,7 +12,7 @@
 use tokio::time::{sleep, Instant};
 
 const TIMEOUT: Duration = Duration::from_secs(20);
-/// Time in which the connection's task sees what has arrived.
+/// Time for the connection's task to read what has arrived.
 const ARRIVAL_TIME: Duration = Duration::from_millis(100);
 const RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nxx";
 
@@ -74,7 +74,7 @@
     LocalSet::new().run_until(test).await;
 }
 
-/// Guards against closing the connections of an upstream that ends an idle one.
+/// Guards against closing all connections to an upstream because it closes an idle one.
 #[tokio::test]
 async fn a_connection_that_ends_while_idle_is_no_surplus_data() {
     let test = async {
