--- a/balancer/src/outbound/growing_period/tests.rs
+++ b/balancer/src/outbound/growing_period/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_relapse_doubles_the_length_up_to_its_limit() {
+fn a_recurrence_doubles_the_length_up_to_its_limit() {
     let period = GrowingPeriod::new(FIRST, MAX);
     let mut now = Instant::now();
     assert!(!period.contains(now));
@@ -54,8 +54,8 @@
         period.record_clean(start + ONE_MS);
     }
     assert!(!period.contains(start + FIRST + ONE_MS));
-    let relapse = period.record_fault(start + FIRST * 8);
-    assert_eq!(relapse, Some(FIRST * 2));
+    let recurrence = period.record_fault(start + FIRST * 8);
+    assert_eq!(recurrence, Some(FIRST * 2));
 }
 
 /// Guards against a clean observation that makes a period last longer.
--- a/balancer/src/outbound/surplus_history/tests.rs
+++ b/balancer/src/outbound/surplus_history/tests.rs
@@ -4,7 +4,7 @@
 const ONE_MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn a_relapse_doubles_the_suspect_period_up_to_its_limit() {
+fn a_recurrence_doubles_the_suspect_period_up_to_its_limit() {
     let history = SurplusHistory::default();
     let mut now = Instant::now();
     assert!(!history.is_suspect(now));
@@ -88,9 +88,9 @@
     assert!(history.has_extended_reuse_delay(clean - ONE_MS));
     assert!(!history.has_extended_reuse_delay(clean));
     assert_eq!(history.reuse_delay(true, clean), REUSE_DELAY);
-    let relapse = history.record(evidence, clean);
+    let recurrence = history.record(evidence, clean);
     assert_eq!(
-        relapse,
+        recurrence,
         Some(FIRST_SUSPECT_PERIOD),
         "the history was cleared"
     );
@@ -110,7 +110,7 @@
 /// Guards against reuse before the responses in flight at a detection have arrived, and against
 /// trusting the upstream again as soon after each recurrence.
 #[test]
-fn unexplained_surplus_data_begins_single_use_that_doubles_at_each_relapse() {
+fn unexplained_surplus_data_begins_single_use_that_doubles_at_each_recurrence() {
     let history = SurplusHistory::default();
     let mut now = Instant::now();
     let mut expected = FIRST_SINGLE_USE_PERIOD;
