--- a/balancer/src/net/received_bytes/tests.rs
+++ b/balancer/src/net/received_bytes/tests.rs
@@ -1,7 +1,7 @@
-//! What is taken for a copy of the newest response.
+//! Which bytes count as a copy of the newest response.
 use super::*;
 
-/// A connection that received a response, and then more.
+/// The bytes of a connection that received a response, and further bytes after it was complete.
 fn received(response: &[u8], further: &[u8]) -> ReceivedBytes {
     let mut received = ReceivedBytes::default();
     received.append(b"an earlier response");
@@ -37,15 +37,15 @@
 }
 
 #[test]
-fn nothing_is_told_of_a_long_response() {
-    let long = vec![b'x'; MAX_KEPT_BYTES + 1];
+fn a_response_too_long_to_record_is_no_copy() {
+    let long = vec![b'x'; MAX_RECORDED_BYTES + 1];
     assert!(!received(&long, &long).is_response_repeated());
-    let half = vec![b'x'; MAX_KEPT_BYTES / 2];
+    let half = vec![b'x'; MAX_RECORDED_BYTES / 2];
     assert!(received(&half, &half).is_response_repeated());
     let mut next = received(&long, b"");
     next.begin_request();
     next.append(b"one");
     next.complete_response();
     next.append(b"one");
-    assert!(next.is_response_repeated(), "the next response is kept");
+    assert!(next.is_response_repeated(), "the next response is recorded");
 }
--- a/balancer/src/outbound/reuse_lease.rs
+++ b/balancer/src/outbound/reuse_lease.rs
@@ -1,30 +1,30 @@
-//! Whether a request's connection may still carry its response.
+//! Whether the response on a request's connection may still be used for that request.
 use crate::outbound::connection_pool::{Connection, Upstream};
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// The use of one connection for one request. It is revoked when the upstream turns out to send
-/// surplus data, if the connection carried an earlier request: its next response may belong to that
-/// one. The first response on a connection is always its own request's.
+/// The use of one connection for one request. It is revoked when surplus data of the upstream is
+/// detected, if the connection carried an earlier request: the next response on it may then belong
+/// to the earlier request. The first response on a connection always belongs to its first request.
 ///
 /// A request whose lease is revoked ends as an error, not as a reset: an early reset would make the
-/// core take all idle connections for stale.
+/// core treat all idle connections as stale.
 pub struct ReuseLease {
     upstream: Rc<Upstream>,
     carried_earlier_request: bool,
-    /// Detections of surplus data when the use began.
-    known_detections: u64,
+    /// How many uncovered detections of surplus data the upstream had when the use began.
+    detections_at_start: u64,
 }
 
 impl ReuseLease {
-    /// The next request's use of this connection to `upstream`.
+    /// Begins the use of this connection to `upstream` for its next request.
     pub fn new(upstream: &Rc<Upstream>, connection: &Connection) -> ReuseLease {
         connection.connection_use().record_request(Instant::now());
         connection.socket.begin_request();
         ReuseLease {
             upstream: upstream.clone(),
-            carried_earlier_request: connection.connection_use().carries_later_request(),
-            known_detections: upstream.surplus().uncovered_detections(),
+            carried_earlier_request: connection.connection_use().is_reused(),
+            detections_at_start: upstream.surplus().uncovered_detections(),
         }
     }
 
@@ -36,7 +36,7 @@
     /// Whether the response on this connection must not be used.
     pub fn is_revoked(&self) -> bool {
         self.carried_earlier_request
-            && self.upstream.surplus().uncovered_detections() != self.known_detections
+            && self.upstream.surplus().uncovered_detections() != self.detections_at_start
     }
 
     /// Returns once the response on this connection must not be used.
@@ -46,7 +46,7 @@
         }
         self.upstream
             .surplus()
-            .detected_since(self.known_detections)
+            .detected_since(self.detections_at_start)
             .await;
     }
 }
