--- a/balancer-core/src/policy/admission.rs
+++ b/balancer-core/src/policy/admission.rs
@@ -75,7 +75,7 @@
     pub(super) fn new(settings: &Settings, now: Millis) -> Self {
         let single_tenant = [Tenant {
             weight: 1.0,
-            quota_per_s: 0.0,
+            quota_per_second: 0.0,
         }];
         let listed: &[Tenant] = if settings.tenants.is_empty() {
             &single_tenant
@@ -87,13 +87,13 @@
             .map(|tenant| tenant.weight)
             .fold(f64::INFINITY, f64::min);
         let weights = listed.iter().map(|tenant| tenant.weight);
-        let quota_per_s = listed.iter().map(|tenant| tenant.quota_per_s).sum();
+        let quota_per_second = listed.iter().map(|tenant| tenant.quota_per_second).sum();
         Admission {
             tenants: weights
                 .chain([smallest_weight])
                 .map(TenantState::new)
                 .collect(),
-            capacity: Capacity::new(settings, quota_per_s),
+            capacity: Capacity::new(settings, quota_per_second),
             cycle_started_at: now,
             cycle_admitted: 0.0,
             used_capacity: 0.0,
--- a/balancer-core/src/policy/capacity.rs
+++ b/balancer-core/src/policy/capacity.rs
@@ -104,17 +104,17 @@
 }
 
 impl Capacity {
-    pub(super) fn new(settings: &Settings, quota_per_s: f64) -> Self {
-        let replicas = f64::from(settings.balancers);
-        let replica_quota_per_s = quota_per_s / replicas;
+    pub(super) fn new(settings: &Settings, quota_per_second: f64) -> Self {
+        let replicas = f64::from(settings.replica_count);
+        let replica_quota_per_second = quota_per_second / replicas;
         let multiple = if settings.tier == 0 {
             1.0
         } else {
             INITIAL_MULTIPLE_BELOW_FIRST_TIER
         };
-        let initial = multiple * replica_quota_per_s * ADMISSION_CYCLE / MS_PER_SECOND;
+        let initial = multiple * replica_quota_per_second * ADMISSION_CYCLE / MS_PER_SECOND;
         let has_first_tier_quotas = settings.tier == 0 && initial > 0.0;
-        let quota = replica_quota_per_s * ADMISSION_CYCLE / MS_PER_SECOND;
+        let quota = replica_quota_per_second * ADMISSION_CYCLE / MS_PER_SECOND;
         Capacity {
             per_cycle: if initial > 0.0 {
                 initial
--- a/balancer-core/src/policy/endpoints/subset.rs
+++ b/balancer-core/src/policy/endpoints/subset.rs
@@ -152,14 +152,14 @@
         .iter()
         .filter(|entry| entry.endpoint.zone == settings.zone)
         .count() as f64;
-    let zones_with_replicas = f64::from(settings.balancers).min(zones.len() as f64);
+    let zones_with_replicas = f64::from(settings.replica_count).min(zones.len() as f64);
     local / (ring.len() as f64).max(1.0) * zones_with_replicas
 }
 
 /// This replica's section of the ring. The sections of all replicas cover the ring evenly.
 fn section(ring: &[usize], size: usize, settings: &Settings) -> Vec<usize> {
-    let replica = (settings.index % settings.balancers) as usize;
-    let start = ring.len() * replica / settings.balancers as usize;
+    let replica = (settings.replica_index % settings.replica_count) as usize;
+    let start = ring.len() * replica / settings.replica_count as usize;
     (0..ring.len().min(size))
         .map(|offset| ring[(start + offset) % ring.len()])
         .collect()
--- a/balancer-core/src/settings.rs
+++ b/balancer-core/src/settings.rs
@@ -12,16 +12,16 @@
     /// Weight relative to the other tenants; weights need not sum to one. At least zero.
     pub weight: f64,
     /// Quota in requests per second, over all balancers together; zero: none is stated.
-    pub quota_per_s: f64,
+    pub quota_per_second: f64,
 }
 
 /// All settings of one balancer. [`Settings::default`] gives documented defaults.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// Position of this balancer among those that send to the same tier, from zero.
-    pub index: u32,
+    pub replica_index: u32,
     /// Number of balancers that send to the same tier. At least one.
-    pub balancers: u32,
+    pub replica_count: u32,
     /// The tier that this balancer sends to; zero is the tier that clients reach first.
     pub tier: u32,
     /// The zone that this balancer runs in.
@@ -65,8 +65,8 @@
     /// One balancer, one idempotent class (objective 1 s, deadline 3 s), one tenant, a pushed list, one zone.
     fn default() -> Self {
         Settings {
-            index: 0,
-            balancers: 1,
+            replica_index: 0,
+            replica_count: 1,
             tier: 0,
             zone: 0,
             classes: vec![Class {
--- a/balancer-core/src/settings/validation.rs
+++ b/balancer-core/src/settings/validation.rs
@@ -16,15 +16,16 @@
 /// Why [`Settings`] are invalid.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SettingsError {
-    /// The invalid field.
+    /// The invalid field of [`Settings`]. The replica count and quotas have the names of settings documents here:
+    /// `balancers` and `tenants.quota_per_s`.
     pub field: &'static str,
     /// What the field must be.
-    pub must: &'static str,
+    pub requirement: &'static str,
 }
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "setting {} must be {}", self.field, self.must)
+        write!(f, "setting {} must be {}", self.field, self.requirement)
     }
 }
 
@@ -33,7 +34,7 @@
 impl Settings {
     /// Checks every field; the error names the first invalid one.
     pub fn validate(&self) -> Result<(), SettingsError> {
-        require(self.balancers >= 1, "balancers", "at least 1")?;
+        require(self.replica_count >= 1, "balancers", "at least 1")?;
         require(
             !self.classes.is_empty(),
             "classes",
@@ -102,23 +103,27 @@
 
 fn validate_tenant(tenant: &Tenant) -> Result<(), SettingsError> {
     require_from_zero_to_max(tenant.weight, "tenants.weight", NUMBER)?;
-    require_from_zero_to_max(tenant.quota_per_s, "tenants.quota_per_s", RATE)
+    require_from_zero_to_max(tenant.quota_per_second, "tenants.quota_per_s", RATE)
 }
 
-fn require(is_valid: bool, field: &'static str, must: &'static str) -> Result<(), SettingsError> {
+fn require(
+    is_valid: bool,
+    field: &'static str,
+    requirement: &'static str,
+) -> Result<(), SettingsError> {
     if is_valid {
         Ok(())
     } else {
-        Err(SettingsError { field, must })
+        Err(SettingsError { field, requirement })
     }
 }
 
 fn require_from_zero_to_max(
     value: f64,
     field: &'static str,
-    must: &'static str,
+    requirement: &'static str,
 ) -> Result<(), SettingsError> {
-    require((0.0..=MAX_NUMBER).contains(&value), field, must)
+    require((0.0..=MAX_NUMBER).contains(&value), field, requirement)
 }
 
 fn require_time_above_zero(value: f64, field: &'static str) -> Result<(), SettingsError> {
--- a/balancer-core/tests/classes.rs
+++ b/balancer-core/tests/classes.rs
@@ -9,7 +9,7 @@
 const HEAVY: usize = 1;
 
 /// A tier in which a light class with a short objective shares endpoints with a heavy one. Both are idempotent.
-fn harness_with_two_classes(quota_per_s: f64) -> TestHarness {
+fn harness_with_two_classes(quota_per_second: f64) -> TestHarness {
     let class = |objective, deadline| Class {
         objective,
         deadline,
@@ -17,7 +17,7 @@
     };
     let settings = Settings {
         classes: vec![class(300.0, 900.0), class(5000.0, 10_000.0)],
-        tenants: tenants(&[1.0], quota_per_s),
+        tenants: tenants(&[1.0], quota_per_second),
         max_attempts: 4,
         cancel: true,
         ..Settings::default()
--- a/balancer-core/tests/common/fixtures.rs
+++ b/balancer-core/tests/common/fixtures.rs
@@ -50,13 +50,13 @@
     }
 }
 
-/// Tenants with these weights; the quota of each is `quota_per_s` times its weight.
-pub fn tenants(weights: &[f64], quota_per_s: f64) -> Vec<Tenant> {
+/// Tenants with these weights; the quota of each is `quota_per_second` times its weight.
+pub fn tenants(weights: &[f64], quota_per_second: f64) -> Vec<Tenant> {
     weights
         .iter()
         .map(|&weight| Tenant {
             weight,
-            quota_per_s: quota_per_s * weight,
+            quota_per_second: quota_per_second * weight,
         })
         .collect()
 }
@@ -91,14 +91,18 @@
 pub const SLOW_START_INITIAL_FRACTION: f64 = 0.15;
 
 /// Settings of one of several replicas that share a quota, with slow start.
-pub fn slow_start_settings(index: u32, balancers: u32, quota_per_s: f64) -> Settings {
+pub fn slow_start_settings(
+    replica_index: u32,
+    replica_count: u32,
+    quota_per_second: f64,
+) -> Settings {
     Settings {
-        index,
-        balancers,
+        replica_index,
+        replica_count,
         slow_start_initial_fraction: SLOW_START_INITIAL_FRACTION,
         slow_start_duration: SLOW_START_DURATION,
         slow_start_overload_factor: SLOW_START_OVERLOAD_FACTOR,
-        tenants: tenants(&[1.0], quota_per_s),
+        tenants: tenants(&[1.0], quota_per_second),
         ..Settings::default()
     }
 }
--- a/balancer-core/tests/endpoint_choice.rs
+++ b/balancer-core/tests/endpoint_choice.rs
@@ -49,7 +49,7 @@
 fn requests_beyond_the_capacity_of_the_own_zone_go_to_other_zones() {
     let settings = Settings {
         cross_zone_price: 0.03,
-        balancers: 9,
+        replica_count: 9,
         tenants: tenants(&[1.0], 900.0),
         ..settings_for_tenants(&[1.0])
     };
@@ -118,18 +118,18 @@
 #[test]
 fn subset_follows_traffic_and_is_balanced_between_replicas() {
     let mut replicas_by_upstream = BTreeMap::new();
-    for index in 0..20 {
+    for replica_index in 0..20 {
         let settings = Settings {
-            index,
-            balancers: 20,
+            replica_index,
+            replica_count: 20,
             ..settings_for_tenants(&[1.0])
         };
-        let mut harness = TestHarness::new(settings, u64::from(index), endpoints(40));
+        let mut harness = TestHarness::new(settings, u64::from(replica_index), endpoints(40));
         harness.run_traffic(12_000.0, 8.0, &[0], &success_after(50.0));
         let used = harness.sent_since(6000.0).by_upstream;
         assert!(
             (5..=14).contains(&used.len()),
-            "replica {index} used {} endpoints",
+            "replica {replica_index} used {} endpoints",
             used.len()
         );
         for id in used.keys() {
@@ -149,7 +149,7 @@
 #[test]
 fn replica_with_little_traffic_keeps_few_connections_from_the_start() {
     let settings = Settings {
-        balancers: 20,
+        replica_count: 20,
         idle_close: 30_000.0,
         ..settings_for_tenants(&[1.0])
     };
--- a/balancer-core/tests/endpoint_polling_fleet.rs
+++ b/balancer-core/tests/endpoint_polling_fleet.rs
@@ -54,10 +54,10 @@
 
 impl Replica {
     /// A replica that discovery answered 1.5 s ago and whose watch fails now.
-    fn after_watch_failure(index: u32, replicas: u32, seed: u64) -> Replica {
+    fn after_watch_failure(replica_index: u32, replicas: u32, seed: u64) -> Replica {
         let settings = Settings {
-            index,
-            balancers: replicas,
+            replica_index,
+            replica_count: replicas,
             poll_endpoints: true,
             poll_acknowledge_timeout: 3000.0,
             ..Settings::default()
@@ -117,9 +117,9 @@
         free_at: LOST_AT,
     };
     let mut waiting: Vec<Replica> = (0..replicas)
-        .map(|index| {
-            let seed = seed * 10_000 + u64::from(index);
-            Replica::after_watch_failure(index, replicas, seed)
+        .map(|replica_index| {
+            let seed = seed * 10_000 + u64::from(replica_index);
+            Replica::after_watch_failure(replica_index, replicas, seed)
         })
         .collect();
     let mut last = LOST_AT;
--- a/balancer-core/tests/inflight_limits.rs
+++ b/balancer-core/tests/inflight_limits.rs
@@ -11,10 +11,10 @@
 };
 
 /// Settings of one of several replicas that share a quota of 60 requests per second each.
-fn shared_settings(balancers: u32) -> Settings {
+fn shared_settings(replica_count: u32) -> Settings {
     Settings {
-        tenants: tenants(&[1.0], 60.0 * f64::from(balancers)),
-        balancers,
+        tenants: tenants(&[1.0], 60.0 * f64::from(replica_count)),
+        replica_count,
         ..tenantless_settings_that_value_late_responses(Idempotency::NonIdempotent)
     }
 }
@@ -105,8 +105,8 @@
 /// Guards against a spare request in flight at each replica: the spares of many replicas add up.
 #[test]
 fn replicas_that_share_the_first_tier_have_no_spare_requests_in_flight() {
-    let burst = |balancers: u32| {
-        let mut harness = TestHarness::with_endpoints(shared_settings(balancers), 4);
+    let burst = |replica_count: u32| {
+        let mut harness = TestHarness::with_endpoints(shared_settings(replica_count), 4);
         harness.run_traffic(20_000.0, 60.0, &[0], &success_after(50.0));
         harness.advance(500.0);
         let from = harness.now;
@@ -157,7 +157,7 @@
 fn replica_with_little_traffic_rejects_none_without_overload() {
     let settings = Settings {
         tenants: tenants(&[1.0], 300.0),
-        balancers: 100,
+        replica_count: 100,
         ..Settings::default()
     };
     let mut harness = TestHarness::with_endpoints(settings, 4);
@@ -197,7 +197,7 @@
 fn replica_with_little_traffic_admits_both_requests_of_a_pair() {
     let settings = Settings {
         tenants: tenants(&[1.0], 300.0),
-        balancers: 100,
+        replica_count: 100,
         ..Settings::default()
     };
     let mut harness = TestHarness::with_endpoints(settings, 4);
--- a/balancer-core/tests/random_events.rs
+++ b/balancer-core/tests/random_events.rs
@@ -82,7 +82,7 @@
         max_attempts: 1 + rng.next_u32() % 4,
         cancel: !seed.is_multiple_of(5),
         poll_endpoints: seed % 8 < 4,
-        balancers: 1 + rng.next_u32() % 9,
+        replica_count: 1 + rng.next_u32() % 9,
         max_retry_after: 500.0,
         cross_zone_price: 0.2,
         ..Settings::default()
--- a/balancer-core/tests/retries.rs
+++ b/balancer-core/tests/retries.rs
@@ -87,8 +87,8 @@
         window: 5000.0,
     };
     let settings = Settings {
-        balancers: 10,
-        index: 3,
+        replica_count: 10,
+        replica_index: 3,
         ..settings_that_value_late_responses(key)
     };
     let list = (1..=60)
--- a/balancer-core/tests/slow_start_fleet.rs
+++ b/balancer-core/tests/slow_start_fleet.rs
@@ -10,14 +10,14 @@
 
 const UPSTREAMS: u64 = 12;
 
-/// Replicas that share `quota_per_s` and have each sent an even part of it for five seconds.
-fn fleet_with_quota(replicas: u32, quota_per_s: f64) -> Vec<TestHarness> {
+/// Replicas that share `quota_per_second` and have each sent an even part of it for five seconds.
+fn fleet_with_quota(replicas: u32, quota_per_second: f64) -> Vec<TestHarness> {
     (0..replicas)
-        .map(|index| {
-            let settings = slow_start_settings(index, replicas, quota_per_s);
-            let seed = u64::from(index) + 1;
+        .map(|replica_index| {
+            let settings = slow_start_settings(replica_index, replicas, quota_per_second);
+            let seed = u64::from(replica_index) + 1;
             let mut harness = TestHarness::new(settings, seed, endpoints(UPSTREAMS));
-            let per_s = quota_per_s / f64::from(replicas);
+            let per_s = quota_per_second / f64::from(replicas);
             harness.run_traffic(5000.0, per_s, &[0], &success_after(20.0));
             harness
         })
@@ -34,11 +34,11 @@
 impl Allowance {
     /// The allowance `age` milliseconds after the start, where each endpoint carries an even part of the quotas at full
     /// capacity.
-    fn new(quota_per_s: f64, age: f64) -> Self {
+    fn new(quota_per_second: f64, age: f64) -> Self {
         let gained = (1.0 - SLOW_START_INITIAL_FRACTION) * age / SLOW_START_DURATION;
         let capacity_fraction = SLOW_START_INITIAL_FRACTION + gained;
         let requests =
-            SLOW_START_OVERLOAD_FACTOR * capacity_fraction * quota_per_s / UPSTREAMS as f64;
+            SLOW_START_OVERLOAD_FACTOR * capacity_fraction * quota_per_second / UPSTREAMS as f64;
         Allowance {
             requests,
             by_chance: 2.0 * requests.sqrt() + 2.0,
@@ -170,7 +170,7 @@
 /// A new replica without endpoints that replaces another one, whose clock it continues.
 fn successor(harness: &TestHarness) -> TestHarness {
     let settings = harness.settings.clone();
-    let seed = 999 + u64::from(settings.index);
+    let seed = 999 + u64::from(settings.replica_index);
     let mut successor = TestHarness::new(settings, seed, Vec::new());
     successor.now = harness.now;
     successor
@@ -262,16 +262,16 @@
 
 fn fleet_without_quotas(replicas: u32) -> Vec<TestHarness> {
     (0..replicas)
-        .map(|index| {
+        .map(|replica_index| {
             let settings = Settings {
-                index,
-                balancers: replicas,
+                replica_index,
+                replica_count: replicas,
                 slow_start_initial_fraction: 0.15,
                 slow_start_duration: 20_000.0,
                 slow_start_overload_factor: 2.5,
                 ..Settings::default()
             };
-            TestHarness::new(settings, u64::from(index), endpoints(20))
+            TestHarness::new(settings, u64::from(replica_index), endpoints(20))
         })
         .collect()
 }
--- a/balancer-core/tests/unusual_input.rs
+++ b/balancer-core/tests/unusual_input.rs
@@ -23,7 +23,7 @@
 #[test]
 fn invalid_settings_name_their_field() {
     assert_eq!(invalid_field(|_| {}), None);
-    assert_eq!(invalid_field(|s| s.balancers = 0), Some("balancers"));
+    assert_eq!(invalid_field(|s| s.replica_count = 0), Some("balancers"));
     assert_eq!(invalid_field(|s| s.classes.clear()), Some("classes"));
     assert_eq!(
         invalid_field(|s| s.classes[0].objective = f64::NAN),
@@ -42,7 +42,7 @@
         Some("classes.allowed_kinds")
     );
     assert_eq!(
-        invalid_field(|s| s.tenants[0].quota_per_s = 1e300),
+        invalid_field(|s| s.tenants[0].quota_per_second = 1e300),
         Some("tenants.quota_per_s")
     );
     assert_eq!(
@@ -73,8 +73,8 @@
         s.classes[0].late_weight = 1.0;
     }),
     ("an index above the number of replicas", |s| {
-        s.index = 700;
-        s.balancers = 3;
+        s.replica_index = 700;
+        s.replica_count = 3;
     }),
     ("a zone without endpoints", |s| {
         s.zone = 9;
--- a/balancer-settings/src/conversion.rs
+++ b/balancer-settings/src/conversion.rs
@@ -41,8 +41,8 @@
     let permissions = &setup.permissions;
     let invariants = &setup.invariants;
     Ok(Settings {
-        index: setup.index,
-        balancers: setup.balancers,
+        replica_index: setup.index,
+        replica_count: setup.balancers,
         tier: setup.tier,
         zone: setup.zone,
         classes: classes.collect::<Result<_, _>>()?,
@@ -116,7 +116,7 @@
 fn to_tenant(tenant: &TenantSetup) -> Tenant {
     Tenant {
         weight: tenant.weight,
-        quota_per_s: tenant.quota_per_s,
+        quota_per_second: tenant.quota_per_s,
     }
 }
 
