--- a/balancer/tests/failing_calls/fault_control.rs
+++ b/balancer/tests/failing_calls/fault_control.rs
@@ -1,6 +1,8 @@
 //! The fault injection library and its control file.
 use crate::rows::Row;
-use fault_injection::control::{Fault, CONTROL_FILE, FILE_BYTES, SEED, WORD_BYTES};
+use fault_injection::control::{
+    Fault, CONTROL_FILE_VARIABLE, FILE_BYTES, SEED_VARIABLE, WORD_BYTES,
+};
 use std::fs::{self, File, OpenOptions};
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
@@ -54,8 +56,8 @@
     pub fn preload(&self, command: &mut Command, seed: u64) {
         command
             .env("LD_PRELOAD", library())
-            .env(CONTROL_FILE, &self.path)
-            .env(SEED, seed.to_string());
+            .env(CONTROL_FILE_VARIABLE, &self.path)
+            .env(SEED_VARIABLE, seed.to_string());
     }
 }
 
--- a/balancer/tests/failing_calls/rows.rs
+++ b/balancer/tests/failing_calls/rows.rs
@@ -1,5 +1,5 @@
 //! Which calls fail, and how often.
-use fault_injection::control::{first_calls, Fault, CERTAIN};
+use fault_injection::control::{fail_first_calls, Fault, PROBABILITY_ONE};
 
 /// Calls that fail together.
 pub struct Row {
@@ -24,7 +24,7 @@
 
 /// The word for a probability of one in `calls`.
 pub const fn one_in(calls: u64) -> u64 {
-    CERTAIN / calls
+    PROBABILITY_ONE / calls
 }
 
 const INTERRUPTIONS: &[Fault] = &[
@@ -73,7 +73,7 @@
     row(
         "event write EINTR first 20",
         &[Fault::InterruptedEventWrite],
-        first_calls(20),
+        fail_first_calls(20),
     ),
     row(
         "event read EINTR 1/2",
@@ -83,14 +83,18 @@
     row(
         "event read EINTR first 20",
         &[Fault::InterruptedEventRead],
-        first_calls(20),
+        fail_first_calls(20),
     ),
     row("event read EIO 1/3", &[Fault::FailedEventRead], one_in(3)),
     row("epoll_wait EINTR 1/2", &[Fault::InterruptedWait], one_in(2)),
     row("all interrupted 1/3", INTERRUPTIONS, one_in(3)),
     row("epoll_ctl ADD 1/7", &[Fault::EpollAdd], one_in(7)),
     row("epoll_ctl ADD 1/2", &[Fault::EpollAdd], one_in(2)),
-    row("epoll_ctl ADD first 5", &[Fault::EpollAdd], first_calls(5)),
+    row(
+        "epoll_ctl ADD first 5",
+        &[Fault::EpollAdd],
+        fail_first_calls(5),
+    ),
     row("epoll_ctl MOD, DEL 1/2", &[Fault::EpollModify], one_in(2)),
     row("epoll_create1 1/2", &[Fault::EpollCreation], one_in(2)),
     row("eventfd 1/2", &[Fault::EventfdCreation], one_in(2)),
@@ -104,7 +108,11 @@
     row("pipe2 1/2", &[Fault::PipeCreation], one_in(2)),
     row("socketpair 1/2", &[Fault::SocketpairCreation], one_in(2)),
     row("dup 1/2", &[Fault::Duplication], one_in(2)),
-    row("all creations first 2", CREATIONS, first_calls(2)),
+    row("all creations first 2", CREATIONS, fail_first_calls(2)),
     row("log write 1/2", &[Fault::FailedLogWrite], one_in(2)),
-    row("log write always", &[Fault::FailedLogWrite], CERTAIN),
+    row(
+        "log write always",
+        &[Fault::FailedLogWrite],
+        PROBABILITY_ONE,
+    ),
 ];
--- a/balancer/tests/many_closes.rs
+++ b/balancer/tests/many_closes.rs
@@ -12,7 +12,7 @@
 
 use common::*;
 use fault_control::FaultControl;
-use fault_injection::control::{Fault, CERTAIN};
+use fault_injection::control::{Fault, PROBABILITY_ONE};
 use rows::{one_in, row, Row};
 use std::fs::File;
 use std::io::{BufReader, Write};
@@ -26,7 +26,7 @@
 const EVENT_WRITES: Row = row(
     "event write EINTR always",
     &[Fault::InterruptedEventWrite],
-    CERTAIN,
+    PROBABILITY_ONE,
 );
 const REGISTRATIONS: Row = row("epoll_ctl ADD 1/2", &[Fault::EpollAdd], one_in(2));
 
--- a/fault-injection/src/control.rs
+++ b/fault-injection/src/control.rs
@@ -2,7 +2,7 @@
 //!
 //! The file starts with one little-endian 64-bit word for each [`Fault`], in the order of the variants. The test writes
 //! these words; the library maps the file and reads them. A word is a probability in millionths, or a value of
-//! [`first_calls`]; the word of [`Fault::ClockOffset`] is an offset in milliseconds. One more word for each fault
+//! [`fail_first_calls`]; the word of [`Fault::ClockOffset`] is an offset in milliseconds. One more word for each fault
 //! follows, in the same order, in which the library counts the calls that it made fail.
 pub use crate::fault::Fault;
 
@@ -10,11 +10,11 @@
 use std::sync::atomic::{AtomicPtr, AtomicU64, Ordering};
 
 /// Name of the environment variable with the path of the control file. Without the variable no call fails.
-pub const CONTROL_FILE: &str = str_from_c_str(CONTROL_FILE_VARIABLE);
+pub const CONTROL_FILE_VARIABLE: &str = str_from_c_str(CONTROL_FILE_VARIABLE_C_STR);
 /// Name of the environment variable with the seed of the random choices.
-pub const SEED: &str = str_from_c_str(SEED_VARIABLE);
+pub const SEED_VARIABLE: &str = str_from_c_str(SEED_VARIABLE_C_STR);
 /// The word for a probability of one, with which every call fails.
-pub const CERTAIN: u64 = 1_000_000;
+pub const PROBABILITY_ONE: u64 = 1_000_000;
 /// Size of the control file, in bytes.
 pub const FILE_BYTES: usize = 2 * Fault::COUNT * WORD_BYTES;
 
@@ -23,8 +23,8 @@
 
 /// Bit of a word that states a number of calls instead of a probability.
 const FIRST_CALLS_FLAG: u64 = 1 << 32;
-const CONTROL_FILE_VARIABLE: &CStr = c"FAULT_CONTROL";
-const SEED_VARIABLE: &CStr = c"FAULT_SEED";
+const CONTROL_FILE_VARIABLE_C_STR: &CStr = c"FAULT_CONTROL";
+const SEED_VARIABLE_C_STR: &CStr = c"FAULT_SEED";
 /// The fractional part of the golden ratio in 64 bits: spreads small seeds over all states of the generator.
 const SEED_FACTOR: u64 = 0x9e37_79b9_7f4a_7c15;
 /// Multiplier of the output of the generator xorshift64*.
@@ -39,23 +39,23 @@
 
 /// The word that makes the first `calls` calls fail. Calls count from the process's start, but only those made while
 /// a word of this kind is set.
-pub const fn first_calls(calls: u32) -> u64 {
+pub const fn fail_first_calls(calls: u32) -> u64 {
     FIRST_CALLS_FLAG | calls as u64
 }
 
 /// The words of the mapped control file; null without a control file.
 static WORDS: AtomicPtr<AtomicU64> = AtomicPtr::new(std::ptr::null_mut());
-/// For each fault, the number of calls that were counted for [`first_calls`].
+/// For each fault, the number of calls that were counted for [`fail_first_calls`].
 static COUNTED_CALLS: [AtomicU64; Fault::COUNT] = [const { AtomicU64::new(0) }; Fault::COUNT];
 /// State of the random generator; never zero.
 static RANDOM_STATE: AtomicU64 = AtomicU64::new(SEED_FACTOR);
 
 /// Reads the seed and maps the control file. Called once, when the library is loaded.
 pub(crate) fn map_control_file() {
-    let Some(path) = environment_variable(CONTROL_FILE_VARIABLE) else {
+    let Some(path) = environment_variable(CONTROL_FILE_VARIABLE_C_STR) else {
         return;
     };
-    let seed = environment_variable(SEED_VARIABLE)
+    let seed = environment_variable(SEED_VARIABLE_C_STR)
         .and_then(|seed| seed.to_str().ok())
         .and_then(|seed| seed.parse::<u64>().ok());
     if let Some(seed) = seed {
@@ -163,7 +163,7 @@
         return COUNTED_CALLS[fault as usize].fetch_add(1, Ordering::Relaxed)
             < word ^ FIRST_CALLS_FLAG;
     }
-    (random() >> 16) % CERTAIN < word
+    (random() >> 16) % PROBABILITY_ONE < word
 }
 
 /// Offset that is added to the wall clock, in milliseconds.
--- a/soak/src/balancer.rs
+++ b/soak/src/balancer.rs
@@ -12,7 +12,9 @@
 
 use crate::ids::BalancerId;
 use address::free_address;
-use fault_injection::control::{Fault as SyscallFault, CONTROL_FILE, FILE_BYTES, SEED, WORD_BYTES};
+use fault_injection::control::{
+    Fault as SyscallFault, CONTROL_FILE_VARIABLE, FILE_BYTES, SEED_VARIABLE, WORD_BYTES,
+};
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::net::SocketAddr;
@@ -145,8 +147,8 @@
             .env("NODE_LOG", "debug")
             .env("TMPDIR", self.folder.join(TEMPORARY_FOLDER))
             .env("LD_PRELOAD", &self.fleet.library)
-            .env(CONTROL_FILE, self.folder.join(CONTROL_FILE_NAME))
-            .env(SEED, (seed ^ u64::from(self.starts)).to_string())
+            .env(CONTROL_FILE_VARIABLE, self.folder.join(CONTROL_FILE_NAME))
+            .env(SEED_VARIABLE, (seed ^ u64::from(self.starts)).to_string())
             .stdin(Stdio::null())
             .stdout(Stdio::null())
             .stderr(log)
--- a/soak/src/injector/own_descriptors.rs
+++ b/soak/src/injector/own_descriptors.rs
@@ -2,7 +2,7 @@
 use super::failing_calls::EVENT_DESCRIPTOR_FAILURES;
 use super::system_calls::report_failure;
 use super::FaultInjector;
-use fault_injection::control::{first_calls, Fault as SyscallFault};
+use fault_injection::control::{fail_first_calls, Fault as SyscallFault};
 use rand::RngExt;
 use std::ops::Range;
 use tokio::time::sleep;
@@ -41,7 +41,7 @@
             let balancer = self.testbed.lock_balancer(id).await;
             for fault in CREATION_FAILURES {
                 let calls = self.random.random_range(FAILING_FIRST_CALLS);
-                report_failure(balancer.set_syscall_fault(fault, first_calls(calls) as i64));
+                report_failure(balancer.set_syscall_fault(fault, fail_first_calls(calls) as i64));
             }
         }
         self.testbed.start_after_kill(id, killed_at).await;
--- a/soak/src/injector/system_calls.rs
+++ b/soak/src/injector/system_calls.rs
@@ -3,7 +3,7 @@
 use super::FaultInjector;
 use crate::balancer::BalancerError;
 use crate::ids::BalancerId;
-use fault_injection::control::{Fault as SyscallFault, CERTAIN};
+use fault_injection::control::{Fault as SyscallFault, PROBABILITY_ONE};
 use rand::RngExt;
 use std::ops::Range;
 use tokio::time::{sleep, Instant};
@@ -85,7 +85,7 @@
 
 /// Converts a probability to the unit of the control file.
 pub(super) fn in_millionths(probability: f64) -> i64 {
-    (probability * CERTAIN as f64) as i64
+    (probability * PROBABILITY_ONE as f64) as i64
 }
 
 /// Reports a fault that could not be set or cleared. The run goes on without it.
