--- a/balancer/src/body/mod.rs
+++ b/balancer/src/body/mod.rs
@@ -2,7 +2,7 @@
 
 pub(crate) mod body_error;
 pub(crate) mod limits;
-pub(crate) mod paced_body;
 pub(crate) mod request_body;
 pub(crate) mod response_body;
+pub(crate) mod time_limited_body;
 pub(crate) mod upload;
--- a/balancer/src/body/response_body.rs
+++ b/balancer/src/body/response_body.rs
@@ -17,7 +17,7 @@
 const MAX_QUEUED_CHUNKS: usize = 2;
 
 /// The large body of a response, as it arrives from the upstream.
-pub struct ResponseStream {
+pub struct UpstreamBodyStream {
     chunks: mpsc::Receiver<Bytes>,
     /// Bytes still to come, if the upstream stated a length.
     remaining: Option<u64>,
@@ -25,9 +25,9 @@
     is_complete: Rc<Cell<bool>>,
 }
 
-/// Passes the chunks of a response on to its [`ResponseStream`]. The response is truncated if this
-/// is dropped before [`BodySender::finish`].
-pub struct BodySender {
+/// Passes the chunks of a response on to its [`UpstreamBodyStream`]. The response is truncated if this
+/// is dropped before [`UpstreamBodySender::finish`].
+pub struct UpstreamBodySender {
     chunks: mpsc::Sender<Bytes>,
     is_complete: Rc<Cell<bool>>,
 }
@@ -37,7 +37,7 @@
 #[error("the client does not read the response")]
 pub struct ClientNotReading;
 
-impl BodySender {
+impl UpstreamBodySender {
     /// Passes a chunk on once there is space in the queue.
     pub async fn send(&self, chunk: Bytes) -> Result<(), ClientNotReading> {
         match timeout(BODY_STALL_TIMEOUT, self.chunks.send(chunk)).await {
@@ -54,14 +54,14 @@
 
 /// The two ends of a body that is relayed. `length` is its size in bytes, if the upstream stated
 /// one.
-pub fn response_stream(length: Option<u64>) -> (BodySender, ResponseStream) {
+pub fn upstream_body_stream(length: Option<u64>) -> (UpstreamBodySender, UpstreamBodyStream) {
     let (sender, receiver) = mpsc::channel(MAX_QUEUED_CHUNKS);
     let is_complete = Rc::new(Cell::new(false));
-    let sender = BodySender {
+    let sender = UpstreamBodySender {
         chunks: sender,
         is_complete: is_complete.clone(),
     };
-    let stream = ResponseStream {
+    let stream = UpstreamBodyStream {
         chunks: receiver,
         remaining: length,
         is_complete,
@@ -69,7 +69,7 @@
     (sender, stream)
 }
 
-impl ResponseStream {
+impl UpstreamBodyStream {
     fn poll_chunk(
         &mut self,
         cx: &mut Context<'_>,
@@ -93,42 +93,48 @@
 }
 
 /// The body of an upstream's response.
-pub enum ResponseContent {
+pub enum UpstreamResponseBody {
     /// The complete body.
     Buffered(Bytes),
     /// A body that is still arriving.
-    Streamed(ResponseStream),
+    Streamed(UpstreamBodyStream),
 }
 
-impl fmt::Debug for ResponseContent {
+impl fmt::Debug for UpstreamResponseBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            ResponseContent::Buffered(body) => write!(f, "{} bytes", body.len()),
-            ResponseContent::Streamed(stream) => write!(f, "{:?} bytes to come", stream.remaining),
+            UpstreamResponseBody::Buffered(body) => write!(f, "{} bytes", body.len()),
+            UpstreamResponseBody::Streamed(stream) => {
+                write!(f, "{:?} bytes to come", stream.remaining)
+            }
         }
     }
 }
 
 /// The body of the final response to a client.
-pub enum ResponseBody<G> {
+pub enum ClientResponseBody<G> {
     /// The complete body.
     Buffered(Full<Bytes>),
     /// A body that is still arriving. Its request ends with it.
-    Streamed(StreamedResponse<G>),
+    Streamed(StreamedClientBody<G>),
 }
 
 /// A response body that is relayed, and what is released at its end.
-pub struct StreamedResponse<G> {
-    stream: ResponseStream,
+pub struct StreamedClientBody<G> {
+    stream: UpstreamBodyStream,
     request: InFlightRequest,
     _guard: G,
 }
 
-impl<G> StreamedResponse<G> {
+impl<G> StreamedClientBody<G> {
     /// Relays `stream`. Records the outcome of `request`, and holds `guard` until the body is
     /// dropped.
-    pub fn new(stream: ResponseStream, request: InFlightRequest, guard: G) -> StreamedResponse<G> {
-        StreamedResponse {
+    pub fn new(
+        stream: UpstreamBodyStream,
+        request: InFlightRequest,
+        guard: G,
+    ) -> StreamedClientBody<G> {
+        StreamedClientBody {
             stream,
             request,
             _guard: guard,
@@ -155,7 +161,7 @@
 #[error("the upstream's response ended early")]
 pub struct TruncatedResponse;
 
-impl<G: Unpin> Body for ResponseBody<G> {
+impl<G: Unpin> Body for ClientResponseBody<G> {
     type Data = Bytes;
     type Error = TruncatedResponse;
 
@@ -164,10 +170,10 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, TruncatedResponse>>> {
         match self.get_mut() {
-            ResponseBody::Buffered(body) => Pin::new(body)
+            ClientResponseBody::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never| match never {}),
-            ResponseBody::Streamed(response) => {
+            ClientResponseBody::Streamed(response) => {
                 let chunk = ready!(response.poll_chunk(cx));
                 Poll::Ready(chunk.map(|chunk| chunk.map(Frame::data)))
             }
@@ -176,15 +182,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            ResponseBody::Buffered(body) => body.is_end_stream(),
-            ResponseBody::Streamed(response) => response.stream.is_exhausted(),
+            ClientResponseBody::Buffered(body) => body.is_end_stream(),
+            ClientResponseBody::Streamed(response) => response.stream.is_exhausted(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            ResponseBody::Buffered(body) => body.size_hint(),
-            ResponseBody::Streamed(response) => response
+            ClientResponseBody::Buffered(body) => body.size_hint(),
+            ClientResponseBody::Streamed(response) => response
                 .stream
                 .remaining
                 .map_or_else(SizeHint::default, SizeHint::with_exact),
--- a/balancer/src/body/paced_body.rs
+++ b/balancer/src/body/time_limited_body.rs
@@ -18,7 +18,7 @@
 const MIN_BODY_BYTES_PER_SECOND: f64 = 32_000.0;
 
 /// A client's request body that counts the time spent waiting for the client.
-pub struct PacedBody {
+pub struct TimeLimitedBody {
     body: Incoming,
     bytes_received: u64,
     /// Time spent waiting for the client, without the current wait.
@@ -32,10 +32,10 @@
     timeout: Pin<Box<Sleep>>,
 }
 
-impl PacedBody {
+impl TimeLimitedBody {
     /// A body of a client for which the balancer has already waited `time_waited`.
-    pub fn new(body: Incoming, time_waited: Duration) -> PacedBody {
-        PacedBody {
+    pub fn new(body: Incoming, time_waited: Duration) -> TimeLimitedBody {
+        TimeLimitedBody {
             body,
             bytes_received: 0,
             time_waited,
--- a/balancer/src/body/paced_body/tests.rs
+++ b/balancer/src/body/time_limited_body/tests.rs
@@ -16,7 +16,7 @@
 ) -> String {
     let (mut client, server) = tokio::io::duplex(1 << 20);
     let service = service_fn(move |request: Request<Incoming>| async move {
-        let mut body = PacedBody::new(request.into_body(), time_waited);
+        let mut body = TimeLimitedBody::new(request.into_body(), time_waited);
         let mut received = 0;
         let end = loop {
             match body.next().await {
@@ -89,7 +89,7 @@
 async fn does_not_count_time_in_which_the_balancer_does_not_read() {
     let (mut client, server) = tokio::io::duplex(1 << 20);
     let service = service_fn(|request: Request<Incoming>| async move {
-        let mut body = PacedBody::new(request.into_body(), Duration::ZERO);
+        let mut body = TimeLimitedBody::new(request.into_body(), Duration::ZERO);
         let mut received = 0;
         while let Some(chunk) = body.next().await {
             received += chunk.map_or(0, |chunk| chunk.len());
--- a/balancer/src/body/upload.rs
+++ b/balancer/src/body/upload.rs
@@ -1,7 +1,7 @@
 //! A large request body that is forwarded to an upstream while the client still sends it.
 use crate::body::body_error::BodyError;
 use crate::body::limits::{BODY_STALL_TIMEOUT, MAX_BUFFERED_BODY_BYTES};
-use crate::body::paced_body::PacedBody;
+use crate::body::time_limited_body::TimeLimitedBody;
 use crate::time::sleep;
 use bytes::Bytes;
 use std::cell::{Cell, RefCell};
@@ -19,7 +19,7 @@
     fn completed(&self);
 
     /// The start of the body is no longer buffered, so that no other attempt can send the body.
-    fn released(&self);
+    fn buffer_released(&self);
 }
 
 /// A large request body. Its start stays buffered for further attempts until more has arrived than
@@ -35,7 +35,7 @@
 }
 
 struct UploadState {
-    body: PacedBody,
+    body: TimeLimitedBody,
     /// All chunks received, while they are not more than [`MAX_BUFFERED_BODY_BYTES`].
     buffered: Option<Vec<Bytes>>,
     is_complete: bool,
@@ -44,7 +44,7 @@
 /// What the observer is notified of after a poll.
 #[derive(Clone, Copy, Default)]
 struct UploadProgress {
-    released: bool,
+    buffer_released: bool,
     completed: bool,
 }
 
@@ -53,7 +53,7 @@
     fn record(&mut self, next: Option<&Result<Bytes, BodyError>>) -> UploadProgress {
         let mut progress = UploadProgress::default();
         if let Some(Ok(chunk)) = next {
-            progress.released = self.buffer_or_release(chunk);
+            progress.buffer_released = self.buffer_or_release(chunk);
         }
         progress.completed = next.is_none() || self.body.remaining_length() == Some(0);
         self.is_complete |= progress.completed;
@@ -75,7 +75,7 @@
 
 impl Upload {
     /// An upload whose chunks `buffered` have arrived; `body` is the rest.
-    pub fn new(body: PacedBody, buffered: Vec<Bytes>) -> Rc<Upload> {
+    pub fn new(body: TimeLimitedBody, buffered: Vec<Bytes>) -> Rc<Upload> {
         let buffered_bytes: u64 = buffered.iter().map(|chunk| chunk.len() as u64).sum();
         let length = body
             .remaining_length()
@@ -176,8 +176,8 @@
         let Some(observer) = observer.as_ref() else {
             return;
         };
-        if progress.released {
-            observer.released();
+        if progress.buffer_released {
+            observer.buffer_released();
         }
         if progress.completed {
             observer.completed();
--- a/balancer/src/control/driver/submission.rs
+++ b/balancer/src/control/driver/submission.rs
@@ -43,7 +43,7 @@
         self.handle.request_body_complete(self.id);
     }
 
-    fn released(&self) {
+    fn buffer_released(&self) {
         self.handle.handle_event(Event::BodyDiscarded(self.id));
     }
 }
--- a/balancer/src/inbound/client_connection.rs
+++ b/balancer/src/inbound/client_connection.rs
@@ -1,5 +1,5 @@
 //! The state of one client connection, which its task and its requests share.
-use crate::body::paced_body::REQUEST_READ_TIMEOUT;
+use crate::body::time_limited_body::REQUEST_READ_TIMEOUT;
 use crate::inbound::idle_connections::{ConnectionKind, IdleConnections, IdleKey};
 use crate::inbound::request_tracker::RequestTracker;
 use crate::net::shared_stream::SharedStream;
--- a/balancer/src/inbound/connection_task.rs
+++ b/balancer/src/inbound/connection_task.rs
@@ -1,5 +1,5 @@
 //! The task of one client connection: serves its requests, and decides when it is closed.
-use crate::body::response_body::ResponseBody;
+use crate::body::response_body::ClientResponseBody;
 use crate::inbound::client_connection::{ActiveRequestGuard, ClientConnection};
 use crate::inbound::context::ServerContext;
 use crate::inbound::request_handler::respond;
@@ -74,7 +74,7 @@
     mut http: Pin<&mut HttpConnection<S>>,
 ) -> CloseReason
 where
-    S: HttpService<Incoming, ResBody = ResponseBody<ActiveRequestGuard>>,
+    S: HttpService<Incoming, ResBody = ClientResponseBody<ActiveRequestGuard>>,
 {
     let mut phase = context.phase.clone();
     loop {
--- a/balancer/src/inbound/request_handler.rs
+++ b/balancer/src/inbound/request_handler.rs
@@ -2,8 +2,8 @@
 //! response.
 use crate::body::body_error::BodyError;
 use crate::body::limits::{MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
-use crate::body::paced_body::PacedBody;
 use crate::body::request_body::RequestBody;
+use crate::body::time_limited_body::TimeLimitedBody;
 use crate::body::upload::Upload;
 use crate::clock::to_millis;
 use crate::control::driver::ResponseFuture;
@@ -221,7 +221,7 @@
     let head = RequestHead::parse(&parts.method, &parts.headers, &context.deployment)?;
     let client_timeout_ms = (head.client_timeout_ms - to_millis(queued_for)).max(0.0);
     check_body(&parts.method, &body)?;
-    let body = read_body(PacedBody::new(body, time_waited)).await?;
+    let body = read_body(TimeLimitedBody::new(body, time_waited)).await?;
     let upload = match &body {
         RequestBody::Streamed(upload) => Some(upload.clone()),
         RequestBody::Buffered(_) => None,
@@ -259,7 +259,7 @@
 
 /// Buffers a small body completely. Of a large one, only the start is read; an upload reads the
 /// rest.
-async fn read_body(mut body: PacedBody) -> Result<RequestBody, BodyError> {
+async fn read_body(mut body: TimeLimitedBody) -> Result<RequestBody, BodyError> {
     let mut chunks: Vec<Bytes> = Vec::new();
     let mut length = 0;
     let mut is_large = body
--- a/balancer/src/inbound/responses.rs
+++ b/balancer/src/inbound/responses.rs
@@ -1,5 +1,5 @@
 //! Responses to clients.
-use crate::body::response_body::{ResponseBody, ResponseContent, StreamedResponse};
+use crate::body::response_body::{ClientResponseBody, StreamedClientBody, UpstreamResponseBody};
 use crate::outbound::message::FinalResponse;
 use crate::telemetry::metrics::{InFlightRequest, RequestOutcome};
 use balancer_core::Millis;
@@ -9,7 +9,7 @@
 use hyper::{Response, StatusCode};
 
 /// A response to a client. A streamed body holds `G` until it ends.
-pub type ClientResponse<G> = Response<ResponseBody<G>>;
+pub type ClientResponse<G> = Response<ClientResponseBody<G>>;
 
 /// A response with this status and without a body.
 pub fn empty_response<G>(status: StatusCode) -> ClientResponse<G> {
@@ -22,7 +22,7 @@
 }
 
 fn response_with_body<G>(status: StatusCode, body: Bytes) -> ClientResponse<G> {
-    let mut response = Response::new(ResponseBody::Buffered(Full::new(body)));
+    let mut response = Response::new(ClientResponseBody::Buffered(Full::new(body)));
     *response.status_mut() = status;
     response
 }
@@ -70,17 +70,17 @@
 
 fn served_response<G>(
     headers: HeaderMap,
-    body: ResponseContent,
+    body: UpstreamResponseBody,
     request: InFlightRequest,
     guard: G,
 ) -> ClientResponse<G> {
     let body = match body {
-        ResponseContent::Buffered(body) => {
+        UpstreamResponseBody::Buffered(body) => {
             request.set_outcome(RequestOutcome::Served);
-            ResponseBody::Buffered(Full::new(body))
+            ClientResponseBody::Buffered(Full::new(body))
         }
-        ResponseContent::Streamed(stream) => {
-            ResponseBody::Streamed(StreamedResponse::new(stream, request, guard))
+        UpstreamResponseBody::Streamed(stream) => {
+            ClientResponseBody::Streamed(StreamedClientBody::new(stream, request, guard))
         }
     };
     let mut response = Response::new(body);
--- a/balancer/src/outbound/attempt.rs
+++ b/balancer/src/outbound/attempt.rs
@@ -1,7 +1,7 @@
 //! One attempt: sends a request to one upstream once, and reads its response.
 use crate::body::limits::MAX_BODY_BYTES;
 use crate::body::request_body::{AttemptBody, RequestBody};
-use crate::body::response_body::{response_stream, ResponseContent};
+use crate::body::response_body::{upstream_body_stream, UpstreamResponseBody};
 use crate::invariants::{Guard, WriteConditions};
 use crate::net::shared_stream::{SharedStream, WriteProgress};
 use crate::outbound::attempt_result::{AttemptResult, ExchangeError};
@@ -301,10 +301,10 @@
         on_response_started: impl FnOnce(FinalResponse),
     ) -> Relay {
         remove_hop_by_hop_headers(&mut head.headers);
-        let (sender, stream) = response_stream(declared_length);
+        let (sender, stream) = upstream_body_stream(declared_length);
         on_response_started(FinalResponse::Served {
             headers: head.headers,
-            body: ResponseContent::Streamed(stream),
+            body: UpstreamResponseBody::Streamed(stream),
         });
         let small_body_deadline = (!declares_large_body(declared_length)).then_some(self.deadline);
         Relay::new(sender, body, small_body_deadline)
@@ -348,7 +348,7 @@
     remove_hop_by_hop_headers(&mut head.headers);
     Some(FinalResponse::Served {
         headers: head.headers,
-        body: ResponseContent::Buffered(body),
+        body: UpstreamResponseBody::Buffered(body),
     })
 }
 
--- a/balancer/src/outbound/dispatch.rs
+++ b/balancer/src/outbound/dispatch.rs
@@ -1,5 +1,5 @@
 //! How a balancer carries out attempts: over sockets, or simulated without them.
-use crate::body::response_body::ResponseContent;
+use crate::body::response_body::UpstreamResponseBody;
 use crate::outbound::attempt::Transport;
 use crate::outbound::attempt_result::AttemptResult;
 use crate::outbound::connection_pool::Upstream;
@@ -46,7 +46,7 @@
                 outcome: AttemptOutcome::Success,
                 response: Some(FinalResponse::Served {
                     headers: HeaderMap::new(),
-                    body: ResponseContent::Buffered(Bytes::new()),
+                    body: UpstreamResponseBody::Buffered(Bytes::new()),
                 }),
             },
         }
--- a/balancer/src/outbound/message.rs
+++ b/balancer/src/outbound/message.rs
@@ -1,7 +1,7 @@
 //! A request as it is forwarded to upstreams, and the final response to it.
 use crate::body::body_error::BodyError;
 use crate::body::request_body::{AttemptBody, RequestBody};
-use crate::body::response_body::ResponseContent;
+use crate::body::response_body::UpstreamResponseBody;
 use crate::net::shared_stream::Peer;
 use balancer_core::Millis;
 use hyper::header::{HeaderMap, HeaderValue};
@@ -63,7 +63,7 @@
         /// Its end-to-end headers.
         headers: HeaderMap,
         /// Its body.
-        body: ResponseContent,
+        body: UpstreamResponseBody,
     },
     /// The request was rejected and has not run: the client may retry.
     Rejected {
--- a/balancer/src/outbound/response_relay.rs
+++ b/balancer/src/outbound/response_relay.rs
@@ -1,7 +1,7 @@
 //! Reads response bodies of upstreams: buffers small ones, and relays large ones to the client as
 //! they arrive.
 use crate::body::limits::{BODY_STALL_TIMEOUT, MAX_BODY_BYTES, MAX_BUFFERED_BODY_BYTES};
-use crate::body::response_body::BodySender;
+use crate::body::response_body::UpstreamBodySender;
 use crate::outbound::response_outcome::outcome_of_read_error;
 use crate::time::timeout_at;
 use balancer_core::AttemptOutcome;
@@ -64,7 +64,7 @@
 
 /// A body that is relayed to the client.
 pub struct Relay {
-    sender: BodySender,
+    sender: UpstreamBodySender,
     body: Incoming,
     /// Bytes passed on so far.
     forwarded: u64,
@@ -82,7 +82,11 @@
 impl Relay {
     /// Creates a relay from `body` to `sender`. As long as the body may be a small one, it must end
     /// by `small_body_deadline`.
-    pub fn new(sender: BodySender, body: Incoming, small_body_deadline: Option<Instant>) -> Relay {
+    pub fn new(
+        sender: UpstreamBodySender,
+        body: Incoming,
+        small_body_deadline: Option<Instant>,
+    ) -> Relay {
         Relay {
             sender,
             body,
