--- a/balancer/src/control/pending_requests.rs
+++ b/balancer/src/control/pending_requests.rs
@@ -122,7 +122,7 @@
         let label = self.request.label();
         guard.check_response_time(now - self.deadline, &label);
         match response {
-            FinalResponse::Rejected { .. } if !guard.may_reject(&self.history, &label) => {
+            FinalResponse::Rejected { .. } if !guard.check_rejection(&self.history, &label) => {
                 FinalResponse::Failed
             }
             response => response,
--- a/balancer/src/invariants.rs
+++ b/balancer/src/invariants.rs
@@ -3,7 +3,7 @@
 //! One [`Guard`] checks the start of each attempt, its first byte, each final response and the end of each client's
 //! connection. Attempts and writes that it denies do not take place. It counts each violation by [`Rule`] and logs it;
 //! operators read the counts among the metrics. In a correct program every count stays zero.
-use crate::telemetry::guard_counts::{Denial, Rule};
+use crate::telemetry::guard_counts::{Rule, WriteDenial};
 use crate::telemetry::log::log_line;
 use crate::telemetry::metrics::Metrics;
 use balancer_core::{AttemptOutcome, Idempotency, Millis};
@@ -108,23 +108,23 @@
     /// The request has ended.
     pub request_ended: bool,
     /// The client has disconnected.
-    pub client_left: bool,
+    pub client_disconnected: bool,
 }
 
 impl WriteConditions {
     /// The first reason why the request must not be written, if any.
-    pub fn denial(self) -> Option<Denial> {
+    pub fn denial(self) -> Option<WriteDenial> {
         if self.endpoint_closed {
-            return Some(Denial::EndpointClosed);
+            return Some(WriteDenial::EndpointClosed);
         }
         if self.expired {
-            return Some(Denial::Expired);
+            return Some(WriteDenial::Expired);
         }
         if self.request_ended {
-            return Some(Denial::RequestEnded);
+            return Some(WriteDenial::RequestEnded);
         }
-        if self.client_left {
-            return Some(Denial::ClientDisconnected);
+        if self.client_disconnected {
+            return Some(WriteDenial::ClientDisconnected);
         }
         None
     }
@@ -151,7 +151,7 @@
     }
 
     /// Checks whether a request may be written now. Counts a denial.
-    pub fn write(&self, conditions: WriteConditions) -> Result<(), Denial> {
+    pub fn check_write(&self, conditions: WriteConditions) -> Result<(), WriteDenial> {
         let Some(denial) = conditions.denial() else {
             return Ok(());
         };
@@ -160,8 +160,8 @@
         Err(denial)
     }
 
-    /// Whether a request with this history may be rejected. Otherwise it has to fail.
-    pub fn may_reject(&self, history: &AttemptHistory, request: &str) -> bool {
+    /// Checks whether a request with this history may be rejected. Otherwise it has to fail: counts a violation.
+    pub fn check_rejection(&self, history: &AttemptHistory, request: &str) -> bool {
         let may_reject = history.may_reject();
         if !may_reject {
             self.record_violation(Rule::RejectedAfterRun, request);
--- a/balancer/src/invariants/tests.rs
+++ b/balancer/src/invariants/tests.rs
@@ -63,7 +63,7 @@
             "{idempotency:?}, never_ran: {never_ran}"
         );
         assert_eq!(
-            guard.may_reject(&history, "r"),
+            guard.check_rejection(&history, "r"),
             idempotency != Idempotency::NonIdempotent || never_ran
         );
     }
@@ -97,22 +97,22 @@
         endpoint_closed: false,
         expired: false,
         request_ended: false,
-        client_left: false,
+        client_disconnected: false,
     };
-    assert_eq!(guard.write(allowed), Ok(()));
+    assert_eq!(guard.check_write(allowed), Ok(()));
     assert_eq!(
-        guard.write(WriteConditions {
-            client_left: true,
+        guard.check_write(WriteConditions {
+            client_disconnected: true,
             ..allowed
         }),
-        Err(Denial::ClientDisconnected)
+        Err(WriteDenial::ClientDisconnected)
     );
     let closed = WriteConditions {
         endpoint_closed: true,
-        client_left: true,
+        client_disconnected: true,
         ..allowed
     };
-    assert_eq!(guard.write(closed), Err(Denial::EndpointClosed));
+    assert_eq!(guard.check_write(closed), Err(WriteDenial::EndpointClosed));
     let counts: Vec<u64> = metrics.guard().denials().map(|(_, count)| count).collect();
     assert_eq!(counts, [1, 0, 0, 1]);
 }
--- a/balancer/src/outbound/attempt.rs
+++ b/balancer/src/outbound/attempt.rs
@@ -200,7 +200,7 @@
         let conditions = write_conditions(&self.upstream, &self.request, self.deadline, false);
         self.transport
             .guard
-            .write(conditions)
+            .check_write(conditions)
             .map_err(|_| AttemptOutcome::NotSent)
     }
 
@@ -217,7 +217,7 @@
         socket.set_write_permit(Box::new(move || {
             let client_disconnected = request.client_disconnected();
             let conditions = write_conditions(&upstream, &request, deadline, client_disconnected);
-            denied_by_permit.set(guard.write(conditions).is_err());
+            denied_by_permit.set(guard.check_write(conditions).is_err());
             !denied_by_permit.get()
         }));
         denied
@@ -370,7 +370,7 @@
         endpoint_closed: upstream.is_closed_for_writes(now),
         expired: now >= deadline,
         request_ended: request.ended.get(),
-        client_left: client_disconnected,
+        client_disconnected,
     }
 }
 
--- a/balancer/src/telemetry/guard_counts.rs
+++ b/balancer/src/telemetry/guard_counts.rs
@@ -44,7 +44,7 @@
 
 /// Why a request was not written although its attempt had started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Denial {
+pub enum WriteDenial {
     /// The upstream drains, is gone or suspended, and its grace period is over.
     EndpointClosed,
     /// The attempt's time is over.
@@ -55,22 +55,22 @@
     ClientDisconnected,
 }
 
-impl Denial {
+impl WriteDenial {
     /// All reasons, in the order of their counts.
-    pub const ALL: [Denial; 4] = [
-        Denial::EndpointClosed,
-        Denial::Expired,
-        Denial::RequestEnded,
-        Denial::ClientDisconnected,
+    pub const ALL: [WriteDenial; 4] = [
+        WriteDenial::EndpointClosed,
+        WriteDenial::Expired,
+        WriteDenial::RequestEnded,
+        WriteDenial::ClientDisconnected,
     ];
 
     /// Its name in metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
-            Denial::EndpointClosed => "endpoint_closed",
-            Denial::Expired => "expired",
-            Denial::RequestEnded => "request_ended",
-            Denial::ClientDisconnected => "client_left",
+            WriteDenial::EndpointClosed => "endpoint_closed",
+            WriteDenial::Expired => "expired",
+            WriteDenial::RequestEnded => "request_ended",
+            WriteDenial::ClientDisconnected => "client_left",
         }
     }
 }
@@ -79,7 +79,7 @@
 #[derive(Default)]
 pub struct GuardCounts {
     violations: [Cell<u64>; Rule::ALL.len()],
-    denials: [Cell<u64>; Denial::ALL.len()],
+    denials: [Cell<u64>; WriteDenial::ALL.len()],
 }
 
 impl GuardCounts {
@@ -89,7 +89,7 @@
     }
 
     /// Counts a denied write.
-    pub fn record_denial(&self, denial: Denial) {
+    pub fn record_denial(&self, denial: WriteDenial) {
         increment(&self.denials[denial as usize]);
     }
 
@@ -101,8 +101,8 @@
     }
 
     /// Each reason with the number of writes denied for it.
-    pub fn denials(&self) -> impl Iterator<Item = (Denial, u64)> + '_ {
-        Denial::ALL
+    pub fn denials(&self) -> impl Iterator<Item = (WriteDenial, u64)> + '_ {
+        WriteDenial::ALL
             .into_iter()
             .zip(self.denials.iter().map(Cell::get))
     }
