--- a/balancer/src/admin/override_error.rs
+++ b/balancer/src/admin/override_error.rs
@@ -52,10 +52,10 @@
 #[derive(Debug, Error)]
 pub enum OverrideError {
     /// The file could not be written, or could not be read before the change.
-    #[error("could not store overrides in {}: {source}", .folder.display())]
+    #[error("could not store overrides in {}: {source}", .directory.display())]
     NotStored {
-        /// The folder of the file.
-        folder: PathBuf,
+        /// The directory of the file.
+        directory: PathBuf,
         /// The system's error.
         source: io::Error,
     },
--- a/balancer/src/admin/override_store.rs
+++ b/balancer/src/admin/override_store.rs
@@ -21,17 +21,17 @@
 /// Stores the overrides. Its methods block on the disk.
 #[derive(Clone)]
 pub struct OverrideStore {
-    /// The folder of the files. If `None`, the overrides are kept in this process only.
-    folder: Option<PathBuf>,
+    /// The directory of the files. If `None`, the overrides are kept in this process only.
+    directory: Option<PathBuf>,
     /// The newest overrides that this process has read or stored.
     newest: Arc<Mutex<Overrides>>,
 }
 
 impl OverrideStore {
-    /// A store in a folder that all processes of this balancer share. No other balancer may use the folder.
-    pub fn new(folder: Option<PathBuf>) -> OverrideStore {
+    /// A store in a directory that all processes of this balancer share. No other balancer may use the directory.
+    pub fn new(directory: Option<PathBuf>) -> OverrideStore {
         OverrideStore {
-            folder,
+            directory,
             newest: Arc::default(),
         }
     }
@@ -43,10 +43,10 @@
 
     /// Reads the newest overrides. After an error the overrides that were read before stay in force.
     pub fn read(&self) -> Result<Overrides, OverrideReadError> {
-        let Some(folder) = &self.folder else {
+        let Some(directory) = &self.directory else {
             return Ok(self.newest().clone());
         };
-        let stored = read_file(&folder.join(OVERRIDES_FILE))?;
+        let stored = read_file(&directory.join(OVERRIDES_FILE))?;
         let mut newest = self.newest();
         if let Some(stored) = stored {
             if stored.is_newer_than(&newest) {
@@ -58,19 +58,19 @@
 
     /// Changes the overrides. The change is stored once this returns without an error.
     pub fn change(&self, change: impl FnOnce(&mut Overrides)) -> Result<Overrides, OverrideError> {
-        let Some(folder) = &self.folder else {
+        let Some(directory) = &self.directory else {
             let mut newest = self.newest();
             change(&mut newest);
             newest.increment_revision();
             return Ok(newest.clone());
         };
         let not_stored = |source: io::Error| OverrideError::NotStored {
-            folder: folder.clone(),
+            directory: directory.clone(),
             source,
         };
         // Prevents two processes from changing the file at the same time. The lock file is not removed, because another
         // process may hold its lock.
-        let lock = File::create(folder.join(CHANGE_LOCK_FILE)).map_err(not_stored)?;
+        let lock = File::create(directory.join(CHANGE_LOCK_FILE)).map_err(not_stored)?;
         lock.lock().map_err(not_stored)?;
         let mut overrides = match self.read() {
             Ok(overrides) => overrides,
@@ -81,7 +81,7 @@
         };
         change(&mut overrides);
         overrides.increment_revision();
-        write_file(folder, &overrides).map_err(not_stored)?;
+        write_file(directory, &overrides).map_err(not_stored)?;
         *self.newest() = overrides.clone();
         Ok(overrides)
     }
@@ -89,10 +89,10 @@
     /// Takes the process lock; `None` while another process of this balancer holds it. Fails if the lock file cannot be
     /// opened.
     pub fn try_lock_process(&self) -> io::Result<Option<ProcessLock>> {
-        let Some(folder) = &self.folder else {
+        let Some(directory) = &self.directory else {
             return Ok(Some(ProcessLock { _file: None }));
         };
-        let file = File::create(folder.join(PROCESS_LOCK_FILE))?;
+        let file = File::create(directory.join(PROCESS_LOCK_FILE))?;
         match file.try_lock() {
             Err(TryLockError::WouldBlock) => Ok(None),
             // Where files cannot be locked, another process cannot be detected.
@@ -139,10 +139,10 @@
 }
 
 /// Writes the file so that it is complete even if the process ends during the write.
-fn write_file(folder: &Path, overrides: &Overrides) -> io::Result<()> {
-    let new_file = folder.join(NEW_OVERRIDES_FILE);
+fn write_file(directory: &Path, overrides: &Overrides) -> io::Result<()> {
+    let new_file = directory.join(NEW_OVERRIDES_FILE);
     std::fs::write(&new_file, serde_json::to_vec(overrides)?)?;
-    std::fs::rename(new_file, folder.join(OVERRIDES_FILE))
+    std::fs::rename(new_file, directory.join(OVERRIDES_FILE))
 }
 
 #[cfg(test)]
--- a/balancer/src/admin/override_store/tests.rs
+++ b/balancer/src/admin/override_store/tests.rs
@@ -1,26 +1,26 @@
 //! Tests of overrides that processes share, and of files that cannot be read or written.
 use super::*;
 
-/// An empty folder for one test.
-fn empty_folder(name: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("balancer-{}-{name}", std::process::id()));
-    let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir(&folder).expect("a folder");
-    folder
+/// An empty directory for one test.
+fn empty_directory(name: &str) -> PathBuf {
+    let directory = std::env::temp_dir().join(format!("balancer-{}-{name}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&directory);
+    std::fs::create_dir(&directory).expect("a directory");
+    directory
 }
 
 #[test]
 fn shares_overrides_with_other_and_later_processes() {
-    let folder = empty_folder("hold");
-    let first = OverrideStore::new(Some(folder.clone()));
-    let second = OverrideStore::new(Some(folder.clone()));
+    let directory = empty_directory("hold");
+    let first = OverrideStore::new(Some(directory.clone()));
+    let second = OverrideStore::new(Some(directory.clone()));
     first.change(|o| o.suspend("s-1")).expect("stored");
     second.change(|o| o.suspend("s-2")).expect("stored");
     second
         .change(|o| o.restore("s-1", 5.0, 9.0))
         .expect("stored");
     first.change(|o| o.set_paused(true)).expect("stored");
-    let overrides = OverrideStore::new(Some(folder.clone()))
+    let overrides = OverrideStore::new(Some(directory.clone()))
         .read()
         .expect("a valid file");
     assert_eq!(overrides.suspended().len(), 1);
@@ -28,15 +28,15 @@
     assert!(overrides.is_paused());
     assert_eq!(overrides, first.read().expect("a valid file"));
     assert_eq!(overrides, second.read().expect("a valid file"));
-    std::fs::remove_dir_all(folder).expect("removes");
+    std::fs::remove_dir_all(directory).expect("removes");
 }
 
 #[test]
 fn reports_invalid_file_and_replaces_it_on_next_change() {
-    let folder = empty_folder("torn");
+    let directory = empty_directory("torn");
     for text in ["", "{\"version\":1,\"rev", "{}", "\u{0}"] {
-        std::fs::write(folder.join(OVERRIDES_FILE), text).expect("writes");
-        let store = OverrideStore::new(Some(folder.clone()));
+        std::fs::write(directory.join(OVERRIDES_FILE), text).expect("writes");
+        let store = OverrideStore::new(Some(directory.clone()));
         assert!(
             store
                 .read()
@@ -46,24 +46,24 @@
         assert!(store.change(|o| o.suspend("s-1")).is_ok());
         assert!(store.read().is_ok_and(|o| o.suspended().contains("s-1")));
     }
-    let later = std::fs::read_to_string(folder.join(OVERRIDES_FILE))
+    let later = std::fs::read_to_string(directory.join(OVERRIDES_FILE))
         .expect("reads")
         .replace("n\":1", "n\":2");
-    std::fs::write(folder.join(OVERRIDES_FILE), later).expect("writes");
-    let error = OverrideStore::new(Some(folder.clone()))
+    std::fs::write(directory.join(OVERRIDES_FILE), later).expect("writes");
+    let error = OverrideStore::new(Some(directory.clone()))
         .read()
         .expect_err("another version");
     assert!(error.to_string().contains("version 2"), "{error}");
-    std::fs::remove_dir_all(folder).expect("removes");
+    std::fs::remove_dir_all(directory).expect("removes");
 }
 
 #[test]
 fn reports_change_that_cannot_be_stored() {
-    let folder = empty_folder("gone");
-    std::fs::remove_dir_all(&folder).expect("removes");
-    let error = OverrideStore::new(Some(folder))
+    let directory = empty_directory("gone");
+    std::fs::remove_dir_all(&directory).expect("removes");
+    let error = OverrideStore::new(Some(directory))
         .change(|o| o.set_paused(true))
-        .expect_err("no folder");
+        .expect_err("no directory");
     assert!(
         error
             .to_string()
@@ -75,37 +75,37 @@
 /// A file that is temporarily unreadable may be valid. Overwriting it would lose all overrides.
 #[test]
 fn does_not_overwrite_file_that_is_temporarily_unreadable() {
-    let folder = empty_folder("moment");
-    OverrideStore::new(Some(folder.clone()))
+    let directory = empty_directory("moment");
+    OverrideStore::new(Some(directory.clone()))
         .change(|o| o.suspend("s-1"))
         .expect("stored");
-    let file = folder.join(OVERRIDES_FILE);
-    let aside = folder.join("aside");
+    let file = directory.join(OVERRIDES_FILE);
+    let aside = directory.join("aside");
     std::fs::rename(&file, &aside).expect("renames");
     // A link to itself can be replaced but not read.
     std::os::unix::fs::symlink(&file, &file).expect("links");
-    let store = OverrideStore::new(Some(folder.clone()));
+    let store = OverrideStore::new(Some(directory.clone()));
     assert!(store.change(|o| o.suspend("s-2")).is_err());
     std::fs::rename(&aside, &file).expect("renames");
     let overrides = store.change(|o| o.suspend("s-2")).expect("stored");
     assert_eq!(overrides.suspended().len(), 2, "{overrides:?}");
-    std::fs::remove_dir_all(folder).expect("removes");
+    std::fs::remove_dir_all(directory).expect("removes");
 }
 
 #[test]
 fn only_one_process_at_a_time_has_the_process_lock() {
-    let folder = empty_folder("alone");
-    let first = OverrideStore::new(Some(folder.clone()));
-    let second = OverrideStore::new(Some(folder.clone()));
-    let try_lock = |store: &OverrideStore| store.try_lock_process().expect("a folder");
+    let directory = empty_directory("alone");
+    let first = OverrideStore::new(Some(directory.clone()));
+    let second = OverrideStore::new(Some(directory.clone()));
+    let try_lock = |store: &OverrideStore| store.try_lock_process().expect("a directory");
     let lock = try_lock(&first);
     assert!(lock.is_some() && try_lock(&second).is_none());
     drop(lock);
     assert!(try_lock(&second).is_some());
-    std::fs::remove_dir_all(folder).expect("removes");
+    std::fs::remove_dir_all(directory).expect("removes");
 }
 
-/// Guards against mistaking a folder that cannot be written for a lock that another process holds.
+/// Guards against mistaking a directory that cannot be written for a lock that another process holds.
 #[test]
 fn distinguishes_a_held_process_lock_from_one_that_cannot_be_opened() {
     let missing = std::env::temp_dir().join("balancer-no-such-folder");
--- a/balancer/src/admin/process_coordinator.rs
+++ b/balancer/src/admin/process_coordinator.rs
@@ -31,7 +31,7 @@
 /// Coordinates this process with a predecessor and a successor.
 pub struct ProcessCoordinator {
     driver: DriverHandle,
-    sockets: DescriptorBudget,
+    descriptors: DescriptorBudget,
     phase: Rc<watch::Sender<Phase>>,
     overrides: Rc<OverrideSync>,
     /// How long this process waits for its first endpoint list if another process is serving.
@@ -50,14 +50,14 @@
     /// A coordinator for a process that is not registered yet.
     pub fn new(
         driver: DriverHandle,
-        sockets: DescriptorBudget,
+        descriptors: DescriptorBudget,
         phase: Rc<watch::Sender<Phase>>,
         overrides: Rc<OverrideSync>,
         endpoint_list_timeout: Duration,
     ) -> Rc<ProcessCoordinator> {
         Rc::new(ProcessCoordinator {
             driver,
-            sockets,
+            descriptors,
             phase,
             overrides,
             endpoint_list_timeout,
@@ -70,7 +70,7 @@
 
     /// Prepares for serving: applies the stored overrides. If another process is serving, leaves it half of the
     /// descriptors and waits for the first endpoint list. Returns once this process may listen.
-    pub async fn prepare(&self) {
+    pub async fn prepare_to_serve(&self) {
         let deadline = Instant::now() + OVERRIDE_READ_TIMEOUT;
         while !self.overrides.refresh().await && Instant::now() < deadline {
             sleep(REFRESH_INTERVAL).await;
@@ -79,7 +79,7 @@
             return;
         }
         log_line!("another process of this balancer is serving");
-        self.sockets.yield_half().await;
+        self.descriptors.yield_half().await;
         // If no list has arrived by then, the cached one is used.
         let _ = timeout(
             self.endpoint_list_timeout,
@@ -113,7 +113,7 @@
             .is_err()
         {
             if matches!(self.try_lock_process().await, Ok(true)) {
-                self.sockets.reclaim();
+                self.descriptors.reclaim();
                 return;
             }
         }
@@ -136,7 +136,7 @@
 
     /// Whether another process of this balancer has started to serve after this one. A slow disk delays the answer by
     /// at most [`SUCCESSOR_CHECK_TIMEOUT`].
-    pub async fn succeeded(&self) -> bool {
+    pub async fn check_for_successor(&self) -> bool {
         let _ = timeout(SUCCESSOR_CHECK_TIMEOUT, self.overrides.refresh()).await;
         self.has_successor()
     }
@@ -164,19 +164,19 @@
             sleep(REFRESH_INTERVAL).await;
             self.overrides.refresh().await;
             if !self.is_registered() {
-                // The folder could not be written when this process started to serve. Until it is registered, its
+                // The directory could not be written when this process started to serve. Until it is registered, its
                 // predecessor does not hand its clients off.
                 let _ = self.register().await;
             }
             let holds_process_lock = self.process_lock.borrow().is_some();
             let may_lock = !holds_process_lock && self.accepts_clients.get();
             if may_lock && matches!(self.try_lock_process().await, Ok(true)) {
-                self.sockets.reclaim();
+                self.descriptors.reclaim();
             }
             if !self.has_yielded_descriptors.get() && self.has_successor() {
                 self.has_yielded_descriptors.set(true);
-                let sockets = self.sockets.clone();
-                tokio::task::spawn_local(async move { sockets.yield_half().await });
+                let descriptors = self.descriptors.clone();
+                tokio::task::spawn_local(async move { descriptors.yield_half().await });
             }
         }
     }
--- a/balancer/src/admin/server.rs
+++ b/balancer/src/admin/server.rs
@@ -21,7 +21,7 @@
 /// Maximum number of open connections. A further one replaces the oldest.
 const MAX_CONNECTIONS: usize = 16;
 /// Maximum number of descriptors that the admin server uses.
-pub const DESCRIPTORS: usize = MAX_CONNECTIONS + 1;
+pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 1;
 /// Time allowed to send a line, and again to receive the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
 /// Input after the command line is read and discarded for at most this long, and up to [`MAX_DRAINED_BYTES`]. Closing a
--- a/balancer/src/control/control_plane.rs
+++ b/balancer/src/control/control_plane.rs
@@ -36,7 +36,7 @@
 /// A control plane whose timers run. Its discovery client is not started yet.
 pub struct ControlPlane {
     /// The driver of the decision module.
-    pub handle: DriverHandle,
+    pub driver: DriverHandle,
     /// Fires the driver's timers; ends only if it fails.
     pub timers: JoinHandle<()>,
     /// The discovery client.
@@ -46,10 +46,10 @@
 impl ControlPlane {
     /// Builds a control plane and starts its timers. Must be called within a `LocalSet`.
     pub fn start(options: ControlPlaneOptions) -> Result<ControlPlane, SettingsError> {
-        let handle = DriverHandle::new(driver_options(&options)?);
-        let driver = handle.clone();
-        let timers = tokio::task::spawn_local(async move { driver.run().await });
-        handle.apply_cached(options.cached_snapshot);
+        let driver = DriverHandle::new(driver_options(&options)?);
+        let running_driver = driver.clone();
+        let timers = tokio::task::spawn_local(async move { running_driver.run().await });
+        driver.apply_cached(options.cached_snapshot);
         let discovery = Discovery::new(DiscoveryOptions {
             addresses: options.discovery,
             deployment: options.deployment,
@@ -57,7 +57,7 @@
             log: options.log,
         });
         Ok(ControlPlane {
-            handle,
+            driver,
             timers,
             discovery,
         })
--- a/balancer/src/control/driver.rs
+++ b/balancer/src/control/driver.rs
@@ -59,8 +59,8 @@
     }
 
     /// Limits the deadline of each request whose body is completed from now on: it is at most `within` from now.
-    pub fn set_response_deadline(&self, within: Duration) {
-        self.0.state.borrow_mut().set_response_deadline(within);
+    pub fn limit_deadlines(&self, within: Duration) {
+        self.0.state.borrow_mut().limit_deadlines(within);
     }
 
     /// Fails each request that waits for its response, because it would not arrive in time. The request may have run.
--- a/balancer/src/control/driver/event_loop.rs
+++ b/balancer/src/control/driver/event_loop.rs
@@ -95,19 +95,19 @@
 
     /// Spawns the task that carries out an attempt and reports its end.
     fn spawn_attempt(&self, state: &DriverState, prepared: &PreparedAttempt) -> AbortHandle {
-        let handle = self.clone();
+        let driver = self.clone();
         let dispatch = state.dispatch().clone();
         let upstream = prepared.upstream.clone();
         let request = prepared.request.clone();
         let id = prepared.id;
         let deadline = prepared.deadline;
         let task = tokio::task::spawn_local(async move {
-            let connected = || handle.0.state.borrow_mut().attempt_connected(id);
-            let response_started = |response| handle.response_started(id, response);
+            let connected = || driver.0.state.borrow_mut().attempt_connected(id);
+            let response_started = |response| driver.response_started(id, response);
             let result = dispatch
                 .attempt(upstream, request, deadline, connected, response_started)
                 .await;
-            handle.attempt_ended(id, result.outcome, result.response);
+            driver.attempt_ended(id, result.outcome, result.response);
         });
         task.abort_handle()
     }
--- a/balancer/src/control/driver/submission.rs
+++ b/balancer/src/control/driver/submission.rs
@@ -9,7 +9,7 @@
 
 /// A request that waits for its final response. Dropping it reports that the client has disconnected.
 pub struct ResponseFuture {
-    handle: DriverHandle,
+    driver: DriverHandle,
     id: RequestId,
     response: oneshot::Receiver<FinalResponse>,
     has_response: bool,
@@ -27,24 +27,24 @@
 impl Drop for ResponseFuture {
     fn drop(&mut self) {
         if !self.has_response {
-            self.handle.client_disconnected(self.id);
+            self.driver.client_disconnected(self.id);
         }
     }
 }
 
 /// Reports the progress of a request's streamed body to the driver.
 struct PendingUpload {
-    handle: DriverHandle,
+    driver: DriverHandle,
     id: RequestId,
 }
 
 impl UploadObserver for PendingUpload {
     fn completed(&self) {
-        self.handle.request_body_complete(self.id);
+        self.driver.request_body_complete(self.id);
     }
 
     fn buffer_released(&self) {
-        self.handle.handle_event(Event::BodyDiscarded(self.id));
+        self.driver.handle_event(Event::BodyDiscarded(self.id));
     }
 }
 
@@ -67,7 +67,7 @@
         let id = submitted.id;
         if let RequestBody::Streamed(upload) = &submitted.request.body {
             upload.observe(Box::new(PendingUpload {
-                handle: self.clone(),
+                driver: self.clone(),
                 id,
             }));
         }
@@ -78,7 +78,7 @@
             deadline: submitted.deadline,
         }));
         Ok(ResponseFuture {
-            handle: self.clone(),
+            driver: self.clone(),
             id,
             response: submitted.response,
             has_response: false,
--- a/balancer/src/control/driver/tests.rs
+++ b/balancer/src/control/driver/tests.rs
@@ -77,9 +77,9 @@
 async fn excludes_connect_time_from_response_time() {
     let test = async {
         let mut listener = FullListener::bind();
-        let handle = driver_with(listener.address());
+        let driver = driver_with(listener.address());
         let start = Instant::now();
-        let _response = handle
+        let _response = driver
             .submit(0, 0, 20_000.0, get_request())
             .expect("is submitted");
         tokio::time::sleep(Duration::from_millis(100)).await;
@@ -95,7 +95,7 @@
         // The attempt is written, and the upstream has not responded yet.
         tokio::time::sleep(Duration::from_millis(50)).await;
         let response_time = {
-            let state = handle.0.state.borrow();
+            let state = driver.0.state.borrow();
             state.any_response_time().expect("an attempt is in flight")
         };
         assert!(
--- a/balancer/src/control/driver_state/requests.rs
+++ b/balancer/src/control/driver_state/requests.rs
@@ -79,7 +79,7 @@
     }
 
     /// Limits the deadline of each request whose body is completed from now on: it is at most `within` from now.
-    pub fn set_response_deadline(&mut self, within: Duration) {
+    pub fn limit_deadlines(&mut self, within: Duration) {
         self.latest_deadline = self.now() + to_millis(within);
     }
 
--- a/balancer/src/hollow.rs
+++ b/balancer/src/hollow.rs
@@ -55,7 +55,7 @@
 
 /// A balancer without sockets to clients and upstreams. It stops when dropped.
 pub struct HollowBalancer {
-    handle: DriverHandle,
+    driver: DriverHandle,
     tasks: [AbortHandle; 2],
     /// The discovery client ends when this is dropped.
     discovery_address: watch::Sender<SocketAddr>,
@@ -83,35 +83,35 @@
             discovery: addresses,
             log: options.log,
         })?;
-        let handle = control_plane.handle;
+        let driver = control_plane.driver;
         let consumer = ObservedConsumer {
-            handle: handle.clone(),
+            driver: driver.clone(),
             on_update,
         };
         let client = tokio::task::spawn_local(control_plane.discovery.run(consumer));
         let tasks = [control_plane.timers.abort_handle(), client.abort_handle()];
         Ok(HollowBalancer {
-            handle,
+            driver,
             tasks,
             discovery_address,
         })
     }
 
     /// Migrates the discovery client to another address, as a reload of the configuration does.
-    pub fn move_discovery(&self, address: SocketAddr) {
+    pub fn migrate_discovery(&self, address: SocketAddr) {
         self.discovery_address.send_replace(address);
     }
 
     /// How many endpoints are listed and avoided. Takes time in proportion to their number.
     pub fn endpoints(&self) -> EndpointCounts {
-        self.handle.endpoint_counts()
+        self.driver.endpoint_counts()
     }
 
     /// Submits a request of a class and tenant, given by their positions in the settings. The endpoint that the decision
     /// module selects serves it at once.
     pub async fn request(&self, class: usize, tenant: usize, deadline: Duration) -> RequestOutcome {
         let submitted = self
-            .handle
+            .driver
             .submit(class, tenant, to_millis(deadline), empty_request());
         let response = match submitted {
             Ok(response) => response.response().await,
@@ -139,17 +139,17 @@
 
 /// Passes updates to the driver and reports those that are in force.
 struct ObservedConsumer<F> {
-    handle: DriverHandle,
+    driver: DriverHandle,
     on_update: F,
 }
 
 impl<F: Fn(AppliedUpdate)> EndpointConsumer for ObservedConsumer<F> {
     async fn poll_requested(&self) {
-        self.handle.poll_requested().await;
+        self.driver.poll_requested().await;
     }
 
     fn apply(&self, update: &EndpointUpdate) {
-        self.handle.apply(update);
+        self.driver.apply(update);
         (self.on_update)(AppliedUpdate {
             version: update.version,
             full: update.full,
@@ -159,15 +159,15 @@
     }
 
     fn endpoints_unchanged(&self) {
-        self.handle.endpoints_unchanged();
+        self.driver.endpoints_unchanged();
     }
 
     fn discovery_migrated(&self) {
-        self.handle.discovery_migrated();
+        self.driver.discovery_migrated();
     }
 
     fn update_failed(&self, failure: CallFailure) {
-        self.handle.update_failed(failure);
+        self.driver.update_failed(failure);
     }
 }
 
--- a/balancer/src/inbound/request_head.rs
+++ b/balancer/src/inbound/request_head.rs
@@ -13,7 +13,7 @@
 const REQUEST_ID_HEADER: &str = "Req-Id";
 const CLASS_HEADER: &str = "Req-Kind";
 const TENANT_HEADER: &str = "Req-Owner";
-const TIMEOUT_HEADER: &str = "Req-Deadline";
+const DEADLINE_HEADER: &str = "Req-Deadline";
 const IDEMPOTENCY_KEY_HEADER: &str = "Idempotency-Key";
 
 /// Class, tenant and timeout of a request.
@@ -58,8 +58,8 @@
         } else {
             listed_position(&deployment.tenants, headers, TENANT_HEADER)?
         };
-        let client_timeout_ms = parse_time_span_ms(single_value(headers, TIMEOUT_HEADER)?)
-            .ok_or(HeadError::Malformed(TIMEOUT_HEADER))?;
+        let client_timeout_ms = parse_time_span_ms(single_value(headers, DEADLINE_HEADER)?)
+            .ok_or(HeadError::Malformed(DEADLINE_HEADER))?;
         let idempotency = deployment.policy.classes[class].idempotency;
         if !matches_idempotency(idempotency, method, headers) {
             return Err(HeadError::ClassMismatch);
--- a/balancer/src/outbound/attempt/tests.rs
+++ b/balancer/src/outbound/attempt/tests.rs
@@ -15,17 +15,17 @@
 /// Longer than the reuse delay of a connection.
 const REUSE_WAIT: Duration = Duration::from_secs(1);
 
-fn connector(sockets: DescriptorBudget) -> Connector {
+fn connector(descriptors: DescriptorBudget) -> Connector {
     Connector::new(
         Duration::from_secs(5),
         Duration::from_secs(60),
-        sockets,
+        descriptors,
         Rc::default(),
     )
 }
 
-fn transport(sockets: DescriptorBudget) -> Transport {
-    Transport::new(connector(sockets), Guard::new(Metrics::new(&[])))
+fn transport(descriptors: DescriptorBudget) -> Transport {
+    Transport::new(connector(descriptors), Guard::new(Metrics::new(&[])))
 }
 
 async fn new_connection(
@@ -277,12 +277,12 @@
 fn reports_a_shortage_of_descriptors_as_not_sent() {
     run_test(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
-        let sockets = DescriptorBudget::new(64);
-        let all: Vec<_> = std::iter::from_fn(|| sockets.try_acquire_upstream()).collect();
+        let descriptors = DescriptorBudget::new(64);
+        let all: Vec<_> = std::iter::from_fn(|| descriptors.try_acquire_upstream()).collect();
         let request = get_request();
         let upstream = Upstream::new(listener.local_addr().expect("an address"));
         let deadline = Instant::now() + Duration::from_secs(5);
-        let result = transport(sockets)
+        let result = transport(descriptors)
             .attempt(upstream, Rc::new(request), deadline, || (), |_| ())
             .await;
         assert_eq!(result.outcome, AttemptOutcome::NotSent);
--- a/balancer/src/outbound/connector.rs
+++ b/balancer/src/outbound/connector.rs
@@ -54,7 +54,7 @@
     dial_timeout: Duration,
     /// Connections are closed after being idle for this long.
     idle_limit: Duration,
-    sockets: DescriptorBudget,
+    descriptors: DescriptorBudget,
     counts: Rc<UpstreamCounts>,
 }
 
@@ -64,7 +64,7 @@
     pub fn new(
         dial_timeout: Duration,
         upstream_idle_timeout: Duration,
-        sockets: DescriptorBudget,
+        descriptors: DescriptorBudget,
         counts: Rc<UpstreamCounts>,
     ) -> Self {
         let idle_limit = upstream_idle_timeout
@@ -73,7 +73,7 @@
         Connector {
             dial_timeout,
             idle_limit,
-            sockets,
+            descriptors,
             counts,
         }
     }
@@ -85,13 +85,14 @@
 
     /// Whether no more sockets may be opened.
     pub fn sockets_exhausted(&self) -> bool {
-        self.sockets.is_exhausted()
+        self.descriptors.is_exhausted()
     }
 
     /// Whether an idle connection to this upstream may be kept. If descriptors are scarce and
     /// surplus data extends the reuse delay, other connections need the descriptor sooner.
     pub fn may_keep_idle(&self, upstream: &Upstream) -> bool {
-        self.sockets.has_headroom() || !upstream.surplus().has_extended_reuse_delay(Instant::now())
+        self.descriptors.has_headroom()
+            || !upstream.surplus().has_extended_reuse_delay(Instant::now())
     }
 
     /// Returns the first connection to the upstream that is available by `deadline`: an idle one,
@@ -145,7 +146,7 @@
     /// Whether an attempt waits for an idle connection to become reusable instead of opening
     /// another.
     fn waits_for_idle(&self, upstream: &Upstream) -> bool {
-        let may_wait = upstream.has_one_connection() || !self.sockets.has_headroom();
+        let may_wait = upstream.has_one_connection() || !self.descriptors.has_headroom();
         may_wait && !upstream.surplus().has_extended_reuse_delay(Instant::now())
     }
 
@@ -158,7 +159,7 @@
         tokio::task::spawn_local(async move {
             let dialled = tokio::select! {
                 dialled = connector.dial(&upstream, deadline) => dialled,
-                () = until_abandoned_without_headroom(&results, &connector.sockets) => return,
+                () = until_abandoned_without_headroom(&results, &connector.descriptors) => return,
             };
             if let Err(SendError(Ok(mut unused))) = results.send(dialled).await {
                 if unused.sender.ready().await.is_ok() {
@@ -171,7 +172,7 @@
     async fn dial(&self, upstream: &Rc<Upstream>, deadline: Instant) -> DialResult {
         // A shortage of descriptors in this process is no evidence of a failure of the upstream.
         let permit = self
-            .sockets
+            .descriptors
             .try_acquire_upstream()
             .ok_or(AttemptOutcome::NotSent)?;
         let generation = upstream.generation();
@@ -243,7 +244,7 @@
     }
 
     fn may_hedge(&self) -> bool {
-        (1..MAX_DIALS).contains(&self.started) && self.connector.sockets.has_headroom()
+        (1..MAX_DIALS).contains(&self.started) && self.connector.descriptors.has_headroom()
     }
 
     fn hedge(&mut self) {
@@ -275,10 +276,10 @@
 /// then to continue it. Never returns otherwise.
 async fn until_abandoned_without_headroom(
     results: &mpsc::Sender<DialResult>,
-    sockets: &DescriptorBudget,
+    descriptors: &DescriptorBudget,
 ) {
     results.closed().await;
-    if sockets.has_headroom() {
+    if descriptors.has_headroom() {
         std::future::pending::<()>().await;
     }
 }
--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -81,7 +81,7 @@
     fn new(config: &Config) -> ProcessContext {
         let metrics = Metrics::new(&config.deployment.classes);
         let admin_descriptors = match config.admin_address {
-            Some(_) => server::DESCRIPTORS,
+            Some(_) => server::MAX_DESCRIPTORS,
             None => 0,
         };
         ProcessContext {
@@ -99,7 +99,7 @@
 struct ServingProcess {
     config: Config,
     context: ProcessContext,
-    handle: DriverHandle,
+    driver: DriverHandle,
     /// Fires the driver's timers; ends only if it fails.
     timers: JoinHandle<()>,
     /// Serves clients until the last connection has ended.
@@ -140,22 +140,22 @@
         let context = ProcessContext::new(&config);
         let (discovery_address, addresses) = watch::channel(config.discovery_address);
         let ControlPlane {
-            handle,
+            driver,
             timers,
             discovery,
         } = start_control_plane(&config, clock, cached_snapshot, addresses, &context)?;
         let reloads = reload_on_signal(reload, discovery_address, context.metrics.clone());
         tokio::task::spawn_local(reloads);
-        tokio::task::spawn_local(discovery.run(handle.clone()));
-        let coordinator = start_admin(&config, admin_listener, &handle, &context)?;
+        tokio::task::spawn_local(discovery.run(driver.clone()));
+        let coordinator = start_admin(&config, admin_listener, &driver, &context)?;
         if let Some(coordinator) = &coordinator {
             tokio::select! {
-                () = coordinator.prepare() => {}
+                () = coordinator.prepare_to_serve() => {}
                 () = shutdown.received() => return Ok(None),
             }
         }
         let shares_address = coordinator.is_some();
-        let (server, address) = start_server(&config, shares_address, &handle, &context).await?;
+        let (server, address) = start_server(&config, shares_address, &driver, &context).await?;
         match &coordinator {
             Some(coordinator) => coordinator.serve().await,
             None => drop(context.phase.send_replace(Phase::Serving)),
@@ -164,7 +164,7 @@
         Ok(Some(ServingProcess {
             config,
             context,
-            handle,
+            driver,
             timers,
             server,
             coordinator,
@@ -179,12 +179,12 @@
             requested_at: Instant::now(),
             schedule: shutdown_schedule(&self.config.deployment),
         };
-        self.handle
-            .set_response_deadline(shutdown.schedule.fail_pending_after);
+        self.driver
+            .limit_deadlines(shutdown.schedule.fail_pending_after);
         shutdown
             .close_connections(self.coordinator.as_deref(), &self.context.phase)
             .await;
-        shutdown.wait_for_clients(&self.handle, self.server).await;
+        shutdown.wait_for_clients(&self.driver, self.server).await;
     }
 }
 
@@ -256,7 +256,7 @@
 fn start_admin(
     config: &Config,
     listener: Option<Listener>,
-    handle: &DriverHandle,
+    driver: &DriverHandle,
     context: &ProcessContext,
 ) -> Result<Option<Rc<ProcessCoordinator>>, ProgramError> {
     let Some(listener) = listener else {
@@ -265,12 +265,12 @@
     let address = listener.local_addr().map_err(ProgramError::AdminAddress)?;
     log_line!("{}: admin endpoint listens on {address}", config.name);
     let overrides = OverrideSync::new(
-        handle.clone(),
+        driver.clone(),
         context.phase.clone(),
         OverrideStore::new(override_directory()),
     );
     let admin = AdminServer::new(AdminOptions {
-        driver: handle.clone(),
+        driver: driver.clone(),
         metrics: context.metrics.clone(),
         phase: context.phase.subscribe(),
         overrides: overrides.clone(),
@@ -278,7 +278,7 @@
     });
     tokio::task::spawn_local(admin.run(listener));
     let coordinator = ProcessCoordinator::new(
-        handle.clone(),
+        driver.clone(),
         context.descriptors.clone(),
         context.phase.clone(),
         overrides,
@@ -306,7 +306,7 @@
 async fn start_server(
     config: &Config,
     shares_address: bool,
-    handle: &DriverHandle,
+    driver: &DriverHandle,
     context: &ProcessContext,
 ) -> Result<(JoinHandle<()>, SocketAddr), ProgramError> {
     let address = config.listen_address;
@@ -318,7 +318,7 @@
     .map_err(failed)?;
     let local_address = listener.local_addr().map_err(failed)?;
     let server = Server::new(
-        handle.clone(),
+        driver.clone(),
         config.deployment.clone(),
         context.descriptors.clone(),
         context.metrics.clone(),
--- a/balancer/src/process/shutdown.rs
+++ b/balancer/src/process/shutdown.rs
@@ -34,7 +34,7 @@
         phase: &watch::Sender<Phase>,
     ) {
         let has_successor = match coordinator {
-            Some(coordinator) => coordinator.succeeded().await,
+            Some(coordinator) => coordinator.check_for_successor().await,
             None => false,
         };
         if has_successor {
@@ -56,14 +56,14 @@
     }
 
     /// Waits until all clients are served, for as long as the schedule allows.
-    pub async fn wait_for_clients(&self, handle: &DriverHandle, server: JoinHandle<()>) {
-        let server = self.run_until_pending_failed(handle, server);
+    pub async fn wait_for_clients(&self, driver: &DriverHandle, server: JoinHandle<()>) {
+        let server = self.run_until_pending_failed(driver, server);
         tokio::pin!(server);
         let exit_at = self.requested_at + self.schedule.exit_after;
         let mut check_at = exit_at;
         while timeout_at(check_at, &mut server).await.is_err() {
             let name = self.name;
-            let active = handle.active_requests();
+            let active = driver.active_requests();
             if active == 0 || check_at >= self.requested_at + MAX_RELAY_PERIOD {
                 log_line!(
                     "{name}: clients are still connected at the end, {active} responses cut off"
@@ -80,13 +80,13 @@
     /// Waits for the server to end. Fails the requests that are pending when their time is over.
     async fn run_until_pending_failed(
         &self,
-        handle: &DriverHandle,
+        driver: &DriverHandle,
         mut server: JoinHandle<()>,
     ) -> Result<(), JoinError> {
         tokio::select! {
             ended = &mut server => return ended,
             () = sleep_until(self.requested_at + self.schedule.fail_pending_after) => {
-                handle.fail_pending();
+                driver.fail_pending();
             }
         }
         server.await
