--- a/balancer-settings/src/conversion.rs
+++ b/balancer-settings/src/conversion.rs
@@ -12,15 +12,15 @@
 
 /// Converts a document. The error names the first invalid key.
 pub(crate) fn to_deployment(setup: Setup) -> Result<Deployment, SettingsParseError> {
-    let policy = to_settings(&setup)?;
+    let core = to_settings(&setup)?;
     let connect_timeout = to_duration(
         "permissions.dial_timeout",
         setup.permissions.connect_timeout,
     )?;
     let drain_grace = to_duration("invariants.drain_grace", setup.invariants.drain_grace)?;
-    policy.validate().map_err(SettingsParseError::Rejected)?;
+    core.validate().map_err(SettingsParseError::Rejected)?;
     Ok(Deployment {
-        policy,
+        core,
         classes: setup.classes.into_iter().map(|class| class.name).collect(),
         tenants: setup
             .tenants
--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Deployment {
     /// The settings of the core.
-    pub policy: Settings,
+    pub core: Settings,
     /// Names of the request classes.
     pub classes: Vec<String>,
     /// Names of the tenants.
@@ -38,7 +38,7 @@
 /// Parses the settings of the core. The error names the missing or invalid key.
 pub fn parse_settings(json: &[u8]) -> Result<Settings, SettingsParseError> {
     let deployment = parse_deployment(json)?;
-    Ok(deployment.policy)
+    Ok(deployment.core)
 }
 
 /// Parses the settings of the `balancer` program. The error names the missing or invalid key.
--- a/balancer/src/admin/server.rs
+++ b/balancer/src/admin/server.rs
@@ -33,7 +33,7 @@
 
 /// What an admin server is built from.
 pub struct AdminOptions {
-    /// The driver of the decision module.
+    /// The driver of the core.
     pub driver: DriverHandle,
     /// The metrics of this process.
     pub metrics: Rc<Metrics>,
--- a/balancer/src/clock.rs
+++ b/balancer/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock of the decision module, and conversions between `Duration` and its milliseconds.
+//! The clock of the core, and conversions between `Duration` and its milliseconds.
 use balancer_core::Millis;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 use tokio::time::Instant;
--- a/balancer/src/control/control_plane.rs
+++ b/balancer/src/control/control_plane.rs
@@ -1,5 +1,5 @@
-//! The control plane of a balancer: the driver of the decision module, and the discovery client that feeds it. It is
-//! the same in the process and in hollow balancers.
+//! The control plane of a balancer: the driver of the core, and the discovery client that feeds it. It is the same in
+//! the process and in hollow balancers.
 use crate::clock::{to_millis, Clock};
 use crate::control::driver::{DriverHandle, DriverOptions};
 use crate::discovery::endpoints::EndpointUpdate;
@@ -17,13 +17,13 @@
 pub struct ControlPlaneOptions<'a> {
     /// The settings.
     pub deployment: &'a Deployment,
-    /// Seeds the decision module's random choices.
+    /// Seeds the core's random choices.
     pub seed: u64,
-    /// The decision module's clock.
+    /// The core's clock.
     pub clock: Clock,
     /// Carries out attempts.
     pub dispatch: Dispatch,
-    /// Checks the decision module's actions.
+    /// Checks the core's actions.
     pub guard: Guard,
     /// The cached snapshot of the endpoints, if there is one.
     pub cached_snapshot: Option<&'a EndpointUpdate>,
@@ -35,7 +35,7 @@
 
 /// A control plane whose timers run. Its discovery client is not started yet.
 pub struct ControlPlane {
-    /// The driver of the decision module.
+    /// The driver of the core.
     pub driver: DriverHandle,
     /// Fires the driver's timers; ends only if it fails.
     pub timers: JoinHandle<()>,
@@ -66,7 +66,7 @@
 
 fn driver_options(options: &ControlPlaneOptions) -> Result<DriverOptions, SettingsError> {
     let deployment = options.deployment;
-    let settings = socket_settings(&deployment.policy);
+    let settings = socket_settings(&deployment.core);
     let idempotency_by_class = settings
         .classes
         .iter()
@@ -87,10 +87,10 @@
     })
 }
 
-/// The settings of the decision module for a balancer on sockets. The acknowledge timeout in the settings is
-/// that of the simulator; on sockets discovery counts a change as acknowledged sooner.
-fn socket_settings(policy: &Settings) -> Settings {
-    let mut settings = policy.clone();
+/// The settings of the core for a balancer on sockets. The acknowledge timeout in the settings is that of the
+/// simulator; on sockets discovery counts a change as acknowledged sooner.
+fn socket_settings(core: &Settings) -> Settings {
+    let mut settings = core.clone();
     settings.poll_acknowledge_timeout = settings
         .poll_acknowledge_timeout
         .min(to_millis(POLL_ACKNOWLEDGE_TIMEOUT));
--- a/balancer/src/control/driver.rs
+++ b/balancer/src/control/driver.rs
@@ -1,7 +1,7 @@
-//! The driver: the sole owner of the decision module.
+//! The driver: the sole owner of the core.
 //!
-//! It passes events to the decision module in order and carries out its actions. It also keeps the module's clock, its
-//! timers, and the ids of requests and attempts. It makes no decisions itself.
+//! It passes events to the core in order and carries out its actions. It also keeps the core's clock, its timers, and
+//! the ids of requests and attempts. It makes no decisions itself.
 use crate::control::driver_state::DriverState;
 use crate::discovery::endpoints::{upstream_id, EndpointUpdate};
 use crate::telemetry::metrics::Gauges;
@@ -22,7 +22,7 @@
     state: RefCell<DriverState>,
     /// Notified when a timer is set.
     timers_changed: Notify,
-    /// Notified when the decision module requests a poll of the endpoints.
+    /// Notified when the core requests a poll of the endpoints.
     poll_requested: Notify,
     /// Notified when discovery has updated or confirmed the endpoints.
     discovery_responded: Notify,
@@ -43,7 +43,7 @@
         }))
     }
 
-    /// The decision module's time, in milliseconds since the Unix epoch.
+    /// The core's time, in milliseconds since the Unix epoch.
     pub fn now(&self) -> Millis {
         self.0.state.borrow().now()
     }
@@ -82,7 +82,7 @@
         self.0.discovery_responded.notified().await;
     }
 
-    /// Applies the cached snapshot of the endpoints. Without one, the decision module receives an empty snapshot.
+    /// Applies the cached snapshot of the endpoints. Without one, the core receives an empty snapshot.
     pub fn apply_cached(&self, snapshot: Option<&EndpointUpdate>) {
         let members = snapshot
             .iter()
--- a/balancer/src/control/driver/endpoint_updates.rs
+++ b/balancer/src/control/driver/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Passes what the discovery client reports to the decision module.
+//! Passes what the discovery client reports to the core.
 use super::DriverHandle;
 use crate::discovery::consumer::{CallFailure, EndpointConsumer};
 use crate::discovery::endpoints::EndpointUpdate;
--- a/balancer/src/control/driver/event_loop.rs
+++ b/balancer/src/control/driver/event_loop.rs
@@ -1,4 +1,4 @@
-//! Passes events to the decision module and carries out its actions.
+//! Passes events to the core and carries out its actions.
 use super::DriverHandle;
 use crate::control::attempt_id::AttemptId;
 use crate::control::driver_state::attempt_lifecycle::PreparedAttempt;
@@ -32,7 +32,7 @@
             return;
         };
         match event {
-            TimerEvent::DecisionModule(token) => self.handle_event(Event::Timer(token)),
+            TimerEvent::CoreTimer(token) => self.handle_event(Event::Timer(token)),
             TimerEvent::AttemptTimeout(id) => {
                 self.attempt_ended(id, AttemptOutcome::Timeout, None);
             }
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Passes an event to the decision module, then carries out its actions and those of the events that they cause.
+    /// Passes an event to the core, then carries out its actions and those of the events that they cause.
     pub(super) fn handle_event(&self, event: Event) {
         let mut state = self.0.state.borrow_mut();
         state.push_event(event);
@@ -86,7 +86,7 @@
             Action::CloseIdleConnections(upstream) => state.close_idle_connections(upstream),
             Action::PollEndpoints => self.0.poll_requested.notify_one(),
             Action::SetTimer { after, token } => {
-                state.set_decision_timer(after, token);
+                state.set_core_timer(after, token);
                 self.0.timers_changed.notify_one();
             }
             Action::Log(line) => state.log().write_line(&line),
--- a/balancer/src/control/driver/tests.rs
+++ b/balancer/src/control/driver/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the response times that the driver reports to the decision module, with real connections.
+//! Tests of the response times that the driver reports to the core, with real connections.
 use super::*;
 use crate::clock::Clock;
 use crate::discovery::consumer::EndpointConsumer;
--- a/balancer/src/control/driver_options.rs
+++ b/balancer/src/control/driver_options.rs
@@ -8,9 +8,9 @@
 
 /// What a driver is built from.
 pub struct DriverOptions {
-    /// The decision module.
+    /// The core.
     pub balancer: Balancer,
-    /// The decision module's clock.
+    /// The core's clock.
     pub clock: Clock,
     /// Carries out attempts.
     pub dispatch: Dispatch,
@@ -22,8 +22,8 @@
     pub idempotency_by_class: Vec<Idempotency>,
     /// Whether upstreams also reject requests that they have started to process.
     pub rejects_after_start: bool,
-    /// Checks the decision module's actions.
+    /// Checks the core's actions.
     pub guard: Guard,
-    /// Receives the decision module's log lines.
+    /// Receives the core's log lines.
     pub log: LogOutput,
 }
--- a/balancer/src/control/driver_state.rs
+++ b/balancer/src/control/driver_state.rs
@@ -1,4 +1,4 @@
-//! The driver's state: the decision module, the pending requests, the attempts in flight, the timers and the endpoints.
+//! The driver's state: the core, the pending requests, the attempts in flight, the timers and the endpoints.
 //!
 //! Each method keeps these tables consistent with one another. None of them makes a decision.
 use crate::clock::Clock;
@@ -33,7 +33,7 @@
     attempts: Attempts,
     endpoints: EndpointTable,
     timers: TimerQueue,
-    /// Events that the decision module has not handled yet.
+    /// Events that the core has not handled yet.
     events: VecDeque<Event>,
 }
 
@@ -57,17 +57,17 @@
         }
     }
 
-    /// The decision module's time.
+    /// The core's time.
     pub fn now(&self) -> Millis {
         self.clock.now()
     }
 
-    /// Adds an event to those that the decision module has not handled yet.
+    /// Adds an event to those that the core has not handled yet.
     pub fn push_event(&mut self, event: Event) {
         self.events.push_back(event);
     }
 
-    /// Passes the next event to the decision module and adds its actions to `actions`. Returns whether there was one.
+    /// Passes the next event to the core and adds its actions to `actions`. Returns whether there was one.
     pub fn handle_next_event(&mut self, actions: &mut Vec<Action>) -> bool {
         let Some(event) = self.events.pop_front() else {
             return false;
--- a/balancer/src/control/driver_state/attempt_lifecycle.rs
+++ b/balancer/src/control/driver_state/attempt_lifecycle.rs
@@ -33,8 +33,8 @@
 }
 
 impl DriverState {
-    /// Prepares an attempt that the decision module wants started. A `timeout_ms` of zero means that the attempt
-    /// has no limit of its own. If it cannot start, this queues the events that report it, and returns `None`.
+    /// Prepares an attempt that the core wants started. A `timeout_ms` of zero means that the attempt has no limit of
+    /// its own. If it cannot start, this queues the events that report it, and returns `None`.
     pub fn prepare_attempt(
         &mut self,
         request: RequestId,
@@ -76,7 +76,7 @@
         let pending = self.pending.get_mut(request)?;
         let number = pending.attempts_started();
         if pending.attempt_started(&self.guard).is_err() {
-            // The decision module's view of this request is wrong. The request ends here.
+            // The core's view of this request is wrong. The request ends here.
             self.push_event(Event::ClientDisconnected(request));
             self.respond(request, FinalResponse::Failed);
             return None;
@@ -159,8 +159,8 @@
         true
     }
 
-    /// Ends an attempt: stops its task, which closes its connection, and queues the event for the decision module. Only
-    /// the first end counts. Returns whether the attempt was in flight.
+    /// Ends an attempt: stops its task, which closes its connection, and queues the event for the core. Only the first
+    /// end counts. Returns whether the attempt was in flight.
     pub fn attempt_ended(
         &mut self,
         id: AttemptId,
--- a/balancer/src/control/driver_state/requests.rs
+++ b/balancer/src/control/driver_state/requests.rs
@@ -114,7 +114,7 @@
 
     /// The client has disconnected. Returns whether its request still waited for a response.
     pub fn client_disconnected(&mut self, id: RequestId) -> bool {
-        // For the decision module, a request that was answered at the same moment has already ended.
+        // For the core, a request that was answered at the same moment has already ended.
         let was_waiting = self
             .pending
             .get_mut(id)
@@ -126,7 +126,7 @@
         was_waiting
     }
 
-    /// Answers a request as the decision module requested. The guard may replace a rejection by a failure.
+    /// Answers a request as the core requested. The guard may replace a rejection by a failure.
     pub fn respond(&mut self, id: RequestId, response: FinalResponse) {
         let now = self.now();
         tracing::debug!(request = id.0, answer = ?response, "request answered");
--- a/balancer/src/control/driver_state/timers.rs
+++ b/balancer/src/control/driver_state/timers.rs
@@ -7,7 +7,7 @@
 
 /// How often connections that have been idle for too long are closed.
 const IDLE_CONNECTION_CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Longest timer that the decision module may set; longer ones fire after this time.
+/// Longest timer that the core may set; longer ones fire after this time.
 const MAX_TIMER_MS: Millis = 71.0 * 60_000.0;
 
 impl DriverState {
@@ -21,11 +21,11 @@
         self.timers.pop_next()
     }
 
-    /// Sets a timer of the decision module.
-    pub fn set_decision_timer(&mut self, after: Millis, token: u32) {
+    /// Sets a timer of the core.
+    pub fn set_core_timer(&mut self, after: Millis, token: u32) {
         let after = Duration::from_secs_f64(after.clamp(0.0, MAX_TIMER_MS) / 1000.0);
         self.timers
-            .set(Instant::now() + after, TimerEvent::DecisionModule(token));
+            .set(Instant::now() + after, TimerEvent::CoreTimer(token));
     }
 
     /// Sets the timer for the next check of idle connections, if there can be connections.
--- a/balancer/src/control/pending_requests.rs
+++ b/balancer/src/control/pending_requests.rs
@@ -108,8 +108,7 @@
         self.history.attempt_ended(started_at, never_ran);
     }
 
-    /// Checks a response that the decision module requests now. Returns the response to give, another one if the guard
-    /// denies it.
+    /// Checks a response that the core requests now. Returns the response to give, another one if the guard denies it.
     pub fn check_response(
         &self,
         response: FinalResponse,
--- a/balancer/src/control/timers.rs
+++ b/balancer/src/control/timers.rs
@@ -6,8 +6,8 @@
 /// What happens when a timer fires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TimerEvent {
-    /// The decision module receives the token that it set the timer with.
-    DecisionModule(u32),
+    /// The core receives the token that it set the timer with.
+    CoreTimer(u32),
     /// The attempt has timed out.
     AttemptTimeout(AttemptId),
     /// Connections that have been idle for too long are closed.
--- a/balancer/src/discovery/call_timeouts.rs
+++ b/balancer/src/discovery/call_timeouts.rs
@@ -4,8 +4,8 @@
 /// A change at discovery counts as notified this long after discovery could be reached. Whatever precedes it (a call
 /// without response, a malformed response, a pause), the next complete call has to end within this time.
 pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// The decision module lets up to a third of this pass between two failed calls, so that both calls and the next one
-/// fit into [`NOTIFICATION_DEADLINE`].
+/// The core lets up to a third of this pass between two failed calls, so that both calls and the next one fit into
+/// [`NOTIFICATION_DEADLINE`].
 pub const POLL_ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(3);
 const _: () = assert!(
     NOTIFICATION_DEADLINE.as_millis() == 2 * POLL_ACKNOWLEDGE_TIMEOUT.as_millis(),
@@ -17,7 +17,7 @@
 pub enum UpdateMode {
     /// An agent on this machine receives updates. The balancer keeps a watch open at the agent at all times.
     Pushed,
-    /// Discovery has to be polled when the decision module requests it.
+    /// Discovery has to be polled when the core requests it.
     Polled,
 }
 
@@ -71,7 +71,7 @@
     };
     /// Polled discovery serves all balancers from one queue. The first call of a watch waits in that queue; abandoning
     /// it early wastes the work done for it, and if every balancer did so, discovery would serve nobody. A broken
-    /// watch, the longest first pause of the decision module (0.4 s) and a call in the queue take 5.7 s of
+    /// watch, the longest first pause of the core (0.4 s) and a call in the queue take 5.7 s of
     /// [`NOTIFICATION_DEADLINE`]; two calls in the queue with that pause between them take 6 s.
     const POLLED: CallTimeouts = CallTimeouts {
         long_poll_timeout: Duration::from_millis(1500),
--- a/balancer/src/discovery/endpoints.rs
+++ b/balancer/src/discovery/endpoints.rs
@@ -32,7 +32,7 @@
     },
 }
 
-/// Names of zones and machine kinds. The decision module knows each by its position.
+/// Names of zones and machine kinds. The core knows each by its position.
 #[derive(Clone, Debug)]
 pub struct TopologyNames {
     zones: Vec<String>,
@@ -126,7 +126,7 @@
 /// One endpoint of an update.
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
-    /// The endpoint as the decision module knows it.
+    /// The endpoint as the core knows it.
     pub member: Endpoint,
     /// The address at which this balancer reaches it.
     pub address: SocketAddr,
@@ -159,7 +159,7 @@
         })
     }
 
-    /// The endpoints as the decision module receives them.
+    /// The endpoints as the core receives them.
     pub fn members(&self) -> impl Iterator<Item = Endpoint> + '_ {
         self.endpoints
             .iter()
@@ -167,8 +167,8 @@
     }
 }
 
-/// The id of an upstream: a hash (FNV-1a) of its name, the same at every balancer. The decision module spreads the
-/// balancers over the upstreams by a ring of these ids; ids in order of arrival would overload some upstreams.
+/// The id of an upstream: a hash (FNV-1a) of its name, the same at every balancer. The core spreads the balancers over
+/// the upstreams by a ring of these ids; ids in order of arrival would overload some upstreams.
 pub fn upstream_id(name: &str) -> UpstreamId {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0000_0100_0000_01b3;
--- a/balancer/src/discovery/watch.rs
+++ b/balancer/src/discovery/watch.rs
@@ -1,7 +1,7 @@
 //! The watch that keeps the endpoint list up to date.
 //!
-//! The decision module decides when to poll ([`balancer_core::Action::PollEndpoints`]); the consumer of the updates
-//! passes the request on. An established watch is kept open here without further requests.
+//! The core decides when to poll ([`balancer_core::Action::PollEndpoints`]); the consumer of the updates passes the
+//! request on. An established watch is kept open here without further requests.
 use crate::discovery::call_timeouts::{CallKind, CallLimits, CallTimeouts, UpdateMode};
 use crate::discovery::client::{CallError, DiscoveryClient};
 use crate::discovery::consumer::{CallFailure, EndpointConsumer};
@@ -29,7 +29,7 @@
 enum Migration {
     /// The new address has responded with a list.
     Completed,
-    /// The new address has rejected the call. The decision module decides when to poll again.
+    /// The new address has rejected the call. The core decides when to poll again.
     Rejected,
 }
 
@@ -64,7 +64,7 @@
     /// A client that has not connected yet.
     pub fn new(options: DiscoveryOptions) -> Discovery {
         let deployment = options.deployment;
-        let mode = if deployment.policy.poll_endpoints {
+        let mode = if deployment.core.poll_endpoints {
             UpdateMode::Polled
         } else {
             UpdateMode::Pushed
@@ -164,7 +164,7 @@
     }
 
     /// Calls a new address until it responds. If polled discovery rejects the call, it is busy with a fleet of
-    /// balancers that migrated together, and the decision module decides when to poll again.
+    /// balancers that migrated together, and the core decides when to poll again.
     async fn complete_migration(&mut self, consumer: &impl EndpointConsumer) -> Migration {
         consumer.discovery_migrated();
         let mut backoff = INITIAL_MIGRATION_BACKOFF;
--- a/balancer/src/hollow.rs
+++ b/balancer/src/hollow.rs
@@ -34,7 +34,7 @@
     pub discovery: SocketAddr,
     /// The cached snapshot of the endpoints, if there is one. The balancer then fetches only what is newer.
     pub cached_snapshot: Option<&'a EndpointUpdate>,
-    /// Seeds the decision module's random choices.
+    /// Seeds the core's random choices.
     pub seed: u64,
     /// Receives log lines.
     pub log: LogOutput,
@@ -49,7 +49,7 @@
     pub full: bool,
     /// How many endpoints it held.
     pub endpoints: usize,
-    /// When it was in force, that is, the decision module and the endpoint state had applied it.
+    /// When it was in force, that is, the core and the endpoint state had applied it.
     pub applied_at: SystemTime,
 }
 
@@ -107,8 +107,8 @@
         self.driver.endpoint_counts()
     }
 
-    /// Submits a request of a class and tenant, given by their positions in the settings. The endpoint that the decision
-    /// module selects serves it at once.
+    /// Submits a request of a class and tenant, given by their positions in the settings. The endpoint that the core
+    /// selects serves it at once.
     pub async fn request(&self, class: usize, tenant: usize, deadline: Duration) -> RequestOutcome {
         let submitted = self
             .driver
--- a/balancer/src/inbound/request_head.rs
+++ b/balancer/src/inbound/request_head.rs
@@ -60,7 +60,7 @@
         };
         let client_timeout_ms = parse_time_span_ms(single_value(headers, DEADLINE_HEADER)?)
             .ok_or(HeadError::Malformed(DEADLINE_HEADER))?;
-        let idempotency = deployment.policy.classes[class].idempotency;
+        let idempotency = deployment.core.classes[class].idempotency;
         if !matches_idempotency(idempotency, method, headers) {
             return Err(HeadError::ClassMismatch);
         }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,15 +1,15 @@
-//! A load balancer that runs the decision module `balancer_core` on real sockets.
+//! A load balancer that runs the core, `balancer_core`, on real sockets.
 //!
 //! [`process`] is the balancer as a process. [`hollow`] runs many balancers without traffic in one process, to measure
 //! the cost of the endpoint list and the time that a change of it takes. Both start the same control plane: the driver
-//! of the decision module, and the discovery client.
+//! of the core, and the discovery client.
 //!
 //! | module | contents |
 //! | --- | --- |
 //! | `process` | start-up, signals, shutdown, configuration |
 //! | `admin` | the admin server, administrative overrides, handoff between processes |
 //! | `inbound` | clients' connections, requests and responses |
-//! | `control` | the driver of the decision module and its tables |
+//! | `control` | the driver of the core and its tables |
 //! | `outbound` | endpoints, connections to upstreams, attempts |
 //! | `discovery` | the discovery client and endpoint lists |
 //! | `invariants` | the guard that checks what must always hold, before an attempt starts, is written or is answered |
--- a/balancer/src/process/config.rs
+++ b/balancer/src/process/config.rs
@@ -78,14 +78,14 @@
     pub discovery_address: SocketAddr,
     /// Where operators connect; `None` for no admin server.
     pub admin_address: Option<SocketAddr>,
-    /// Seeds the decision module's random choices.
+    /// Seeds the core's random choices.
     pub seed: u64,
     /// Most file descriptors that the process may hold.
     pub max_descriptors: usize,
     /// The last endpoint list of this balancer, if any. It only saves time, so a malformed list does not keep the
     /// balancer from starting.
     pub cached_snapshot: Result<Option<EndpointUpdate>, EndpointListError>,
-    /// The settings of the decision module and of the sockets.
+    /// The settings of the core and of the sockets.
     pub deployment: Deployment,
 }
 
--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -202,7 +202,7 @@
 
 fn shutdown_schedule(deployment: &Deployment) -> ShutdownSchedule {
     let longest_deadline = deployment
-        .policy
+        .core
         .classes
         .iter()
         .map(|class| class.deadline)
@@ -233,7 +233,7 @@
 fn transport(deployment: &Deployment, context: &ProcessContext) -> Transport {
     let connector = Connector::new(
         deployment.connect_timeout,
-        from_millis(deployment.policy.idle_close.min(MAX_SETTING_MS)),
+        from_millis(deployment.core.idle_close.min(MAX_SETTING_MS)),
         context.descriptors.clone(),
         context.metrics.upstreams().clone(),
     );
@@ -274,7 +274,7 @@
         metrics: context.metrics.clone(),
         phase: context.phase.subscribe(),
         overrides: overrides.clone(),
-        slow_start_duration: config.deployment.policy.slow_start_duration,
+        slow_start_duration: config.deployment.core.slow_start_duration,
     });
     tokio::task::spawn_local(admin.run(listener));
     let coordinator = ProcessCoordinator::new(
@@ -288,7 +288,7 @@
 }
 
 fn endpoint_list_timeout(deployment: &Deployment) -> Duration {
-    if deployment.policy.poll_endpoints {
+    if deployment.core.poll_endpoints {
         POLLED_LIST_TIMEOUT
     } else {
         PUSHED_LIST_TIMEOUT
--- a/balancer/src/process/program_error.rs
+++ b/balancer/src/process/program_error.rs
@@ -18,7 +18,7 @@
     /// The configuration was not loaded.
     #[error("{0}")]
     Config(#[from] ConfigLoadError),
-    /// The decision module does not accept the settings.
+    /// The core does not accept the settings.
     #[error("{0}")]
     Settings(#[from] SettingsError),
     /// The admin server cannot listen.
