--- a/balancer/src/admin/disk_worker.rs
+++ b/balancer/src/admin/disk_worker.rs
@@ -49,7 +49,7 @@
 /// Opens a pipe. The event loop watches the reader, and a job holds the writer open.
 fn open_pipe() -> io::Result<(WatchedDescriptor<PipeReader>, PipeWriter)> {
     let (reader, writer) = io::pipe()?;
-    Ok((WatchedDescriptor::new(reader)?, writer))
+    Ok((WatchedDescriptor::register_for_reading(reader)?, writer))
 }
 
 /// Starts a thread and passes it the job. If no thread can be started, the job stays in `job`.
--- a/balancer/src/admin/server.rs
+++ b/balancer/src/admin/server.rs
@@ -3,7 +3,7 @@
 use crate::admin::override_sync::OverrideSync;
 use crate::admin::response::{to_wire, AdminError, AdminResponse};
 use crate::control::driver::DriverHandle;
-use crate::net::listener::{register_when_possible, Listener};
+use crate::net::listener::{register_accepted, Listener};
 use crate::net::socket_io::Socket;
 use crate::phase::Phase;
 use crate::telemetry::metrics::Metrics;
@@ -91,7 +91,7 @@
     }
 
     async fn serve_connection(self: Rc<AdminServer>, stream: TcpStream) {
-        let Some(stream) = register_when_possible(stream).await else {
+        let Some(stream) = register_accepted(stream).await else {
             return;
         };
         let mut stream = Socket::new(stream);
--- a/balancer/src/control/driver_state/attempt_lifecycle.rs
+++ b/balancer/src/control/driver_state/attempt_lifecycle.rs
@@ -114,7 +114,7 @@
 
     /// Closes an idle connection if an attempt to `upstream` needs a new descriptor and none is free.
     fn free_descriptor_for(&self, upstream: &Upstream) {
-        if self.dispatch.sockets_exhausted() && !upstream.has_usable_idle(Instant::now()) {
+        if self.dispatch.descriptors_exhausted() && !upstream.has_reusable_idle(Instant::now()) {
             self.endpoints.close_oldest_idle();
         }
     }
--- a/balancer/src/control/driver_state/endpoints.rs
+++ b/balancer/src/control/driver_state/endpoints.rs
@@ -33,21 +33,21 @@
     pub fn apply_endpoints(&mut self, update: &EndpointUpdate, full: bool) {
         self.endpoints
             .apply(update, full, |id| self.balancer.is_suspended(id));
-        for id in self.endpoints.removed() {
+        for id in self.endpoints.gone_endpoints() {
             self.forget_endpoint_if_unused(id);
         }
     }
 
     /// Forgets an endpoint that is no longer listed and has no attempt in flight.
     pub(super) fn forget_endpoint_if_unused(&mut self, id: UpstreamId) {
-        if self.endpoints.is_removed(id) && !self.attempts.has_attempt_to(id) {
+        if self.endpoints.is_gone(id) && !self.attempts.has_attempt_to(id) {
             self.endpoints.forget(id);
         }
     }
 
     /// How many upstreams have connections that carry only one request each.
     pub fn single_use_upstreams(&self) -> usize {
-        self.endpoints.single_use_count()
+        self.endpoints.suspect_count()
     }
 
     /// Closes the idle connections of an endpoint.
--- a/balancer/src/hollow.rs
+++ b/balancer/src/hollow.rs
@@ -77,7 +77,7 @@
             deployment: options.deployment,
             seed: options.seed,
             clock: Clock::start(),
-            dispatch: Dispatch::Hollow,
+            dispatch: Dispatch::Simulated,
             guard: Guard::new(Metrics::new(&options.deployment.classes)),
             cached_snapshot: options.cached_snapshot,
             discovery: addresses,
--- a/balancer/src/inbound/connection_task.rs
+++ b/balancer/src/inbound/connection_task.rs
@@ -135,7 +135,7 @@
 fn is_closable(connection: &ClientConnection) -> bool {
     connection.is_idle()
         && !connection.tracker().is_mid_head()
-        && connection.stream().is_open_and_drained()
+        && connection.stream().is_open_without_unread_bytes()
 }
 
 /// Counts a connection as closed, and reports a request on it that the balancer has left without a
--- a/balancer/src/inbound/request_handler.rs
+++ b/balancer/src/inbound/request_handler.rs
@@ -198,7 +198,7 @@
     let stream = connection.stream();
     let ends_now = context.closes_connections()
         && !connection.tracker().has_pending_input()
-        && stream.is_open_and_drained();
+        && stream.is_open_without_unread_bytes();
     let ends_connection = ends_now || stream.peer_disconnected();
     if drains_before_close || reply.closes_connection || ends_connection {
         response
--- a/balancer/src/inbound/server.rs
+++ b/balancer/src/inbound/server.rs
@@ -6,7 +6,7 @@
 use crate::inbound::context::ServerContext;
 use crate::invariants::Guard;
 use crate::net::descriptor_budget::{is_resource_shortage, ConnectionPermit, DescriptorBudget};
-use crate::net::listener::{register_when_possible, Listener};
+use crate::net::listener::{register_accepted, Listener};
 use crate::net::tcp_stream::TcpStream;
 use crate::phase::Phase;
 use crate::telemetry::log::log_line;
@@ -64,7 +64,7 @@
         let queue_delay = AcceptLoop::new(&context, &listener).run().await;
         accept_remaining(&context, listener, queue_delay).await;
         context.is_listening.set(false);
-        context.descriptors.all_clients_closed().await;
+        context.descriptors.wait_until_clients_closed().await;
     }
 }
 
@@ -230,11 +230,11 @@
             serve_registered(context.clone(), registered, permit, arrived_at);
             return;
         }
-        Err(failed) => failed.descriptor,
+        Err(failed) => failed.owner,
     };
     let context = context.clone();
     tokio::task::spawn_local(async move {
-        if let Some(registered) = register_when_possible(unregistered).await {
+        if let Some(registered) = register_accepted(unregistered).await {
             serve_registered(context, registered, permit, arrived_at);
         }
     });
--- a/balancer/src/net/descriptor_budget.rs
+++ b/balancer/src/net/descriptor_budget.rs
@@ -9,7 +9,7 @@
 /// are closing.
 const RESERVED_DESCRIPTORS: usize = 24;
 /// Largest budget, in connections.
-const MAX_BUDGET: u32 = 1 << 20;
+const MAX_CONNECTIONS: u32 = 1 << 20;
 
 /// `errno` values of Linux that mean a shortage of resources on this machine.
 const ENOMEM: i32 = 12;
@@ -46,7 +46,7 @@
     pub fn new(descriptors: usize) -> DescriptorBudget {
         let max_connections = u32::try_from(descriptors.saturating_sub(RESERVED_DESCRIPTORS))
             .unwrap_or(u32::MAX)
-            .min(MAX_BUDGET);
+            .min(MAX_CONNECTIONS);
         let max_clients = max_connections / 4 * 3;
         DescriptorBudget {
             connections: Arc::new(Semaphore::new(max_connections as usize)),
@@ -86,7 +86,7 @@
         let client = self.clients.clone().try_acquire_owned().ok()?;
         Some(ConnectionPermit {
             _client: client,
-            _connection: self.try_acquire_upstream()?,
+            _connection: self.try_acquire_connection()?,
         })
     }
 
@@ -101,12 +101,12 @@
     }
 
     /// A permit for a connection to an upstream, if one is free.
-    pub fn try_acquire_upstream(&self) -> Option<OwnedSemaphorePermit> {
+    pub fn try_acquire_connection(&self) -> Option<OwnedSemaphorePermit> {
         self.connections.clone().try_acquire_owned().ok()
     }
 
     /// Whether more than a quarter of the budget is free.
-    pub fn has_headroom(&self) -> bool {
+    pub fn has_spare_permits(&self) -> bool {
         self.connections.available_permits() > self.max_connections as usize / 4
     }
 
@@ -117,7 +117,7 @@
 
     /// Waits until no client is connected. Takes back a yielded half first, so that only permits of
     /// clients are awaited.
-    pub async fn all_clients_closed(&self) {
+    pub async fn wait_until_clients_closed(&self) {
         self.reclaim();
         let _all = self.clients.acquire_many(self.max_clients).await;
     }
--- a/balancer/src/net/descriptor_budget/tests.rs
+++ b/balancer/src/net/descriptor_budget/tests.rs
@@ -13,7 +13,7 @@
     budget.yield_half().await;
     let clients = acquire_all_clients(&budget);
     assert_eq!(clients.len(), 15);
-    let upstreams: Vec<_> = std::iter::from_fn(|| budget.try_acquire_upstream()).collect();
+    let upstreams: Vec<_> = std::iter::from_fn(|| budget.try_acquire_connection()).collect();
     assert_eq!(upstreams.len(), 5);
     drop(upstreams);
     budget.reclaim();
--- a/balancer/src/net/listener.rs
+++ b/balancer/src/net/listener.rs
@@ -27,7 +27,9 @@
         }
         socket.bind(&address.into())?;
         socket.listen(LISTEN_BACKLOG)?;
-        Ok(Listener(WatchedDescriptor::new(socket.into())?))
+        Ok(Listener(WatchedDescriptor::register_for_reading(
+            socket.into(),
+        )?))
     }
 
     /// The address that it listens on.
@@ -60,19 +62,19 @@
 
 /// Registers an accepted connection with the event loop, and retries until that succeeds. `None` if
 /// the client disconnects before.
-pub async fn register_when_possible(mut stream: std::net::TcpStream) -> Option<TcpStream> {
+pub async fn register_accepted(mut stream: std::net::TcpStream) -> Option<TcpStream> {
     loop {
         match TcpStream::register(stream) {
             Ok(registered) => return Some(registered),
-            Err(failed) if has_disconnected(&failed.descriptor) => return None,
-            Err(failed) => stream = failed.descriptor,
+            Err(failed) if has_ended_without_unread_bytes(&failed.owner) => return None,
+            Err(failed) => stream = failed.owner,
         }
         sleep(REGISTRATION_RETRY_DELAY).await;
     }
 }
 
 /// Whether the client has disconnected and has left no unread bytes.
-fn has_disconnected(stream: &std::net::TcpStream) -> bool {
+fn has_ended_without_unread_bytes(stream: &std::net::TcpStream) -> bool {
     use io::ErrorKind::{Interrupted, WouldBlock};
     match stream.peek(&mut [0]) {
         Ok(unread) => unread == 0,
--- a/balancer/src/net/listener/tests.rs
+++ b/balancer/src/net/listener/tests.rs
@@ -9,13 +9,13 @@
 }
 
 #[tokio::test]
-async fn accepts_a_connection_that_registers_with_the_loop() {
+async fn accepts_a_connection_and_registers_it_with_the_event_loop() {
     let listener = Listener::bind(loopback(), false).expect("listens");
     let address = listener.local_addr().expect("an address");
     let mut client = std::net::TcpStream::connect(address).expect("connects");
     client.write_all(b"x").expect("writes");
     let accepted = listener.accept().await.expect("accepts");
-    let registered = register_when_possible(accepted).await.expect("is open");
+    let registered = register_accepted(accepted).await.expect("is open");
     let mut socket = Socket::new(registered);
     assert_eq!(socket.read(&mut [0; 2]).await.expect("one byte"), 1);
 }
@@ -23,17 +23,21 @@
 /// Guards against dropping a request whose client half-closes its connection before it is
 /// registered.
 #[test]
-fn distinguishes_a_disconnected_client_from_one_that_left_a_request() {
+fn distinguishes_a_disconnected_client_from_one_whose_request_is_unread() {
     let listener = TcpListener::bind(loopback()).expect("listens");
     let address = listener.local_addr().expect("an address");
-    for (request, has_left) in [("", true), ("GET", false)] {
+    for (request, has_ended) in [("", true), ("GET", false)] {
         let mut client = std::net::TcpStream::connect(address).expect("connects");
         let accepted = listener.accept().expect("accepts").0;
         accepted.set_nonblocking(true).expect("a socket");
-        assert!(!has_disconnected(&accepted));
+        assert!(!has_ended_without_unread_bytes(&accepted));
         client.write_all(request.as_bytes()).expect("writes");
         drop(client);
         std::thread::sleep(REGISTRATION_RETRY_DELAY);
-        assert_eq!(has_disconnected(&accepted), has_left, "{request:?}");
+        assert_eq!(
+            has_ended_without_unread_bytes(&accepted),
+            has_ended,
+            "{request:?}"
+        );
     }
 }
--- a/balancer/src/net/received_bytes/tests.rs
+++ b/balancer/src/net/received_bytes/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn the_same_bytes_again_are_a_copy() {
+fn the_same_bytes_again_are_a_duplicate() {
     assert!(received(b"one", b"one").is_response_repeated());
     assert!(received(b"one", b"oneone").is_response_repeated());
     let at_once = received(b"oneone", b"");
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn other_bytes_are_no_copy() {
+fn other_bytes_are_no_duplicate() {
     for (response, further) in [
         (&b"one"[..], &b""[..]),
         (b"one", b"two"),
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn a_response_too_long_to_record_is_no_copy() {
+fn a_response_too_long_to_record_is_no_duplicate() {
     let long = vec![b'x'; MAX_RECORDED_BYTES + 1];
     assert!(!received(&long, &long).is_response_repeated());
     let half = vec![b'x'; MAX_RECORDED_BYTES / 2];
--- a/balancer/src/net/retry_io.rs
+++ b/balancer/src/net/retry_io.rs
@@ -11,11 +11,11 @@
 /// the last result.
 pub async fn retry_io<T>(
     limit: Duration,
-    mut attempt: impl FnMut() -> io::Result<T>,
+    mut call: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
     let deadline = Instant::now() + limit;
     loop {
-        match attempt() {
+        match call() {
             Err(error) if is_transient(&error) && Instant::now() < deadline => {
                 sleep(RETRY_INTERVAL).await;
             }
@@ -28,11 +28,11 @@
 /// before it has timers.
 pub fn retry_io_blocking<T>(
     limit: Duration,
-    mut attempt: impl FnMut() -> io::Result<T>,
+    mut call: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
     let deadline = Instant::now() + limit;
     loop {
-        match attempt() {
+        match call() {
             Err(error) if is_transient(&error) && Instant::now() < deadline => {
                 std::thread::sleep(RETRY_INTERVAL);
             }
--- a/balancer/src/net/shared_stream.rs
+++ b/balancer/src/net/shared_stream.rs
@@ -40,9 +40,9 @@
 }
 
 /// Decides whether the next message may be written. Called once, when its first byte is written.
-pub type WritePermit = Box<dyn FnOnce() -> bool>;
+pub type WriteCheck = Box<dyn FnOnce() -> bool>;
 
-/// The error of a write that its [`WritePermit`] denied.
+/// The error of a write that its [`WriteCheck`] denied.
 #[derive(Debug, Error)]
 #[error("the write was denied")]
 struct WriteDenied;
@@ -59,7 +59,7 @@
     readiness_cleared: Rc<Cell<bool>>,
     /// Since when bytes are known to be unread.
     unread_since: Rc<Cell<Option<Instant>>>,
-    write_permit: Rc<RefCell<Option<WritePermit>>>,
+    write_check: Rc<RefCell<Option<WriteCheck>>>,
     /// The bytes of the newest response, on a connection to an upstream only.
     received: Option<Rc<RefCell<ReceivedBytes>>>,
 }
@@ -105,13 +105,13 @@
             messages_written,
             readiness_cleared: Rc::default(),
             unread_since: Rc::default(),
-            write_permit: Rc::default(),
+            write_check: Rc::default(),
             received: None,
         }
     }
 
     /// Wraps a stream to an upstream, and records the bytes of its newest response.
-    pub fn to_upstream(stream: TcpStream, messages_written: Rc<Cell<u64>>) -> SharedStream {
+    pub fn new_to_upstream(stream: TcpStream, messages_written: Rc<Cell<u64>>) -> SharedStream {
         SharedStream {
             received: Some(Rc::default()),
             ..SharedStream::new(stream, messages_written)
@@ -169,7 +169,7 @@
     }
 
     /// Whether the socket is open and has no unread bytes.
-    pub fn is_open_and_drained(&self) -> bool {
+    pub fn is_open_without_unread_bytes(&self) -> bool {
         self.unread_state() == UnreadState::Nothing
     }
 
@@ -184,14 +184,14 @@
         Peer(Rc::downgrade(&self.stream))
     }
 
-    /// Has the next message written only if `permit` allows it at the message's first byte.
-    pub fn set_write_permit(&self, permit: WritePermit) {
-        *self.write_permit.borrow_mut() = Some(permit);
+    /// Has the next message written only if `check` allows it at the message's first byte.
+    pub fn set_write_check(&self, check: WriteCheck) {
+        *self.write_check.borrow_mut() = Some(check);
     }
 
-    fn check_write_permit(&self) -> io::Result<()> {
-        let permit = self.write_permit.borrow_mut().take();
-        if permit.is_none_or(|permit| permit()) {
+    fn run_write_check(&self) -> io::Result<()> {
+        let check = self.write_check.borrow_mut().take();
+        if check.is_none_or(|check| check()) {
             return Ok(());
         }
         Err(io::Error::other(WriteDenied))
@@ -275,7 +275,7 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.check_write_permit()?;
+        self.run_write_check()?;
         socket_io::poll_write(&self.stream, cx, &[io::IoSlice::new(buf)])
     }
 
@@ -299,7 +299,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.check_write_permit()?;
+        self.run_write_check()?;
         socket_io::poll_write(&self.stream, cx, bufs)
     }
 
--- a/balancer/src/net/tcp_stream.rs
+++ b/balancer/src/net/tcp_stream.rs
@@ -31,7 +31,7 @@
             Err(error) if error.raw_os_error() != Some(EINPROGRESS) => return Err(error),
             Ok(()) | Err(_) => {}
         }
-        let stream = TcpStream::register_repeatedly(socket.into()).await;
+        let stream = TcpStream::register_with_retries(socket.into()).await;
         poll_fn(|cx| stream.poll_write_ready(cx)).await?;
         match stream.0.get().take_error()? {
             Some(error) => Err(error),
@@ -48,11 +48,11 @@
 
     /// Registers a connection with the event loop, and retries until that succeeds. The caller
     /// limits the time.
-    async fn register_repeatedly(mut stream: std::net::TcpStream) -> TcpStream {
+    async fn register_with_retries(mut stream: std::net::TcpStream) -> TcpStream {
         loop {
             match TcpStream::register(stream) {
                 Ok(registered) => return registered,
-                Err(failed) => stream = failed.descriptor,
+                Err(failed) => stream = failed.owner,
             }
             sleep(REGISTRATION_RETRY_DELAY).await;
         }
--- a/balancer/src/net/watched_descriptor.rs
+++ b/balancer/src/net/watched_descriptor.rs
@@ -13,7 +13,7 @@
 /// A file descriptor that the event loop watches. Its owner cannot be replaced in the meantime.
 pub struct WatchedDescriptor<T> {
     /// `None` only while this value is dropped.
-    watched: Option<AsyncFd<Owner<T>>>,
+    watched: Option<AsyncFd<WatchedOwner<T>>>,
 }
 
 impl<T> Drop for WatchedDescriptor<T> {
@@ -31,48 +31,48 @@
 #[error("cannot register a descriptor with the event loop: {source}")]
 pub struct RegistrationError<T> {
     /// The owner of the descriptor.
-    pub descriptor: T,
+    pub owner: T,
     /// The operating system's error.
     pub source: io::Error,
 }
 
 /// The owner of a descriptor, and the descriptor's number at its registration.
-struct Owner<T> {
-    descriptor: T,
+struct WatchedOwner<T> {
+    owner: T,
     number: RawFd,
 }
 
-impl<T> AsRawFd for Owner<T> {
+impl<T> AsRawFd for WatchedOwner<T> {
     fn as_raw_fd(&self) -> RawFd {
         self.number
     }
 }
 
-impl<T: AsFd> AsFd for Owner<T> {
+impl<T: AsFd> AsFd for WatchedOwner<T> {
     fn as_fd(&self) -> BorrowedFd<'_> {
-        self.descriptor.as_fd()
+        self.owner.as_fd()
     }
 }
 
 impl<T: AsFd> WatchedDescriptor<T> {
     /// Registers a non-blocking descriptor with the event loop.
     pub fn register(
-        descriptor: T,
+        owner: T,
         interest: Interest,
     ) -> Result<WatchedDescriptor<T>, RegistrationError<T>> {
-        let number = descriptor.as_fd().as_raw_fd();
-        let owner = Owner { descriptor, number };
+        let number = owner.as_fd().as_raw_fd();
+        let watched_owner = WatchedOwner { owner, number };
         // SAFETY: the descriptor stays open until the registration has ended, as its owner is
         // neither replaced nor given away before, and its number stays the same.
         #[allow(unsafe_code)]
-        let watched = unsafe { AsyncFd::register_with_interest(owner, interest) };
+        let watched = unsafe { AsyncFd::register_with_interest(watched_owner, interest) };
         let watched = watched.map(|watched| WatchedDescriptor {
             watched: Some(watched),
         });
         watched.map_err(|error| {
-            let (owner, source) = error.into_parts();
+            let (watched_owner, source) = error.into_parts();
             RegistrationError {
-                descriptor: owner.descriptor,
+                owner: watched_owner.owner,
                 source,
             }
         })
@@ -80,17 +80,17 @@
 
     /// Registers a descriptor that is only read, not written. Drops its owner if that fails, which
     /// closes the descriptor.
-    pub fn new(descriptor: T) -> io::Result<WatchedDescriptor<T>> {
-        WatchedDescriptor::register(descriptor, Interest::READABLE).map_err(|error| error.source)
+    pub fn register_for_reading(owner: T) -> io::Result<WatchedDescriptor<T>> {
+        WatchedDescriptor::register(owner, Interest::READABLE).map_err(|error| error.source)
     }
 
     /// The watched descriptor.
     pub fn get(&self) -> &T {
-        &self.watched().get_ref().descriptor
+        &self.watched().get_ref().owner
     }
 
     #[expect(clippy::expect_used, reason = "only `drop` takes the value")]
-    fn watched(&self) -> &AsyncFd<Owner<T>> {
+    fn watched(&self) -> &AsyncFd<WatchedOwner<T>> {
         self.watched
             .as_ref()
             .expect("the registration is taken only in drop")
@@ -136,8 +136,8 @@
         interest: Interest,
         mut call: impl FnMut(&T) -> io::Result<R>,
     ) -> io::Result<R> {
-        self.watched().try_io(interest, |owner| {
-            retry_interrupted(|| call(&owner.descriptor))
+        self.watched().try_io(interest, |watched_owner| {
+            retry_interrupted(|| call(&watched_owner.owner))
         })
     }
 
--- a/balancer/src/outbound/attempt.rs
+++ b/balancer/src/outbound/attempt.rs
@@ -4,7 +4,7 @@
 use crate::body::response_body::{upstream_body_stream, UpstreamResponseBody};
 use crate::invariants::{Guard, WriteConditions};
 use crate::net::shared_stream::{SharedStream, WriteProgress};
-use crate::outbound::attempt_result::{AttemptResult, ExchangeError};
+use crate::outbound::attempt_result::{AttemptResult, SendRequestError};
 use crate::outbound::connection_pool::{Connection, Upstream};
 use crate::outbound::connector::{AcquiredConnection, ConnectionOrigin, Connector};
 use crate::outbound::headers::{remove_hop_by_hop_headers, DEADLINE_HEADER};
@@ -30,7 +30,7 @@
 /// How long the body of a request is withheld on a reused connection. If the upstream has closed
 /// the connection, its reset arrives within this time. A request whose last byte is unwritten has
 /// not run, so it may then use another connection.
-const STALE_CONNECTION_CHECK: Duration = Duration::from_millis(2);
+const BODY_DELAY_ON_POOLED_CONNECTION: Duration = Duration::from_millis(2);
 /// Time allowed for a connection to become ready for its next request after a complete response.
 const CONNECTION_READY_TIMEOUT: Duration = Duration::from_millis(5);
 
@@ -38,7 +38,7 @@
 #[derive(Clone)]
 pub struct Transport {
     connector: Connector,
-    stale_connection_check: Duration,
+    body_delay_on_pooled_connection: Duration,
     guard: Guard,
 }
 
@@ -48,7 +48,7 @@
     pub fn new(connector: Connector, guard: Guard) -> Self {
         Transport {
             connector,
-            stale_connection_check: STALE_CONNECTION_CHECK,
+            body_delay_on_pooled_connection: BODY_DELAY_ON_POOLED_CONNECTION,
             guard,
         }
     }
@@ -59,8 +59,8 @@
     }
 
     /// Whether no more sockets may be opened.
-    pub fn sockets_exhausted(&self) -> bool {
-        self.connector.sockets_exhausted()
+    pub fn descriptors_exhausted(&self) -> bool {
+        self.connector.descriptors_exhausted()
     }
 
     /// Carries out one attempt, which writes its request at most once. Dropping the future closes
@@ -83,12 +83,12 @@
             request,
             deadline,
         };
-        let exchange = match attempt.exchange(on_connected).await {
-            Ok(exchange) => exchange,
+        let started = match attempt.send_request(on_connected).await {
+            Ok(started) => started,
             Err(error) => return error.into(),
         };
         attempt
-            .receive_response(exchange, on_response_started)
+            .receive_response(started, on_response_started)
             .await
             .unwrap_or_else(AttemptResult::from)
     }
@@ -104,7 +104,7 @@
 }
 
 /// A request whose response has begun: its connection, and the head of the response.
-struct Exchange {
+struct StartedResponse {
     connection: Connection,
     lease: ReuseLease,
     response: Response<Incoming>,
@@ -114,13 +114,16 @@
     /// Connects, writes the request and reads the head of its response. Takes another connection
     /// whenever an idle one turns out to be stale: that the upstream closed it is no evidence of a
     /// failure of the upstream.
-    async fn exchange(&self, on_connected: impl Fn()) -> Result<Exchange, ExchangeError> {
+    async fn send_request(
+        &self,
+        on_connected: impl Fn(),
+    ) -> Result<StartedResponse, SendRequestError> {
         loop {
             let connector = &self.transport.connector;
             let acquired = connector.connect(&self.upstream, self.deadline).await?;
             on_connected();
-            if let Some(exchange) = self.exchange_on(acquired).await? {
-                return Ok(exchange);
+            if let Some(started) = self.send_request_on(acquired).await? {
+                return Ok(started);
             }
         }
     }
@@ -128,10 +131,10 @@
     /// Writes the request to this connection and reads the head of its response. `None` if the
     /// request has not run and needs another connection: this one was closed while it was idle, or
     /// its next response may belong to an earlier request.
-    async fn exchange_on(
+    async fn send_request_on(
         &self,
         acquired: AcquiredConnection,
-    ) -> Result<Option<Exchange>, ExchangeError> {
+    ) -> Result<Option<StartedResponse>, SendRequestError> {
         let AcquiredConnection {
             mut connection,
             origin,
@@ -139,7 +142,7 @@
         let connected_at = Instant::now();
         let lease = ReuseLease::new(&self.upstream, &connection);
         self.check_write_allowed()?;
-        let write_denied = self.deny_late_first_byte(&connection.socket);
+        let write_denied = self.recheck_at_first_byte(&connection.socket);
         let progress = connection.socket.write_progress();
         let request = self.build_request(origin, &progress, connected_at)?;
         let sent = tokio::select! {
@@ -159,21 +162,23 @@
             }
         };
         if let Some(error) = self.request.body.error() {
-            return Err(ExchangeError::RequestBody(error));
+            return Err(SendRequestError::RequestBody(error));
         }
         match sent {
             Ok(response) if self.is_surplus(&lease, progress.get(), &response) => {
                 connection.surplus_reporter().report_early_response();
                 Ok(None)
             }
-            Ok(response) => Ok(Some(Exchange {
+            Ok(response) => Ok(Some(StartedResponse {
                 connection,
                 lease,
                 response,
             })),
             Err(_) if write_denied.get() => Err(AttemptOutcome::NotSent.into()),
             Err(error) => {
-                connection.surplus_reporter().report_if_cause(error.error());
+                connection
+                    .surplus_reporter()
+                    .report_if_surplus_caused(error.error());
                 require_stale_connection(error, origin, progress.get())?;
                 Ok(None)
             }
@@ -207,18 +212,18 @@
     /// Has the write conditions checked again at the request's first byte: the connection's task
     /// may write it later, and the whole process may be suspended in between. The returned flag
     /// tells whether that check denied the write.
-    fn deny_late_first_byte(&self, socket: &SharedStream) -> Rc<Cell<bool>> {
+    fn recheck_at_first_byte(&self, socket: &SharedStream) -> Rc<Cell<bool>> {
         let denied = Rc::new(Cell::new(false));
-        let denied_by_permit = denied.clone();
+        let denied_by_check = denied.clone();
         let guard = self.transport.guard.clone();
         let upstream = self.upstream.clone();
         let request = self.request.clone();
         let deadline = self.deadline;
-        socket.set_write_permit(Box::new(move || {
+        socket.set_write_check(Box::new(move || {
             let client_disconnected = request.client_disconnected();
             let conditions = write_conditions(&upstream, &request, deadline, client_disconnected);
-            denied_by_permit.set(guard.check_write(conditions).is_err());
-            !denied_by_permit.get()
+            denied_by_check.set(guard.check_write(conditions).is_err());
+            !denied_by_check.get()
         }));
         denied
     }
@@ -232,7 +237,7 @@
         now: Instant,
     ) -> Result<Request<AttemptBody>, AttemptOutcome> {
         let body_delay = match origin {
-            ConnectionOrigin::Reused => Some(self.transport.stale_connection_check),
+            ConnectionOrigin::Pooled => Some(self.transport.body_delay_on_pooled_connection),
             ConnectionOrigin::New => None,
         };
         let body = AttemptBody::new(&self.request.body, body_delay, progress.clone())
@@ -252,14 +257,14 @@
     /// complete one.
     async fn receive_response(
         &self,
-        exchange: Exchange,
+        started: StartedResponse,
         on_response_started: impl FnOnce(FinalResponse),
     ) -> Result<AttemptResult, AttemptOutcome> {
-        let Exchange {
+        let StartedResponse {
             connection,
             lease,
             response,
-        } = exchange;
+        } = started;
         let declared_length = response.body().size_hint().exact();
         let is_too_large = declared_length.is_some_and(|length| length > MAX_BODY_BYTES);
         if is_too_large || !has_unambiguous_end(&response) {
@@ -331,7 +336,7 @@
         return Err(outcome_of_read_error(error.error()));
     }
     match origin {
-        ConnectionOrigin::Reused => Ok(()),
+        ConnectionOrigin::Pooled => Ok(()),
         ConnectionOrigin::New => Err(AttemptOutcome::ConnectFailed),
     }
 }
--- a/balancer/src/outbound/attempt/tests.rs
+++ b/balancer/src/outbound/attempt/tests.rs
@@ -3,8 +3,8 @@
 use crate::body::request_body::RequestBody;
 use crate::net::descriptor_budget::DescriptorBudget;
 use crate::outbound::connection_pool::PooledConnection;
-use crate::outbound::surplus_history::SurplusEvidence;
-use crate::outbound::surplus_reporter::SurplusRecord;
+use crate::outbound::surplus_history::SurplusCause;
+use crate::outbound::surplus_reporter::SurplusRecipient;
 use crate::telemetry::metrics::Metrics;
 use crate::test_support::get_request;
 use hyper::Method;
@@ -93,7 +93,7 @@
 }
 
 /// Responses that end early or are malformed, and the outcome of their attempt.
-const INCOMPLETE_RESPONSES: [(&str, AttemptOutcome); 10] = [
+const UNUSABLE_RESPONSES: [(&str, AttemptOutcome); 10] = [
     (
         "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nxx",
         AttemptOutcome::Error,
@@ -134,7 +134,7 @@
 /// intact connections.
 #[test]
 fn reports_a_malformed_response_as_error_and_a_broken_connection_as_reset() {
-    for (response, expected) in INCOMPLETE_RESPONSES {
+    for (response, expected) in UNUSABLE_RESPONSES {
         run_test(async {
             let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
             let upstream = Upstream::new(listener.local_addr().expect("an address"));
@@ -169,7 +169,7 @@
     first
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         .expect("writes");
-    let stale = read_until(&mut first, b"\r\n\r\n");
+    let received_on_stale = read_until(&mut first, b"\r\n\r\n");
     socket2::SockRef::from(&first)
         .set_linger(Some(Duration::ZERO))
         .expect("a socket");
@@ -179,7 +179,7 @@
     second
         .write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
         .expect("writes");
-    stale
+    received_on_stale
 }
 
 /// Guards against losing a non-idempotent request on a connection that became stale while it was
@@ -194,7 +194,7 @@
         let upstream = Upstream::new(listener.local_addr().expect("an address"));
         let server = std::thread::spawn(move || serve_with_one_stale_connection(&listener));
         let transport = Transport {
-            stale_connection_check: Duration::from_secs(60),
+            body_delay_on_pooled_connection: Duration::from_secs(60),
             ..transport(DescriptorBudget::new(64))
         };
         for _ in 0..2 {
@@ -214,9 +214,9 @@
             ));
             tokio::time::sleep(REUSE_WAIT).await;
         }
-        let stale = server.join().expect("the upstream");
+        let received_on_stale = server.join().expect("the upstream");
         assert!(
-            stale.ends_with(b"\r\n\r\n"),
+            received_on_stale.ends_with(b"\r\n\r\n"),
             "the body was written before the stale connection check had ended"
         );
     });
@@ -225,7 +225,7 @@
 /// Guards against treating a connection that was closed because of surplus data as a stale one: the
 /// core would close all idle connections before each attempt.
 #[test]
-fn reports_a_request_that_may_get_another_response_as_error() {
+fn reports_a_request_that_may_get_another_requests_response_as_error() {
     run_test(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let upstream = Upstream::new(listener.local_addr().expect("an address"));
@@ -249,7 +249,7 @@
         tokio::time::sleep(REUSE_WAIT).await;
         let detection = async {
             second_awaited.await.expect("a request");
-            upstream.record_surplus(SurplusEvidence::ExpectedCopy, Instant::now());
+            upstream.record_surplus(SurplusCause::ProbableDuplicate, Instant::now());
         };
         let (result, ()) = tokio::join!(attempt(), detection);
         assert_eq!(result.outcome, AttemptOutcome::Error);
@@ -278,7 +278,7 @@
     run_test(async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let descriptors = DescriptorBudget::new(64);
-        let all: Vec<_> = std::iter::from_fn(|| descriptors.try_acquire_upstream()).collect();
+        let all: Vec<_> = std::iter::from_fn(|| descriptors.try_acquire_connection()).collect();
         let request = get_request();
         let upstream = Upstream::new(listener.local_addr().expect("an address"));
         let deadline = Instant::now() + Duration::from_secs(5);
--- a/balancer/src/outbound/attempt_result.rs
+++ b/balancer/src/outbound/attempt_result.rs
@@ -23,24 +23,24 @@
 }
 
 /// Why an attempt ended before it received the head of a response.
-pub enum ExchangeError {
+pub enum SendRequestError {
     /// The outcome that is reported to the core.
     Outcome(AttemptOutcome),
     /// The client failed to send the request body.
     RequestBody(BodyError),
 }
 
-impl From<AttemptOutcome> for ExchangeError {
-    fn from(outcome: AttemptOutcome) -> ExchangeError {
-        ExchangeError::Outcome(outcome)
+impl From<AttemptOutcome> for SendRequestError {
+    fn from(outcome: AttemptOutcome) -> SendRequestError {
+        SendRequestError::Outcome(outcome)
     }
 }
 
-impl From<ExchangeError> for AttemptResult {
-    fn from(error: ExchangeError) -> AttemptResult {
+impl From<SendRequestError> for AttemptResult {
+    fn from(error: SendRequestError) -> AttemptResult {
         match error {
-            ExchangeError::Outcome(outcome) => outcome.into(),
-            ExchangeError::RequestBody(error) => AttemptResult {
+            SendRequestError::Outcome(outcome) => outcome.into(),
+            SendRequestError::RequestBody(error) => AttemptResult {
                 outcome: AttemptOutcome::Cancelled,
                 response: Some(FinalResponse::RequestBodyFailed(error)),
             },
--- a/balancer/src/outbound/connection_pool.rs
+++ b/balancer/src/outbound/connection_pool.rs
@@ -1,9 +1,9 @@
 //! One upstream and its pool of idle connections.
 use crate::body::request_body::AttemptBody;
 use crate::net::shared_stream::{SharedStream, UnreadState};
-use crate::outbound::connection_use::ConnectionUse;
-use crate::outbound::surplus_history::{SurplusEvidence, SurplusHistory, LONG_REUSE_DELAY};
-use crate::outbound::surplus_reporter::{SurplusRecord, SurplusReporter};
+use crate::outbound::request_history::RequestHistory;
+use crate::outbound::surplus_history::{SurplusCause, SurplusHistory, LONG_REUSE_DELAY};
+use crate::outbound::surplus_reporter::{SurplusRecipient, SurplusReporter};
 use crate::telemetry::upstream_counts::UpstreamCounts;
 use hyper::client::conn::http1;
 use std::cell::{Cell, RefCell};
@@ -71,8 +71,8 @@
     }
 
     /// The requests that it has carried.
-    pub fn connection_use(&self) -> &ConnectionUse {
-        self.surplus_reporter.connection_use()
+    pub fn request_history(&self) -> &RequestHistory {
+        self.surplus_reporter.request_history()
     }
 
     /// Reports surplus data on this connection.
@@ -108,7 +108,7 @@
         if self.is_observed_only {
             return None;
         }
-        let delay = if self.connection.connection_use().has_completed_request() {
+        let delay = if self.connection.request_history().has_completed_request() {
             reuse_delay
         } else {
             Duration::ZERO
@@ -154,7 +154,7 @@
     idle: RefCell<Vec<IdleConnection>>,
     /// The number of open connections: idle ones, and those that carry a request.
     open_connections: Rc<Cell<usize>>,
-    surplus: SurplusHistory,
+    surplus_history: SurplusHistory,
     /// Wakes an attempt that waits for a connection when one becomes idle.
     idle_added: Notify,
 }
@@ -168,7 +168,7 @@
             generation: Cell::new(0),
             idle: RefCell::default(),
             open_connections: Rc::default(),
-            surplus: SurplusHistory::default(),
+            surplus_history: SurplusHistory::default(),
             idle_added: Notify::new(),
         })
     }
@@ -214,8 +214,8 @@
     }
 
     /// The history of its surplus data.
-    pub fn surplus(&self) -> &SurplusHistory {
-        &self.surplus
+    pub fn surplus_history(&self) -> &SurplusHistory {
+        &self.surplus_history
     }
 
     /// Closes all idle connections.
@@ -228,18 +228,18 @@
     pub fn close_expired(&self, now: Instant, idle_limit: Duration) {
         self.idle.borrow_mut().retain(|idle| {
             if idle.is_observed_clean(now) {
-                self.surplus.record_clean_observation(now);
+                self.surplus_history.record_clean_observation(now);
             }
             !idle.connection.sender.is_closed() && !idle.is_expired(now, idle_limit)
         });
     }
 
     /// Whether an idle connection may carry a request now.
-    pub fn has_usable_idle(&self, now: Instant) -> bool {
+    pub fn has_reusable_idle(&self, now: Instant) -> bool {
         let reuse_delay = self.reuse_delay(now);
-        let is_usable =
+        let is_reusable =
             |idle: &IdleConnection| idle.reusable_at(reuse_delay).is_some_and(|at| at <= now);
-        self.idle.borrow().iter().any(is_usable)
+        self.idle.borrow().iter().any(is_reusable)
     }
 
     /// Since when the connection that has been idle for longest is idle.
@@ -262,8 +262,8 @@
         self.close_expired(now, idle_limit);
         while let Some(connection) = self.remove_best_idle(now) {
             if connection.check_reusable() {
-                if connection.connection_use().has_completed_request() {
-                    self.surplus.record_reuse();
+                if connection.request_history().has_completed_request() {
+                    self.surplus_history.record_reuse();
                 }
                 return PooledConnection::Ready(connection);
             }
@@ -278,11 +278,12 @@
     }
 
     fn reuse_delay(&self, now: Instant) -> Duration {
-        self.surplus.reuse_delay(self.has_one_connection(), now)
+        self.surplus_history
+            .reuse_delay(self.has_sole_connection(), now)
     }
 
     /// Whether exactly one connection to the upstream is open, idle or in use.
-    pub fn has_one_connection(&self) -> bool {
+    pub fn has_sole_connection(&self) -> bool {
         self.open_connections.get() == 1
     }
 
@@ -309,9 +310,9 @@
     pub fn return_after_response(&self, connection: Connection) {
         let now = Instant::now();
         connection.socket.acknowledge_received_data();
-        connection.connection_use().record_response(now);
+        connection.request_history().record_response(now);
         connection.socket.complete_response();
-        let is_single_use = self.surplus.is_single_use(now + LONG_REUSE_DELAY);
+        let is_single_use = self.surplus_history.is_single_use(now + LONG_REUSE_DELAY);
         if !(is_single_use && self.is_observing()) {
             self.add_idle(connection, is_single_use);
         }
@@ -348,28 +349,28 @@
     }
 
     /// Creates a reporter of surplus data on one connection to this upstream.
-    pub fn surplus_reporter(
+    pub fn new_surplus_reporter(
         self: &Rc<Self>,
         socket: SharedStream,
         counts: Rc<UpstreamCounts>,
     ) -> SurplusReporter {
-        let record: Rc<dyn SurplusRecord> = self.clone();
-        SurplusReporter::new(Rc::downgrade(&record), socket, counts)
+        let recipient: Rc<dyn SurplusRecipient> = self.clone();
+        SurplusReporter::new(Rc::downgrade(&recipient), socket, counts)
     }
 }
 
-impl SurplusRecord for Upstream {
+impl SurplusRecipient for Upstream {
     fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
     /// Closes all idle connections, unless their reuse delay is long enough to detect such data on
     /// them too.
-    fn record_surplus(&self, evidence: SurplusEvidence, now: Instant) -> Option<Duration> {
-        if !self.surplus.is_covered_by_reuse_delay(evidence, now) {
+    fn record_surplus(&self, cause: SurplusCause, now: Instant) -> Option<Duration> {
+        if !self.surplus_history.is_covered_by_reuse_delay(cause, now) {
             self.close_idle();
         }
-        self.surplus.record(evidence, now)
+        self.surplus_history.record(cause, now)
     }
 }
 
--- a/balancer/src/outbound/connection_pool/tests.rs
+++ b/balancer/src/outbound/connection_pool/tests.rs
@@ -28,23 +28,26 @@
 }
 
 /// Whether the pool still has an idle connection after this evidence was recorded.
-async fn keeps_idle_connection(upstream: &Rc<Upstream>, evidence: SurplusEvidence) -> bool {
+async fn keeps_idle_connection(upstream: &Rc<Upstream>, cause: SurplusCause) -> bool {
     upstream.add_unused(open_connection(upstream).await);
-    upstream.record_surplus(evidence, Instant::now());
+    upstream.record_surplus(cause, Instant::now());
     is_ready(upstream)
 }
 
 /// Guards against closing other connections than the one with the copy, once the reuse delay is
 /// long enough to detect a copy on each of them.
 #[tokio::test]
-async fn an_expected_copy_closes_idle_connections_only_before_the_long_reuse_delay() {
+async fn a_probable_duplicate_closes_idle_connections_only_before_the_long_reuse_delay() {
     let test = async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let upstream = Upstream::new(listener.local_addr().expect("an address"));
-        let copy = SurplusEvidence::ExpectedCopy;
-        assert!(!keeps_idle_connection(&upstream, copy).await, "the first");
-        assert!(keeps_idle_connection(&upstream, copy).await, "another");
-        let unexplained = SurplusEvidence::Unexplained;
+        let duplicate = SurplusCause::ProbableDuplicate;
+        assert!(
+            !keeps_idle_connection(&upstream, duplicate).await,
+            "the first"
+        );
+        assert!(keeps_idle_connection(&upstream, duplicate).await, "another");
+        let unexplained = SurplusCause::Unexplained;
         assert!(!keeps_idle_connection(&upstream, unexplained).await);
     };
     LocalSet::new().run_until(test).await;
@@ -57,9 +60,9 @@
     let test = async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let upstream = Upstream::new(listener.local_addr().expect("an address"));
-        upstream.record_surplus(SurplusEvidence::ExpectedCopy, Instant::now());
+        upstream.record_surplus(SurplusCause::ProbableDuplicate, Instant::now());
         let connection = open_connection(&upstream).await;
-        connection.connection_use().record_request(Instant::now());
+        connection.request_history().record_request(Instant::now());
         let response_at = Instant::now();
         upstream.return_after_response(connection);
         while !is_ready(&upstream) {
@@ -76,10 +79,10 @@
     let test = async {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let upstream = Upstream::new(listener.local_addr().expect("an address"));
-        upstream.record_surplus(SurplusEvidence::Unexplained, Instant::now());
+        upstream.record_surplus(SurplusCause::Unexplained, Instant::now());
         for _ in 0..2 {
             let connection = open_connection(&upstream).await;
-            connection.connection_use().record_request(Instant::now());
+            connection.request_history().record_request(Instant::now());
             upstream.return_after_response(connection);
         }
         assert_eq!(upstream.idle.borrow().len(), 1, "one is observed");
--- a/balancer/src/outbound/connector.rs
+++ b/balancer/src/outbound/connector.rs
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionOrigin {
     /// From the pool: it was idle, and may be stale.
-    Reused,
+    Pooled,
     /// Opened for this attempt.
     New,
 }
@@ -84,15 +84,17 @@
     }
 
     /// Whether no more sockets may be opened.
-    pub fn sockets_exhausted(&self) -> bool {
+    pub fn descriptors_exhausted(&self) -> bool {
         self.descriptors.is_exhausted()
     }
 
     /// Whether an idle connection to this upstream may be kept. If descriptors are scarce and
     /// surplus data extends the reuse delay, other connections need the descriptor sooner.
     pub fn may_keep_idle(&self, upstream: &Upstream) -> bool {
-        self.descriptors.has_headroom()
-            || !upstream.surplus().has_extended_reuse_delay(Instant::now())
+        self.descriptors.has_spare_permits()
+            || !upstream
+                .surplus_history()
+                .has_extended_reuse_delay(Instant::now())
     }
 
     /// Returns the first connection to the upstream that is available by `deadline`: an idle one,
@@ -113,7 +115,7 @@
                 PooledConnection::Ready(connection) => {
                     return Ok(AcquiredConnection {
                         connection,
-                        origin: ConnectionOrigin::Reused,
+                        origin: ConnectionOrigin::Pooled,
                     })
                 }
                 PooledConnection::ReadyAt(at) if at <= latest_reuse_at => Some(at),
@@ -146,8 +148,11 @@
     /// Whether an attempt waits for an idle connection to become reusable instead of opening
     /// another.
     fn waits_for_idle(&self, upstream: &Upstream) -> bool {
-        let may_wait = upstream.has_one_connection() || !self.descriptors.has_headroom();
-        may_wait && !upstream.surplus().has_extended_reuse_delay(Instant::now())
+        let may_wait = upstream.has_sole_connection() || !self.descriptors.has_spare_permits();
+        may_wait
+            && !upstream
+                .surplus_history()
+                .has_extended_reuse_delay(Instant::now())
     }
 
     /// Starts a dial, which continues if its attempt ends. A connection that no attempt waits for
@@ -159,7 +164,7 @@
         tokio::task::spawn_local(async move {
             let dialled = tokio::select! {
                 dialled = connector.dial(&upstream, deadline) => dialled,
-                () = until_abandoned_without_headroom(&results, &connector.descriptors) => return,
+                () = wait_until_dial_must_end(&results, &connector.descriptors) => return,
             };
             if let Err(SendError(Ok(mut unused))) = results.send(dialled).await {
                 if unused.sender.ready().await.is_ok() {
@@ -173,17 +178,17 @@
         // A shortage of descriptors in this process is no evidence of a failure of the upstream.
         let permit = self
             .descriptors
-            .try_acquire_upstream()
+            .try_acquire_connection()
             .ok_or(AttemptOutcome::NotSent)?;
         let generation = upstream.generation();
         let stream = open_stream(upstream, deadline).await?;
-        let socket = SharedStream::to_upstream(stream, self.counts.requests_written());
+        let socket = SharedStream::new_to_upstream(stream, self.counts.requests_written());
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(MAX_HEAD_BYTES)
             .handshake(TokioIo::new(socket.clone()))
             .await
             .map_err(|_| AttemptOutcome::ConnectFailed)?;
-        let surplus_reporter = upstream.surplus_reporter(socket.clone(), self.counts.clone());
+        let surplus_reporter = upstream.new_surplus_reporter(socket.clone(), self.counts.clone());
         let reporter = surplus_reporter.clone();
         let open_count = self.counts.record_connection_opened();
         let task = tokio::task::spawn_local(async move {
@@ -191,7 +196,7 @@
             // An attempt on the connection gets its error too; on an idle connection only this task
             // does.
             if let Err(error) = connection.await {
-                reporter.report_if_cause(&error);
+                reporter.report_if_surplus_caused(&error);
             }
         });
         Ok(Connection::new(
@@ -244,7 +249,7 @@
     }
 
     fn may_hedge(&self) -> bool {
-        (1..MAX_DIALS).contains(&self.started) && self.connector.descriptors.has_headroom()
+        (1..MAX_DIALS).contains(&self.started) && self.connector.descriptors.has_spare_permits()
     }
 
     fn hedge(&mut self) {
@@ -274,12 +279,12 @@
 
 /// Returns when the attempt that started a dial stops waiting for it, if descriptors are too scarce
 /// then to continue it. Never returns otherwise.
-async fn until_abandoned_without_headroom(
+async fn wait_until_dial_must_end(
     results: &mpsc::Sender<DialResult>,
     descriptors: &DescriptorBudget,
 ) {
     results.closed().await;
-    if descriptors.has_headroom() {
+    if descriptors.has_spare_permits() {
         std::future::pending::<()>().await;
     }
 }
--- a/balancer/src/outbound/connector/tests.rs
+++ b/balancer/src/outbound/connector/tests.rs
@@ -43,7 +43,7 @@
         sleep(RETRANSMISSION_TIME).await;
         let second = connector.connect(&upstream, far_deadline()).await;
         assert!(
-            matches!(origin_of(second), Ok(ConnectionOrigin::Reused)),
+            matches!(origin_of(second), Ok(ConnectionOrigin::Pooled)),
             "it opened meanwhile"
         );
     };
@@ -75,7 +75,7 @@
         upstream.add_unused(busy.connection);
         let start = Instant::now();
         let connected = dialling.await.expect("runs");
-        assert!(matches!(origin_of(connected), Ok(ConnectionOrigin::Reused)));
+        assert!(matches!(origin_of(connected), Ok(ConnectionOrigin::Pooled)));
         assert!(
             start.elapsed() < RETRANSMISSION_TIME / 3,
             "it did not wait for its own dial"
--- a/balancer/src/outbound/dispatch.rs
+++ b/balancer/src/outbound/dispatch.rs
@@ -17,7 +17,7 @@
     /// Over sockets to the upstreams.
     Sockets(Transport),
     /// Without sockets: each attempt succeeds at once, with an empty response body.
-    Hollow,
+    Simulated,
 }
 
 impl Dispatch {
@@ -42,7 +42,7 @@
                     )
                     .await
             }
-            Dispatch::Hollow => AttemptResult {
+            Dispatch::Simulated => AttemptResult {
                 outcome: AttemptOutcome::Success,
                 response: Some(FinalResponse::Served {
                     headers: HeaderMap::new(),
@@ -56,15 +56,15 @@
     pub fn idle_limit(&self) -> Option<Duration> {
         match self {
             Dispatch::Sockets(transport) => Some(transport.idle_limit()),
-            Dispatch::Hollow => None,
+            Dispatch::Simulated => None,
         }
     }
 
     /// Whether no more sockets may be opened.
-    pub fn sockets_exhausted(&self) -> bool {
+    pub fn descriptors_exhausted(&self) -> bool {
         match self {
-            Dispatch::Sockets(transport) => transport.sockets_exhausted(),
-            Dispatch::Hollow => false,
+            Dispatch::Sockets(transport) => transport.descriptors_exhausted(),
+            Dispatch::Simulated => false,
         }
     }
 }
--- a/balancer/src/outbound/endpoint_table.rs
+++ b/balancer/src/outbound/endpoint_table.rs
@@ -42,7 +42,7 @@
         }
     }
 
-    fn remove(&mut self, write_deadline: Instant) {
+    fn mark_gone(&mut self, write_deadline: Instant) {
         self.availability = Availability::Gone;
         self.drain(write_deadline);
     }
@@ -90,14 +90,14 @@
     }
 
     /// Whether this endpoint is no longer listed, but still in the table.
-    pub fn is_removed(&self, id: UpstreamId) -> bool {
+    pub fn is_gone(&self, id: UpstreamId) -> bool {
         self.by_id
             .get(&id)
             .is_some_and(|entry| entry.availability == Availability::Gone)
     }
 
     /// The endpoints that are no longer listed, but still in the table.
-    pub fn removed(&self) -> Vec<UpstreamId> {
+    pub fn gone_endpoints(&self) -> Vec<UpstreamId> {
         self.by_id
             .iter()
             .filter(|(_, entry)| entry.availability == Availability::Gone)
@@ -126,7 +126,7 @@
         let write_deadline = Instant::now() + self.drain_grace;
         self.has_ever_listed |= !update.endpoints.is_empty();
         if is_snapshot {
-            self.remove_unlisted(update, write_deadline);
+            self.mark_unlisted_gone(update, write_deadline);
         }
         for endpoint in &update.endpoints {
             let id = endpoint.member.id;
@@ -138,7 +138,7 @@
         }
     }
 
-    fn remove_unlisted(&mut self, update: &EndpointUpdate, write_deadline: Instant) {
+    fn mark_unlisted_gone(&mut self, update: &EndpointUpdate, write_deadline: Instant) {
         let listed: HashSet<UpstreamId> = update
             .endpoints
             .iter()
@@ -146,7 +146,7 @@
             .collect();
         for (id, entry) in &mut self.by_id {
             if !listed.contains(id) {
-                entry.remove(write_deadline);
+                entry.mark_gone(write_deadline);
             }
         }
     }
@@ -171,11 +171,11 @@
     }
 
     /// How many upstreams are suspect: they have sent surplus data recently.
-    pub fn single_use_count(&self) -> usize {
+    pub fn suspect_count(&self) -> usize {
         let now = Instant::now();
         self.by_id
             .values()
-            .filter(|entry| entry.upstream.surplus().is_suspect(now))
+            .filter(|entry| entry.upstream.surplus_history().is_suspect(now))
             .count()
     }
 
--- a/balancer/src/outbound/growing_period.rs
+++ b/balancer/src/outbound/fault_periods.rs
@@ -12,17 +12,17 @@
 
 /// A period that begins with a fault, and ends once no fault has occurred for its length. A fault
 /// after its end begins a new period of twice the length.
-pub struct GrowingPeriod {
+pub struct FaultPeriods {
     first_length: Duration,
     max_length: Duration,
     newest: Cell<Option<Period>>,
 }
 
-impl GrowingPeriod {
+impl FaultPeriods {
     /// Creates one without a current period. The first period has `first_length`; none is longer
     /// than `max_length`.
-    pub const fn new(first_length: Duration, max_length: Duration) -> GrowingPeriod {
-        GrowingPeriod {
+    pub const fn new(first_length: Duration, max_length: Duration) -> FaultPeriods {
+        FaultPeriods {
             first_length,
             max_length,
             newest: Cell::new(None),
@@ -52,7 +52,7 @@
 
     /// Records a check that found no fault: halves the period's length, but not below the first
     /// length, and ends it at most this long after `now`.
-    pub fn record_clean(&self, now: Instant) {
+    pub fn record_clean_observation(&self, now: Instant) {
         if let Some(newest) = self.newest.get() {
             let length = (newest.length / 2).max(self.first_length);
             self.newest.set(Some(Period {
--- a/balancer/src/outbound/mod.rs
+++ b/balancer/src/outbound/mod.rs
@@ -3,13 +3,13 @@
 pub(crate) mod attempt;
 pub(crate) mod attempt_result;
 pub(crate) mod connection_pool;
-mod connection_use;
 pub(crate) mod connector;
 pub(crate) mod dispatch;
 pub(crate) mod endpoint_table;
-mod growing_period;
+mod fault_periods;
 pub(crate) mod headers;
 pub(crate) mod message;
+mod request_history;
 mod response_outcome;
 mod response_relay;
 mod reuse_lease;
--- a/balancer/src/outbound/connection_use.rs
+++ b/balancer/src/outbound/request_history.rs
@@ -1,13 +1,15 @@
 //! The requests that one connection to an upstream has carried, and what surplus data on it is
 //! evidence of.
-use crate::outbound::surplus_history::{SurplusEvidence, LONG_REUSE_DELAY, MAX_EXPECTED_LATENESS};
+use crate::outbound::surplus_history::{
+    SurplusCause, LONG_REUSE_DELAY, MAX_DETECTABLE_DUPLICATE_DELAY,
+};
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
 
 /// The requests that one connection has carried.
 #[derive(Default)]
-pub struct ConnectionUse {
+pub struct RequestHistory {
     /// How many requests it has carried.
     requests: Cell<u32>,
     /// When its newest response was complete.
@@ -18,7 +20,7 @@
     has_been_reused_early: Cell<bool>,
 }
 
-impl ConnectionUse {
+impl RequestHistory {
     /// Records that the connection is used for a request.
     pub fn record_request(&self, now: Instant) {
         let follows_early = self.last_response_at.get().is_some_and(|response_at| {
@@ -49,26 +51,26 @@
     /// What surplus data that arrives at `now` is evidence of. On a connection that has carried one
     /// request it is a copy of that request's response. After early reuse it may be the response to
     /// a request that was given the response to an earlier one. Data later than
-    /// [`MAX_EXPECTED_LATENESS`] could have been taken for a response on a reused connection.
+    /// [`MAX_DETECTABLE_DUPLICATE_DELAY`] could have been taken for a response on a reused connection.
     ///
-    /// If the data equals the newest response (`is_copy`), its lateness is known. That holds only
+    /// If the data equals the newest response (`is_duplicate`), its lateness is known. That holds only
     /// if the newest response certainly belongs to its request: after early reuse it may be a copy
     /// itself.
-    pub fn evidence_of_surplus(&self, is_copy: bool, now: Instant) -> SurplusEvidence {
-        let lateness = self.lateness(now);
-        let is_late = lateness > MAX_EXPECTED_LATENESS;
+    pub fn cause_of_surplus(&self, is_duplicate: bool, now: Instant) -> SurplusCause {
+        let delay = self.surplus_delay(now);
+        let is_late = delay > MAX_DETECTABLE_DUPLICATE_DELAY;
         if is_late || self.has_been_reused_early.get() {
-            SurplusEvidence::Unexplained
-        } else if is_copy && !self.awaits_response.get() {
-            SurplusEvidence::Copy { lateness }
+            SurplusCause::Unexplained
+        } else if is_duplicate && !self.awaits_response.get() {
+            SurplusCause::Duplicate { delay }
         } else {
-            SurplusEvidence::ExpectedCopy
+            SurplusCause::ProbableDuplicate
         }
     }
 
     /// Time since the newest response was complete. Zero before the first response, and while a
     /// response is awaited or incomplete: data that arrives then counts as arriving with it.
-    fn lateness(&self, now: Instant) -> Duration {
+    fn surplus_delay(&self, now: Instant) -> Duration {
         match self.last_response_at.get() {
             Some(response_at) if !self.awaits_response.get() => {
                 now.saturating_duration_since(response_at)
--- a/balancer/src/outbound/reuse_lease.rs
+++ b/balancer/src/outbound/reuse_lease.rs
@@ -19,12 +19,12 @@
 impl ReuseLease {
     /// Begins the use of this connection to `upstream` for its next request.
     pub fn new(upstream: &Rc<Upstream>, connection: &Connection) -> ReuseLease {
-        connection.connection_use().record_request(Instant::now());
+        connection.request_history().record_request(Instant::now());
         connection.socket.begin_request();
         ReuseLease {
             upstream: upstream.clone(),
-            carried_earlier_request: connection.connection_use().is_reused(),
-            detections_at_start: upstream.surplus().uncovered_detections(),
+            carried_earlier_request: connection.request_history().is_reused(),
+            detections_at_start: upstream.surplus_history().detections_beyond_reuse_delay(),
         }
     }
 
@@ -36,7 +36,11 @@
     /// Whether the response on this connection must not be used.
     pub fn is_revoked(&self) -> bool {
         self.carried_earlier_request
-            && self.upstream.surplus().uncovered_detections() != self.detections_at_start
+            && self
+                .upstream
+                .surplus_history()
+                .detections_beyond_reuse_delay()
+                != self.detections_at_start
     }
 
     /// Returns once the response on this connection must not be used.
@@ -45,8 +49,8 @@
             std::future::pending::<()>().await;
         }
         self.upstream
-            .surplus()
-            .detected_since(self.detections_at_start)
+            .surplus_history()
+            .wait_for_detection_after(self.detections_at_start)
             .await;
     }
 }
--- a/balancer/src/outbound/surplus_history.rs
+++ b/balancer/src/outbound/surplus_history.rs
@@ -3,7 +3,7 @@
 //! If an upstream responds twice to a request, the responses on that connection are off by one: the
 //! next request would get the surplus response, which belongs to another client. The fault lies
 //! with the upstream, so all connections to it are treated as affected.
-use crate::outbound::growing_period::GrowingPeriod;
+use crate::outbound::fault_periods::FaultPeriods;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::sync::Notify;
@@ -19,12 +19,12 @@
 pub const LONG_REUSE_DELAY: Duration = Duration::from_millis(1500);
 /// The reuse delay is this multiple of the largest known lateness of a copy, as the next copy may
 /// be later.
-const REUSE_DELAY_PER_LATENESS: u32 = 8;
+const REUSE_DELAY_PER_DUPLICATE_DELAY: u32 = 8;
 /// Shortest reuse delay once the upstream has sent surplus data.
 const MIN_REUSE_DELAY_AFTER_SURPLUS: Duration = Duration::from_millis(200);
 /// How late a copy may be for [`LONG_REUSE_DELAY`] to detect it reliably. After a later one, each
 /// connection carries one request for a time.
-pub const MAX_EXPECTED_LATENESS: Duration = Duration::from_millis(1250);
+pub const MAX_DETECTABLE_DUPLICATE_DELAY: Duration = Duration::from_millis(1250);
 /// The reuse delay on the only connection to a trusted upstream. It is short, as successive
 /// requests wait for it.
 const SOLE_REUSE_DELAY: Duration = Duration::from_millis(10);
@@ -37,7 +37,7 @@
 const MAX_SUSPECT_PERIOD: Duration = Duration::from_secs(3600);
 /// After this multiple of the suspect period without surplus data, an hour at first, the reuse
 /// delay is [`REUSE_DELAY`] again.
-const CLEAN_PERIODS: u32 = 60;
+const SUSPECT_PERIODS_UNTIL_SHORT_DELAY: u32 = 60;
 /// How long each connection carries one request after unexplained surplus data. Longer than
 /// [`LONG_REUSE_DELAY`], so that responses in flight at its start arrive before connections are
 /// reused. Doubles with each recurrence after the period.
@@ -47,27 +47,27 @@
 
 /// What surplus data is evidence of.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SurplusEvidence {
+pub enum SurplusCause {
     /// A copy of the newest response on its connection: their bytes are equal.
-    Copy {
+    Duplicate {
         /// Time from that response to its copy.
-        lateness: Duration,
+        delay: Duration,
     },
     /// Probably a copy of the newest response on its connection, and early enough for
     /// [`LONG_REUSE_DELAY`] to detect it.
-    ExpectedCopy,
+    ProbableDuplicate,
     /// Possibly the response to a request that was given another request's response, or a copy that
     /// is too late to be detected by the reuse delay.
     Unexplained,
 }
 
-impl SurplusEvidence {
+impl SurplusCause {
     /// The reuse delay that is long enough to detect the next such data.
     fn required_reuse_delay(self) -> Duration {
         match self {
-            SurplusEvidence::Copy { lateness } => (lateness * REUSE_DELAY_PER_LATENESS)
+            SurplusCause::Duplicate { delay } => (delay * REUSE_DELAY_PER_DUPLICATE_DELAY)
                 .clamp(MIN_REUSE_DELAY_AFTER_SURPLUS, LONG_REUSE_DELAY),
-            SurplusEvidence::ExpectedCopy | SurplusEvidence::Unexplained => LONG_REUSE_DELAY,
+            SurplusCause::ProbableDuplicate | SurplusCause::Unexplained => LONG_REUSE_DELAY,
         }
     }
 }
@@ -75,30 +75,30 @@
 /// What is known of one upstream's surplus data.
 pub struct SurplusHistory {
     /// The period in which the upstream is reported as suspect.
-    suspect: GrowingPeriod,
+    suspect_periods: FaultPeriods,
     /// The period in which each connection carries only one request.
-    single_use: GrowingPeriod,
+    single_use_periods: FaultPeriods,
     /// The reuse delay that the surplus data so far requires.
     extended_reuse_delay: Cell<Duration>,
     /// How often surplus data was detected that the reuse delay did not cover, so that requests in
     /// flight on other connections may be given a wrong response.
-    uncovered_detections: Cell<u64>,
+    detections_beyond_reuse_delay: Cell<u64>,
     /// How often a connection was reused after a reuse delay in which no surplus data arrived,
     /// since the last surplus data.
     reuses: Cell<u32>,
     /// Notifies the requests in flight of a detection that the reuse delay did not cover.
-    detected: Notify,
+    detected_beyond_reuse_delay: Notify,
 }
 
 impl Default for SurplusHistory {
     fn default() -> SurplusHistory {
         SurplusHistory {
-            suspect: GrowingPeriod::new(FIRST_SUSPECT_PERIOD, MAX_SUSPECT_PERIOD),
-            single_use: GrowingPeriod::new(FIRST_SINGLE_USE_PERIOD, MAX_SINGLE_USE_PERIOD),
+            suspect_periods: FaultPeriods::new(FIRST_SUSPECT_PERIOD, MAX_SUSPECT_PERIOD),
+            single_use_periods: FaultPeriods::new(FIRST_SINGLE_USE_PERIOD, MAX_SINGLE_USE_PERIOD),
             extended_reuse_delay: Cell::default(),
-            uncovered_detections: Cell::default(),
+            detections_beyond_reuse_delay: Cell::default(),
             reuses: Cell::default(),
-            detected: Notify::default(),
+            detected_beyond_reuse_delay: Notify::default(),
         }
     }
 }
@@ -106,19 +106,19 @@
 impl SurplusHistory {
     /// Whether the upstream is suspect: it has sent surplus data recently.
     pub fn is_suspect(&self, now: Instant) -> bool {
-        self.suspect.contains(now)
+        self.suspect_periods.contains(now)
     }
 
     /// Whether each connection carries one request only.
     pub fn is_single_use(&self, now: Instant) -> bool {
-        self.single_use.contains(now)
+        self.single_use_periods.contains(now)
     }
 
     /// Whether earlier surplus data still extends the reuse delay.
     pub fn has_extended_reuse_delay(&self, now: Instant) -> bool {
-        self.suspect
+        self.suspect_periods
             .end_and_length()
-            .is_some_and(|(end, length)| now < end + length * CLEAN_PERIODS)
+            .is_some_and(|(end, length)| now < end + length * SUSPECT_PERIODS_UNTIL_SHORT_DELAY)
     }
 
     /// Time between a response and the next request on its connection. `is_sole` tells whether that
@@ -140,54 +140,54 @@
 
     /// Whether this evidence requires no longer reuse delay than the one in force, so that idle
     /// connections may still be reused.
-    pub fn is_covered_by_reuse_delay(&self, evidence: SurplusEvidence, now: Instant) -> bool {
+    pub fn is_covered_by_reuse_delay(&self, cause: SurplusCause, now: Instant) -> bool {
         self.has_extended_reuse_delay(now)
-            && evidence != SurplusEvidence::Unexplained
-            && evidence.required_reuse_delay() <= self.extended_reuse_delay.get()
+            && cause != SurplusCause::Unexplained
+            && cause.required_reuse_delay() <= self.extended_reuse_delay.get()
     }
 
     /// Records that surplus data was detected. Begins a period for which the upstream is suspect,
     /// and returns its length, or extends the one in progress.
-    pub fn record(&self, evidence: SurplusEvidence, now: Instant) -> Option<Duration> {
-        let is_covered = self.is_covered_by_reuse_delay(evidence, now);
+    pub fn record(&self, cause: SurplusCause, now: Instant) -> Option<Duration> {
+        let is_covered = self.is_covered_by_reuse_delay(cause, now);
         if !self.has_extended_reuse_delay(now) {
-            self.suspect.reset();
-            self.single_use.reset();
+            self.suspect_periods.reset();
+            self.single_use_periods.reset();
             self.extended_reuse_delay.set(Duration::ZERO);
         }
         self.extended_reuse_delay.set(
             self.extended_reuse_delay
                 .get()
-                .max(evidence.required_reuse_delay()),
+                .max(cause.required_reuse_delay()),
         );
-        let suspect_period = self.suspect.record_fault(now);
-        if evidence == SurplusEvidence::Unexplained {
-            self.single_use.record_fault(now);
+        let suspect_period = self.suspect_periods.record_fault(now);
+        if cause == SurplusCause::Unexplained {
+            self.single_use_periods.record_fault(now);
         }
         self.reuses.set(0);
         if !is_covered {
-            self.uncovered_detections
-                .set(self.uncovered_detections.get().wrapping_add(1));
-            self.detected.notify_waiters();
+            self.detections_beyond_reuse_delay
+                .set(self.detections_beyond_reuse_delay.get().wrapping_add(1));
+            self.detected_beyond_reuse_delay.notify_waiters();
         }
         suspect_period
     }
 
     /// Records that a connection, kept open for observation only, received no surplus data.
     pub fn record_clean_observation(&self, now: Instant) {
-        self.single_use.record_clean(now);
+        self.single_use_periods.record_clean_observation(now);
     }
 
     /// How often surplus data was detected that the reuse delay did not cover.
-    pub fn uncovered_detections(&self) -> u64 {
-        self.uncovered_detections.get()
+    pub fn detections_beyond_reuse_delay(&self) -> u64 {
+        self.detections_beyond_reuse_delay.get()
     }
 
     /// Returns once the number of uncovered detections differs from `known`.
-    pub async fn detected_since(&self, known: u64) {
+    pub async fn wait_for_detection_after(&self, known: u64) {
         loop {
-            let detected = self.detected.notified();
-            if self.uncovered_detections() != known {
+            let detected = self.detected_beyond_reuse_delay.notified();
+            if self.detections_beyond_reuse_delay() != known {
                 return;
             }
             detected.await;
--- a/balancer/src/outbound/surplus_history/tests.rs
+++ b/balancer/src/outbound/surplus_history/tests.rs
@@ -10,7 +10,7 @@
     assert!(!history.is_suspect(now));
     let mut expected = FIRST_SUSPECT_PERIOD;
     for _ in 0..10 {
-        let began = history.record(SurplusEvidence::ExpectedCopy, now);
+        let began = history.record(SurplusCause::ProbableDuplicate, now);
         assert_eq!(began, Some(expected));
         assert!(history.is_suspect(now + expected - ONE_MS));
         now += expected;
@@ -24,11 +24,11 @@
 fn further_surplus_data_extends_a_suspect_period_without_a_new_one() {
     let history = SurplusHistory::default();
     let start = Instant::now();
-    let evidence = SurplusEvidence::ExpectedCopy;
-    let began = history.record(evidence, start);
+    let cause = SurplusCause::ProbableDuplicate;
+    let began = history.record(cause, start);
     assert_eq!(began, Some(FIRST_SUSPECT_PERIOD));
     let again = start + FIRST_SUSPECT_PERIOD - ONE_MS;
-    assert_eq!(history.record(evidence, again), None);
+    assert_eq!(history.record(cause, again), None);
     assert!(history.is_suspect(again + FIRST_SUSPECT_PERIOD - ONE_MS));
     assert!(!history.is_suspect(again + FIRST_SUSPECT_PERIOD));
 }
@@ -40,16 +40,20 @@
     let history = SurplusHistory::default();
     let now = Instant::now();
     let mut expected = 0;
-    for (evidence, is_covered) in [
-        (SurplusEvidence::ExpectedCopy, false),
-        (SurplusEvidence::ExpectedCopy, true),
-        (SurplusEvidence::Copy { lateness: ONE_MS }, true),
-        (SurplusEvidence::Unexplained, false),
-        (SurplusEvidence::ExpectedCopy, true),
+    for (cause, is_covered) in [
+        (SurplusCause::ProbableDuplicate, false),
+        (SurplusCause::ProbableDuplicate, true),
+        (SurplusCause::Duplicate { delay: ONE_MS }, true),
+        (SurplusCause::Unexplained, false),
+        (SurplusCause::ProbableDuplicate, true),
     ] {
-        history.record(evidence, now);
+        history.record(cause, now);
         expected += u64::from(!is_covered);
-        assert_eq!(history.uncovered_detections(), expected, "{evidence:?}");
+        assert_eq!(
+            history.detections_beyond_reuse_delay(),
+            expected,
+            "{cause:?}"
+        );
     }
 }
 
@@ -58,11 +62,11 @@
 /// machine.
 #[test]
 fn reuse_delay_exceeds_a_second_after_surplus_data() {
-    for evidence in [SurplusEvidence::ExpectedCopy, SurplusEvidence::Unexplained] {
+    for cause in [SurplusCause::ProbableDuplicate, SurplusCause::Unexplained] {
         let history = SurplusHistory::default();
         let start = Instant::now();
         assert!(history.reuse_delay(false, start) < Duration::from_secs(1));
-        history.record(evidence, start);
+        history.record(cause, start);
         let after_suspect_period = start + FIRST_SUSPECT_PERIOD;
         for now in [start, after_suspect_period, start + MAX_SUSPECT_PERIOD] {
             for is_sole in [false, true] {
@@ -79,16 +83,16 @@
 fn reuse_delay_is_short_again_after_a_long_time_without_surplus_data() {
     let history = SurplusHistory::default();
     let mut now = Instant::now();
-    let evidence = SurplusEvidence::ExpectedCopy;
+    let cause = SurplusCause::ProbableDuplicate;
     for length in [FIRST_SUSPECT_PERIOD, FIRST_SUSPECT_PERIOD * 2] {
-        assert_eq!(history.record(evidence, now), Some(length));
+        assert_eq!(history.record(cause, now), Some(length));
         now += length;
     }
-    let clean = now + FIRST_SUSPECT_PERIOD * 2 * CLEAN_PERIODS;
+    let clean = now + FIRST_SUSPECT_PERIOD * 2 * SUSPECT_PERIODS_UNTIL_SHORT_DELAY;
     assert!(history.has_extended_reuse_delay(clean - ONE_MS));
     assert!(!history.has_extended_reuse_delay(clean));
     assert_eq!(history.reuse_delay(true, clean), REUSE_DELAY);
-    let recurrence = history.record(evidence, clean);
+    let recurrence = history.record(cause, clean);
     assert_eq!(
         recurrence,
         Some(FIRST_SUSPECT_PERIOD),
@@ -98,11 +102,11 @@
 
 /// Guards against a new connection for each request because of a single copy.
 #[test]
-fn an_expected_copy_begins_no_single_use() {
+fn a_probable_duplicate_begins_no_single_use_period() {
     let history = SurplusHistory::default();
     let now = Instant::now();
     for _ in 0..3 {
-        history.record(SurplusEvidence::ExpectedCopy, now);
+        history.record(SurplusCause::ProbableDuplicate, now);
         assert!(!history.is_single_use(now));
     }
 }
@@ -110,13 +114,13 @@
 /// Guards against reuse before the responses in flight at a detection have arrived, and against
 /// trusting the upstream again as soon after each recurrence.
 #[test]
-fn unexplained_surplus_data_begins_single_use_that_doubles_at_each_recurrence() {
+fn unexplained_surplus_data_begins_a_single_use_period_that_doubles_at_each_recurrence() {
     let history = SurplusHistory::default();
     let mut now = Instant::now();
     let mut expected = FIRST_SINGLE_USE_PERIOD;
     assert!(expected > LONG_REUSE_DELAY);
     for _ in 0..15 {
-        history.record(SurplusEvidence::Unexplained, now);
+        history.record(SurplusCause::Unexplained, now);
         assert!(history.is_single_use(now + expected - ONE_MS));
         now += expected;
         assert!(!history.is_single_use(now), "it ends after {expected:?}");
@@ -126,14 +130,14 @@
 }
 
 #[test]
-fn clean_observations_shorten_single_use() {
+fn clean_observations_shorten_the_single_use_period() {
     let history = SurplusHistory::default();
     let mut now = Instant::now();
     for length in [FIRST_SINGLE_USE_PERIOD, FIRST_SINGLE_USE_PERIOD * 2] {
-        history.record(SurplusEvidence::Unexplained, now);
+        history.record(SurplusCause::Unexplained, now);
         now += length;
     }
-    history.record(SurplusEvidence::Unexplained, now);
+    history.record(SurplusCause::Unexplained, now);
     history.record_clean_observation(now);
     history.record_clean_observation(now);
     assert!(history.is_single_use(now + FIRST_SINGLE_USE_PERIOD - ONE_MS));
@@ -153,27 +157,33 @@
     assert_eq!(history.reuse_delay(false, now), REUSE_DELAY);
 }
 
-fn copy(lateness_ms: u64) -> SurplusEvidence {
-    let lateness = Duration::from_millis(lateness_ms);
-    SurplusEvidence::Copy { lateness }
+fn duplicate(delay_ms: u64) -> SurplusCause {
+    let delay = Duration::from_millis(delay_ms);
+    SurplusCause::Duplicate { delay }
 }
 
 /// Guards against reuse delays that are hardly longer than the lateness of copies, and against
 /// longer ones than the copies require.
 #[test]
-fn reuse_delay_follows_the_latest_known_copy() {
-    for (lateness_ms, delay_ms) in [(0, 200), (5, 200), (60, 480), (200, 1500), (1000, 1500)] {
+fn reuse_delay_follows_the_largest_known_delay_of_a_duplicate() {
+    for (duplicate_delay_ms, reuse_delay_ms) in
+        [(0, 200), (5, 200), (60, 480), (200, 1500), (1000, 1500)]
+    {
         let history = SurplusHistory::default();
         let now = Instant::now();
-        for lateness in [lateness_ms, 0] {
-            history.record(copy(lateness), now);
-            let delay = Duration::from_millis(delay_ms);
-            assert_eq!(history.reuse_delay(true, now), delay, "{lateness_ms} ms");
+        for duplicate_delay in [duplicate_delay_ms, 0] {
+            history.record(duplicate(duplicate_delay), now);
+            let reuse_delay = Duration::from_millis(reuse_delay_ms);
+            assert_eq!(
+                history.reuse_delay(true, now),
+                reuse_delay,
+                "{duplicate_delay_ms} ms"
+            );
             assert!(!history.is_single_use(now));
         }
-        history.record(SurplusEvidence::Unexplained, now);
+        history.record(SurplusCause::Unexplained, now);
         assert_eq!(history.reuse_delay(true, now), LONG_REUSE_DELAY);
-        history.record(copy(lateness_ms), now);
+        history.record(duplicate(duplicate_delay_ms), now);
         assert_eq!(
             history.reuse_delay(true, now),
             LONG_REUSE_DELAY,
@@ -183,18 +193,18 @@
 }
 
 #[test]
-fn reuse_delay_covers_copies_that_require_no_longer_delay() {
+fn reuse_delay_covers_duplicates_for_which_it_is_long_enough() {
     let history = SurplusHistory::default();
     let now = Instant::now();
     assert!(
-        !history.is_covered_by_reuse_delay(copy(5), now),
+        !history.is_covered_by_reuse_delay(duplicate(5), now),
         "the first"
     );
-    history.record(copy(5), now);
-    assert!(history.is_covered_by_reuse_delay(copy(25), now));
-    assert!(!history.is_covered_by_reuse_delay(copy(26), now));
-    assert!(!history.is_covered_by_reuse_delay(SurplusEvidence::ExpectedCopy, now));
-    history.record(SurplusEvidence::ExpectedCopy, now);
-    assert!(history.is_covered_by_reuse_delay(SurplusEvidence::ExpectedCopy, now));
-    assert!(!history.is_covered_by_reuse_delay(SurplusEvidence::Unexplained, now));
+    history.record(duplicate(5), now);
+    assert!(history.is_covered_by_reuse_delay(duplicate(25), now));
+    assert!(!history.is_covered_by_reuse_delay(duplicate(26), now));
+    assert!(!history.is_covered_by_reuse_delay(SurplusCause::ProbableDuplicate, now));
+    history.record(SurplusCause::ProbableDuplicate, now);
+    assert!(history.is_covered_by_reuse_delay(SurplusCause::ProbableDuplicate, now));
+    assert!(!history.is_covered_by_reuse_delay(SurplusCause::Unexplained, now));
 }
--- a/balancer/src/outbound/surplus_reporter.rs
+++ b/balancer/src/outbound/surplus_reporter.rs
@@ -1,7 +1,7 @@
 //! Reports surplus data on a connection: to the record of its upstream, the metrics and the log.
 use crate::net::shared_stream::SharedStream;
-use crate::outbound::connection_use::ConnectionUse;
-use crate::outbound::surplus_history::{SurplusEvidence, LONG_REUSE_DELAY};
+use crate::outbound::request_history::RequestHistory;
+use crate::outbound::surplus_history::{SurplusCause, LONG_REUSE_DELAY};
 use crate::telemetry::log::LogOutput;
 use crate::telemetry::upstream_counts::UpstreamCounts;
 use std::error::Error;
@@ -11,68 +11,68 @@
 use tokio::time::Instant;
 
 /// The record of the surplus data of one upstream.
-pub trait SurplusRecord {
+pub trait SurplusRecipient {
     /// Where the upstream listens.
     fn address(&self) -> SocketAddr;
 
     /// Records that surplus data was detected, with the evidence that it gives. Returns the length
     /// of the period for which the upstream is suspect, if that period begins now.
-    fn record_surplus(&self, evidence: SurplusEvidence, now: Instant) -> Option<Duration>;
+    fn record_surplus(&self, cause: SurplusCause, now: Instant) -> Option<Duration>;
 }
 
 /// Reports surplus data on one connection to an upstream.
 #[derive(Clone)]
 pub struct SurplusReporter {
-    record: Weak<dyn SurplusRecord>,
+    recipient: Weak<dyn SurplusRecipient>,
     socket: SharedStream,
-    connection_use: Rc<ConnectionUse>,
+    request_history: Rc<RequestHistory>,
     counts: Rc<UpstreamCounts>,
 }
 
 impl SurplusReporter {
-    /// Creates a reporter for one connection. It updates the upstream's `record` as long as that
+    /// Creates a reporter for one connection. It updates the upstream's `recipient` as long as that
     /// exists.
     pub fn new(
-        record: Weak<dyn SurplusRecord>,
+        recipient: Weak<dyn SurplusRecipient>,
         socket: SharedStream,
         counts: Rc<UpstreamCounts>,
     ) -> SurplusReporter {
         SurplusReporter {
-            record,
+            recipient,
             socket,
-            connection_use: Rc::default(),
+            request_history: Rc::default(),
             counts,
         }
     }
 
     /// The requests that the connection has carried.
-    pub fn connection_use(&self) -> &ConnectionUse {
-        &self.connection_use
+    pub fn request_history(&self) -> &RequestHistory {
+        &self.request_history
     }
 
     /// Reports that surplus data was detected on the connection. Unless the reuse delay covers it,
     /// requests in flight on reused connections get no response from them.
     pub fn report(&self) {
         let now = Instant::now();
-        let is_copy = self.socket.is_response_repeated();
-        let evidence = self.connection_use.evidence_of_surplus(is_copy, now);
-        self.report_evidence(evidence, now);
+        let is_duplicate = self.socket.is_response_repeated();
+        let cause = self.request_history.cause_of_surplus(is_duplicate, now);
+        self.report_cause(cause, now);
     }
 
     /// Reports a response that arrived before its request was written completely. If it is a copy
     /// of an earlier response, it is later than any reuse delay covers.
     pub fn report_early_response(&self) {
-        self.report_evidence(SurplusEvidence::Unexplained, Instant::now());
+        self.report_cause(SurplusCause::Unexplained, Instant::now());
     }
 
-    fn report_evidence(&self, evidence: SurplusEvidence, now: Instant) {
-        let Some(record) = self.record.upgrade() else {
+    fn report_cause(&self, cause: SurplusCause, now: Instant) {
+        let Some(recipient) = self.recipient.upgrade() else {
             return;
         };
         self.counts.record_surplus();
-        let address = record.address();
-        tracing::debug!(upstream = %address, ?evidence, "surplus data detected");
-        if let Some(period) = record.record_surplus(evidence, now) {
+        let address = recipient.address();
+        tracing::debug!(upstream = %address, evidence = ?cause, "surplus data detected");
+        if let Some(period) = recipient.record_surplus(cause, now) {
             LogOutput::StandardError.write_line(&format!(
                 "upstream {address}: data beyond its responses: one request per connection \
                  for {} s unless the connection has been idle for up to {} s",
@@ -83,7 +83,7 @@
     }
 
     /// Reports surplus data if it caused the error with which the connection ended.
-    pub fn report_if_cause(&self, error: &hyper::Error) {
+    pub fn report_if_surplus_caused(&self, error: &hyper::Error) {
         if is_caused_by_surplus_data(error) {
             self.report();
         }
--- a/balancer/src/outbound/surplus_reporter/tests.rs
+++ b/balancer/src/outbound/surplus_reporter/tests.rs
@@ -54,7 +54,7 @@
     sleep(ARRIVAL_TIME).await;
     next(&mut peer);
     sleep(ARRIVAL_TIME).await;
-    upstream.surplus().uncovered_detections()
+    upstream.surplus_history().detections_beyond_reuse_delay()
 }
 
 #[tokio::test]
@@ -64,9 +64,9 @@
         assert_eq!(detections_after(twice, |_| ()).await, 1, "at once");
         let later = |peer: &mut std::net::TcpStream| peer.write_all(RESPONSE).expect("writes");
         assert_eq!(detections_after(RESPONSE.to_vec(), later).await, 1, "later");
-        let noise = |peer: &mut std::net::TcpStream| peer.write_all(b"x").expect("writes");
+        let no_http = |peer: &mut std::net::TcpStream| peer.write_all(b"x").expect("writes");
         assert_eq!(
-            detections_after(RESPONSE.to_vec(), noise).await,
+            detections_after(RESPONSE.to_vec(), no_http).await,
             1,
             "no response"
         );
@@ -76,7 +76,7 @@
 
 /// Guards against closing all connections to an upstream because it closes an idle one.
 #[tokio::test]
-async fn a_connection_that_ends_while_idle_is_no_surplus_data() {
+async fn the_end_of_an_idle_connection_is_not_reported_as_surplus_data() {
     let test = async {
         let nothing = |_: &mut std::net::TcpStream| ();
         assert_eq!(detections_after(RESPONSE.to_vec(), nothing).await, 0);
--- a/balancer/src/process/signals.rs
+++ b/balancer/src/process/signals.rs
@@ -59,7 +59,9 @@
         let signals: SigSet = signals.iter().copied().collect();
         let flags = SfdFlags::SFD_NONBLOCK | SfdFlags::SFD_CLOEXEC;
         let descriptor = SignalFd::with_flags(&signals, flags)?;
-        Ok(SignalStream(WatchedDescriptor::new(descriptor)?))
+        Ok(SignalStream(WatchedDescriptor::register_for_reading(
+            descriptor,
+        )?))
     }
 
     /// Waits for the next signal.
--- a/balancer/src/time/timer_service.rs
+++ b/balancer/src/time/timer_service.rs
@@ -41,7 +41,7 @@
     pub fn install() -> io::Result<()> {
         let flags = TimerFlags::TFD_NONBLOCK | TimerFlags::TFD_CLOEXEC;
         let timer = TimerFd::new(ClockId::CLOCK_MONOTONIC, flags)?;
-        let descriptor = WatchedDescriptor::new(timer)?;
+        let descriptor = WatchedDescriptor::register_for_reading(timer)?;
         let service = Rc::new(TimerService {
             queue: RefCell::default(),
             descriptor,
