--- a/balancer/src/net/descriptor_budget.rs
+++ b/balancer/src/net/descriptor_budget.rs
@@ -8,7 +8,7 @@
 /// Descriptors reserved for all other uses: the listener, discovery, the runtime, and sockets that
 /// are closing.
 const RESERVED_DESCRIPTORS: usize = 24;
-/// Largest budget, in connections.
+/// Upper bound of the number of permits, whatever the number of descriptors.
 const MAX_CONNECTIONS: u32 = 1 << 20;
 
 /// `errno` values of Linux that mean a shortage of resources on this machine.
@@ -100,12 +100,13 @@
         })
     }
 
-    /// A permit for a connection to an upstream, if one is free.
+    /// A permit for one connection, if one is free. A connection to an upstream needs no other; a
+    /// client connection also needs a permit of `clients`.
     pub fn try_acquire_connection(&self) -> Option<OwnedSemaphorePermit> {
         self.connections.clone().try_acquire_owned().ok()
     }
 
-    /// Whether more than a quarter of the budget is free.
+    /// Whether more than a quarter of the budget is free. Otherwise descriptors count as scarce.
     pub fn has_spare_permits(&self) -> bool {
         self.connections.available_permits() > self.max_connections as usize / 4
     }
--- a/balancer/src/net/descriptor_budget/tests.rs
+++ b/balancer/src/net/descriptor_budget/tests.rs
@@ -17,7 +17,8 @@
     assert_eq!(upstreams.len(), 5);
     drop(upstreams);
     budget.reclaim();
-    // Permits that are in use when the other process starts are yielded as they are released.
+    // Permits that are in use when half of the budget is yielded become part of the yielded half
+    // when they are released.
     let further_clients = acquire_all_clients(&budget);
     assert_eq!(further_clients.len(), 15);
     let mut yielding = std::pin::pin!(budget.yield_half());
--- a/balancer/src/net/listener.rs
+++ b/balancer/src/net/listener.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::task::{Context, Poll};
 
-/// Most connections that the kernel queues until they are accepted.
+/// Largest number of connections that the kernel queues before they are accepted.
 const LISTEN_BACKLOG: i32 = 1024;
 
 /// A listening socket. Connections that it accepts are not yet registered with the event loop, so
@@ -60,8 +60,8 @@
     }
 }
 
-/// Registers an accepted connection with the event loop, and retries until that succeeds. `None` if
-/// the client disconnects before.
+/// Registers an accepted connection with the event loop, and retries until that succeeds. Returns
+/// `None` if the client disconnects before it succeeds.
 pub async fn register_accepted(mut stream: std::net::TcpStream) -> Option<TcpStream> {
     loop {
         match TcpStream::register(stream) {
@@ -73,7 +73,8 @@
     }
 }
 
-/// Whether the client has disconnected and has left no unread bytes.
+/// Whether the client has closed, reset or half-closed the connection, and no bytes of it are
+/// unread.
 fn has_ended_without_unread_bytes(stream: &std::net::TcpStream) -> bool {
     use io::ErrorKind::{Interrupted, WouldBlock};
     match stream.peek(&mut [0]) {
--- a/balancer/src/net/listener/tests.rs
+++ b/balancer/src/net/listener/tests.rs
@@ -20,8 +20,8 @@
     assert_eq!(socket.read(&mut [0; 2]).await.expect("one byte"), 1);
 }
 
-/// Guards against dropping a request whose client half-closes its connection before it is
-/// registered.
+/// Guards against dropping a request whose client closes or half-closes the connection before the
+/// connection is registered.
 #[test]
 fn distinguishes_a_disconnected_client_from_one_whose_request_is_unread() {
     let listener = TcpListener::bind(loopback()).expect("listens");
--- a/balancer/src/net/received_bytes.rs
+++ b/balancer/src/net/received_bytes.rs
@@ -1,8 +1,8 @@
 //! Records the bytes of the newest response on a connection, to determine whether further bytes are
-//! a copy of it.
+//! a duplicate of it.
 
-/// Most bytes that are recorded. Most responses are shorter; whether a longer one is repeated is
-/// not determined.
+/// Largest number of bytes that are recorded. The majority of responses are shorter; whether a
+/// longer one is repeated is not determined.
 pub const MAX_RECORDED_BYTES: usize = 4 << 10;
 
 /// The bytes received since the newest request began.
@@ -38,9 +38,9 @@
         self.response_length = Some(self.bytes.len());
     }
 
-    /// Whether the bytes after the newest response are one or more copies of it. If nothing arrived
-    /// after the response was complete, a copy may have arrived together with it: the boundary is
-    /// then unknown, and the two halves are compared.
+    /// Whether the bytes after the newest response are one or more duplicates of it. If nothing
+    /// arrived after the response was complete, a duplicate may have arrived together with it: the
+    /// boundary is then unknown, and the two halves are compared.
     pub fn is_response_repeated(&self) -> bool {
         let total = self.bytes.len();
         let length = match self.response_length {
--- a/balancer/src/net/received_bytes/tests.rs
+++ b/balancer/src/net/received_bytes/tests.rs
@@ -1,4 +1,4 @@
-//! Which bytes count as a copy of the newest response.
+//! Which bytes count as a duplicate of the newest response.
 use super::*;
 
 /// The bytes of a connection that received a response, and further bytes after it was complete.
--- a/balancer/src/net/retry_io.rs
+++ b/balancer/src/net/retry_io.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause between two attempts.
+/// Pause between two calls.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Retries a call until it succeeds, fails with a permanent error, or `limit` has passed. Returns
@@ -24,8 +24,8 @@
     }
 }
 
-/// Like [`retry_io`], but blocks the thread between two attempts. For the start of a process,
-/// before it has timers.
+/// Like [`retry_io`], but blocks the thread between two calls. It is used while a process starts,
+/// before the process has timers.
 pub fn retry_io_blocking<T>(
     limit: Duration,
     mut call: impl FnMut() -> io::Result<T>,
--- a/balancer/src/net/shared_stream.rs
+++ b/balancer/src/net/shared_stream.rs
@@ -39,7 +39,8 @@
     Closed,
 }
 
-/// Decides whether the next message may be written. Called once, when its first byte is written.
+/// Decides whether the next message may be written. Called once, before the first write of that
+/// message is tried.
 pub type WriteCheck = Box<dyn FnOnce() -> bool>;
 
 /// The error of a write that its [`WriteCheck`] denied.
@@ -54,8 +55,8 @@
     write_progress: Rc<Cell<WriteProgress>>,
     /// The number of messages that have been written completely.
     messages_written: Rc<Cell<u64>>,
-    /// Whether the runtime's readiness was cleared although bytes may be unread. The next read then
-    /// asks the kernel before it waits for readiness.
+    /// Whether the runtime's record that this stream is readable was cleared although bytes may be
+    /// unread. The next read then asks the kernel before it waits for the runtime.
     readiness_cleared: Rc<Cell<bool>>,
     /// Since when bytes are known to be unread.
     unread_since: Rc<Cell<Option<Instant>>>,
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Whether the bytes after the newest response are a copy of it. Reads the unread bytes, so
-    /// that the connection cannot be used any more.
+    /// Whether the bytes after the newest response are a duplicate of it. Reads the unread bytes;
+    /// the connection cannot be used after that.
     pub fn is_response_repeated(&self) -> bool {
         let mut buffer = [0; MAX_RECORDED_BYTES];
         let mut unread = ReadBuf::new(&mut buffer);
@@ -151,8 +152,8 @@
         }
     }
 
-    /// How far the newest message has been written. The writer of the message sets it up to
-    /// [`WriteProgress::HandedOver`].
+    /// How far the newest message has been written. The writer of the message sets this to
+    /// [`WriteProgress::HandedOver`]; the flush after that sets [`WriteProgress::Complete`].
     pub fn write_progress(&self) -> Rc<Cell<WriteProgress>> {
         self.write_progress.clone()
     }
@@ -184,7 +185,8 @@
         Peer(Rc::downgrade(&self.stream))
     }
 
-    /// Has the next message written only if `check` allows it at the message's first byte.
+    /// Sets the check for the next message: the message is written only if `check` returns true
+    /// when its first write is tried.
     pub fn set_write_check(&self, check: WriteCheck) {
         *self.write_check.borrow_mut() = Some(check);
     }
@@ -221,7 +223,7 @@
         self.unread_since.take().unwrap_or_else(Instant::now)
     }
 
-    /// Returns when the peer has disconnected.
+    /// Waits until the peer has disconnected.
     pub async fn wait_for_disconnect(&self) {
         while !self.peer_disconnected() {
             self.record_unread(Instant::now());
--- a/balancer/src/net/watched_descriptor.rs
+++ b/balancer/src/net/watched_descriptor.rs
@@ -10,16 +10,17 @@
 use tokio::io::unix::AsyncFd;
 use tokio::io::Interest;
 
-/// A file descriptor that the event loop watches. Its owner cannot be replaced in the meantime.
+/// A file descriptor that the event loop watches. `T` is the value that owns the descriptor; while
+/// the event loop watches the descriptor, that value can be neither replaced nor taken out.
 pub struct WatchedDescriptor<T> {
     /// `None` only while this value is dropped.
     watched: Option<AsyncFd<WatchedOwner<T>>>,
 }
 
 impl<T> Drop for WatchedDescriptor<T> {
-    /// Catches a panic of the runtime, which wakes its event loop after several registrations have
-    /// ended, and panics if that fails. By then the registration has ended, and the event loop need
-    /// not be woken, as it runs on this thread.
+    /// Catches a panic of the runtime: after several registrations have ended, the runtime wakes
+    /// its event loop, and panics if it cannot. When it panics, this registration has ended
+    /// already, and the event loop need not be woken, as it runs on this thread.
     fn drop(&mut self) {
         let watched = self.watched.take();
         let _ = contain(|| drop(watched));
@@ -36,7 +37,7 @@
     pub source: io::Error,
 }
 
-/// The owner of a descriptor, and the descriptor's number at its registration.
+/// The owner of a watched descriptor, and the descriptor's number at its registration.
 struct WatchedOwner<T> {
     owner: T,
     number: RawFd,
@@ -78,13 +79,13 @@
         })
     }
 
-    /// Registers a descriptor that is only read, not written. Drops its owner if that fails, which
+    /// Registers a non-blocking descriptor that is only read. If that fails, drops the owner, which
     /// closes the descriptor.
     pub fn register_for_reading(owner: T) -> io::Result<WatchedDescriptor<T>> {
         WatchedDescriptor::register(owner, Interest::READABLE).map_err(|error| error.source)
     }
 
-    /// The watched descriptor.
+    /// The owner of the watched descriptor.
     pub fn get(&self) -> &T {
         &self.watched().get_ref().owner
     }
--- a/balancer/src/outbound/attempt.rs
+++ b/balancer/src/outbound/attempt.rs
@@ -27,9 +27,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How long the body of a request is withheld on a reused connection. If the upstream has closed
-/// the connection, its reset arrives within this time. A request whose last byte is unwritten has
-/// not run, so it may then use another connection.
+/// How long the body of a request is withheld on a connection from the pool. If the upstream has
+/// closed the connection, the upstream's reset arrives within this time. A request whose last byte
+/// is unwritten has not run, so it may then use another connection.
 const BODY_DELAY_ON_POOLED_CONNECTION: Duration = Duration::from_millis(2);
 /// Time allowed for a connection to become ready for its next request after a complete response.
 const CONNECTION_READY_TIMEOUT: Duration = Duration::from_millis(5);
@@ -58,7 +58,7 @@
         self.connector.idle_limit()
     }
 
-    /// Whether no more sockets may be opened.
+    /// Whether the descriptor budget has no free permit, so that no connection can be opened.
     pub fn descriptors_exhausted(&self) -> bool {
         self.connector.descriptors_exhausted()
     }
@@ -99,11 +99,11 @@
     transport: &'a Transport,
     upstream: Rc<Upstream>,
     request: Rc<OutboundRequest>,
-    /// The attempt must have ended by then.
+    /// When the attempt must have ended.
     deadline: Instant,
 }
 
-/// A request whose response has begun: its connection, and the head of the response.
+/// A response that has begun: its head, and the connection on which its body follows.
 struct StartedResponse {
     connection: Connection,
     lease: ReuseLease,
@@ -112,8 +112,8 @@
 
 impl Attempt<'_> {
     /// Connects, writes the request and reads the head of its response. Takes another connection
-    /// whenever an idle one turns out to be stale: that the upstream closed it is no evidence of a
-    /// failure of the upstream.
+    /// whenever an idle one turns out to be stale: an upstream that closes an idle connection has
+    /// not failed.
     async fn send_request(
         &self,
         on_connected: impl Fn(),
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Whether a response belongs to an earlier request. On a reused connection the body is
+    /// Whether a response belongs to an earlier request. On a connection from the pool the body is
     /// withheld at first, so the upstream cannot have served a request whose body is not written
     /// yet.
     fn is_surplus(
@@ -209,9 +209,10 @@
             .map_err(|_| AttemptOutcome::NotSent)
     }
 
-    /// Has the write conditions checked again at the request's first byte: the connection's task
-    /// may write it later, and the whole process may be suspended in between. The returned flag
-    /// tells whether that check denied the write.
+    /// Sets a second check of the write conditions, which runs when the request's first write is
+    /// tried: the connection's task may try it later than this call, and the whole process may be
+    /// suspended between the two. The returned flag tells whether the second check denied the
+    /// write.
     fn recheck_at_first_byte(&self, socket: &SharedStream) -> Rc<Cell<bool>> {
         let denied = Rc::new(Cell::new(false));
         let denied_by_check = denied.clone();
@@ -229,7 +230,8 @@
     }
 
     /// Builds the request to write: with its remaining time, in microseconds, as a header, and on a
-    /// reused connection with a body that is withheld until the connection is known to be open.
+    /// connection from the pool with a body that is withheld until the connection is known to be
+    /// open.
     fn build_request(
         &self,
         origin: ConnectionOrigin,
@@ -253,8 +255,8 @@
         Ok(request)
     }
 
-    /// Buffers or relays the body of a response, and returns the connection to the pool after a
-    /// complete one.
+    /// Buffers or relays the body of a response. After a complete response, returns the connection
+    /// to the pool.
     async fn receive_response(
         &self,
         started: StartedResponse,
@@ -363,7 +365,8 @@
     (outcome == AttemptOutcome::Cancelled).then_some(FinalResponse::ClientError(status))
 }
 
-/// The conditions that forbid writing the request, as of now. The attempt ends at `deadline`.
+/// What decides whether the request may be written, as of now: each field that is true forbids it.
+/// The attempt ends at `deadline`.
 fn write_conditions(
     upstream: &Upstream,
     request: &OutboundRequest,
--- a/balancer/src/outbound/attempt/tests.rs
+++ b/balancer/src/outbound/attempt/tests.rs
@@ -92,7 +92,8 @@
     });
 }
 
-/// Responses that end early or are malformed, and the outcome of their attempt.
+/// Responses that end early, are malformed or declare too large a body, each with the outcome of
+/// its attempt.
 const UNUSABLE_RESPONSES: [(&str, AttemptOutcome); 10] = [
     (
         "HTTP/1.1 OK 200\r\nContent-Length: 2\r\n\r\nxx",
@@ -183,10 +184,10 @@
 }
 
 /// Guards against losing a non-idempotent request on a connection that became stale while it was
-/// idle: the reset answers the request's head, and the request has not run. The body is withheld
-/// for so long here that only the reset can end the wait. The test waits between the two requests,
-/// as a connection that was idle for less than the reuse delay is not used while a new one can be
-/// opened.
+/// idle: the upstream resets the connection after the request's head, and the request has not run.
+/// The body is withheld for 60 s here, so that only the reset can end the wait. The test waits
+/// between the two requests, so that the reuse delay has passed and the second request takes the
+/// idle connection at once.
 #[test]
 fn repeats_a_request_whose_idle_connection_was_stale() {
     run_test(async {
@@ -217,13 +218,13 @@
         let received_on_stale = server.join().expect("the upstream");
         assert!(
             received_on_stale.ends_with(b"\r\n\r\n"),
-            "the body was written before the stale connection check had ended"
+            "the body was written although its delay had not ended"
         );
     });
 }
 
-/// Guards against treating a connection that was closed because of surplus data as a stale one: the
-/// core would close all idle connections before each attempt.
+/// Guards against reporting a reset for a connection that the balancer closed because of surplus
+/// data: the core would take all idle connections for stale, and close them before each attempt.
 #[test]
 fn reports_a_request_that_may_get_another_requests_response_as_error() {
     run_test(async {
--- a/balancer/src/outbound/attempt_result.rs
+++ b/balancer/src/outbound/attempt_result.rs
@@ -26,7 +26,7 @@
 pub enum SendRequestError {
     /// The outcome that is reported to the core.
     Outcome(AttemptOutcome),
-    /// The client failed to send the request body.
+    /// The request body could not be read from the client to its end.
     RequestBody(BodyError),
 }
 
--- a/balancer/src/outbound/connection_pool.rs
+++ b/balancer/src/outbound/connection_pool.rs
@@ -17,8 +17,8 @@
 /// Connections that have been idle for this long are preferred: the longer a connection has been
 /// idle, the less likely it is that surplus data still follows its last response.
 const PREFERRED_IDLE_TIME: Duration = Duration::from_secs(1);
-/// How long a connection that may not be reused stays open for observation: whether surplus data
-/// still follows the upstream's responses.
+/// How long a connection that may not be reused stays open, to find out whether surplus data still
+/// follows the upstream's responses.
 const OBSERVATION_TIME: Duration = LONG_REUSE_DELAY;
 
 /// An open connection; closed when dropped.
@@ -70,12 +70,12 @@
         }
     }
 
-    /// The requests that it has carried.
+    /// The history of the requests that the connection has carried.
     pub fn request_history(&self) -> &RequestHistory {
         self.surplus_reporter.request_history()
     }
 
-    /// Reports surplus data on this connection.
+    /// The reporter of surplus data on this connection.
     pub fn surplus_reporter(&self) -> &SurplusReporter {
         &self.surplus_reporter
     }
@@ -149,7 +149,7 @@
     /// After this time nothing may be written to the upstream. Set while the upstream is draining,
     /// gone or suspended.
     write_deadline: Cell<Option<Instant>>,
-    /// Increases with each process that replaces the upstream's previous one.
+    /// How often another process has replaced the upstream's process.
     generation: Cell<u64>,
     idle: RefCell<Vec<IdleConnection>>,
     /// The number of open connections: idle ones, and those that carry a request.
@@ -183,8 +183,8 @@
         self.address.replace(address)
     }
 
-    /// The generation of the upstream, which increases with each process that replaces the previous
-    /// one. A connection belongs to one generation.
+    /// The generation of the upstream: how often another process has replaced its process. A
+    /// connection belongs to the generation in which its dial began.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
@@ -242,7 +242,7 @@
         self.idle.borrow().iter().any(is_reusable)
     }
 
-    /// Since when the connection that has been idle for longest is idle.
+    /// When the connection that has been idle for longest became idle.
     pub fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.borrow().first().map(|idle| idle.idle_since)
     }
@@ -256,7 +256,7 @@
     }
 
     /// Takes a connection that may carry a request now and has been idle for less than
-    /// `idle_limit`. Without one, tells when the next one may be reused.
+    /// `idle_limit`. If there is none, returns the time at which the next one may carry a request.
     pub fn take_idle(&self, idle_limit: Duration) -> PooledConnection {
         let now = Instant::now();
         self.close_expired(now, idle_limit);
@@ -287,10 +287,11 @@
         self.open_connections.get() == 1
     }
 
-    /// Removes the most recently used of the connections that have been idle for
-    /// [`PREFERRED_IDLE_TIME`]: the others stay idle and expire, whereas using them in turn would
-    /// keep all of them open. Without one, removes the connection that has been idle for longest
-    /// of those that may be used.
+    /// Removes the connection for the next request. Of the connections that have been idle for at
+    /// least [`PREFERRED_IDLE_TIME`], this is the one that became idle last: the others stay idle
+    /// and expire, whereas using all of them in turn would keep all of them open. If none has been
+    /// idle for that long, it is the connection that has been idle for longest, of those that may
+    /// carry a request.
     fn remove_best_idle(&self, now: Instant) -> Option<Connection> {
         let reuse_delay = self.reuse_delay(now);
         let mut idle = self.idle.borrow_mut();
@@ -304,9 +305,10 @@
         Some(idle.remove(position).connection)
     }
 
-    /// Returns a connection to the pool after a complete response. If the single-use period lasts
-    /// beyond the connection's reuse delay, it carries no further request: it is kept for
-    /// observation if no other one is, and closed otherwise.
+    /// Returns a connection to the pool after a complete response. If the single-use period will
+    /// still be in progress after [`LONG_REUSE_DELAY`] from now, the connection carries no further
+    /// request: it is kept open for observation if no other connection to this upstream is, and
+    /// closed otherwise.
     pub fn return_after_response(&self, connection: Connection) {
         let now = Instant::now();
         connection.socket.acknowledge_received_data();
--- a/balancer/src/outbound/connection_pool/tests.rs
+++ b/balancer/src/outbound/connection_pool/tests.rs
@@ -16,7 +16,7 @@
     let connector = Connector::new(TIMEOUT, TIMEOUT, DescriptorBudget::new(64), Rc::default());
     let connected = connector.connect(upstream, Instant::now() + TIMEOUT).await;
     let Ok(mut connected) = connected else {
-        panic!("the connection opens");
+        panic!("the connection could not be opened");
     };
     assert_eq!(connected.origin, ConnectionOrigin::New);
     connected.connection.sender.ready().await.expect("is open");
@@ -27,15 +27,15 @@
     matches!(upstream.take_idle(TIMEOUT), PooledConnection::Ready(_))
 }
 
-/// Whether the pool still has an idle connection after this evidence was recorded.
+/// Whether the pool still has an idle connection after surplus data with this cause was recorded.
 async fn keeps_idle_connection(upstream: &Rc<Upstream>, cause: SurplusCause) -> bool {
     upstream.add_unused(open_connection(upstream).await);
     upstream.record_surplus(cause, Instant::now());
     is_ready(upstream)
 }
 
-/// Guards against closing other connections than the one with the copy, once the reuse delay is
-/// long enough to detect a copy on each of them.
+/// Guards against closing connections on which no duplicate arrived, once the reuse delay is long
+/// enough to detect a duplicate on each of them.
 #[tokio::test]
 async fn a_probable_duplicate_closes_idle_connections_only_before_the_long_reuse_delay() {
     let test = async {
@@ -54,7 +54,7 @@
 }
 
 /// Guards against a second wrong response, and against single use of connections after surplus data
-/// that is an expected copy.
+/// that is a probable duplicate.
 #[tokio::test]
 async fn a_used_connection_is_reused_after_the_long_delay_once_there_was_surplus_data() {
     let test = async {
--- a/balancer/src/outbound/connector.rs
+++ b/balancer/src/outbound/connector.rs
@@ -1,4 +1,4 @@
-//! Gets an attempt a connection to its upstream: an idle one from the pool, or a new one.
+//! Provides an attempt with a connection to its upstream: an idle one from the pool, or a new one.
 use crate::net::descriptor_budget::{is_resource_shortage, DescriptorBudget};
 use crate::net::shared_stream::{SharedStream, MAX_HEAD_BYTES};
 use crate::net::tcp_stream::TcpStream;
@@ -24,7 +24,7 @@
 /// An attempt without a connection starts another dial to the same upstream, a hedge, each time the
 /// dial timeout divided by this number has passed. It uses the first connection that opens.
 const HEDGES_PER_DIAL_TIMEOUT: u32 = 8;
-/// Most dials for one attempt.
+/// Largest number of dials for one attempt.
 const MAX_DIALS: usize = 3;
 
 /// Where a connection comes from.
@@ -83,13 +83,14 @@
         self.idle_limit
     }
 
-    /// Whether no more sockets may be opened.
+    /// Whether the descriptor budget has no free permit, so that no connection can be opened.
     pub fn descriptors_exhausted(&self) -> bool {
         self.descriptors.is_exhausted()
     }
 
-    /// Whether an idle connection to this upstream may be kept. If descriptors are scarce and
-    /// surplus data extends the reuse delay, other connections need the descriptor sooner.
+    /// Whether an idle connection to this upstream may be kept. It may not if descriptors are
+    /// scarce and surplus data extends the reuse delay: other connections then need its descriptor
+    /// before it could be reused.
     pub fn may_keep_idle(&self, upstream: &Upstream) -> bool {
         self.descriptors.has_spare_permits()
             || !upstream
@@ -98,8 +99,8 @@
     }
 
     /// Returns the first connection to the upstream that is available by `deadline`: an idle one,
-    /// one that becomes idle, or a new one. A dial whose connection is not used continues, and adds
-    /// it to the pool.
+    /// one that becomes idle, or a new one. A dial that is not awaited any more continues and adds
+    /// its connection to the pool, unless descriptors are scarce when its attempt stops waiting.
     pub async fn connect(
         &self,
         upstream: &Rc<Upstream>,
@@ -107,7 +108,8 @@
     ) -> Result<AcquiredConnection, AttemptOutcome> {
         let deadline = deadline.min(Instant::now() + self.dial_timeout);
         let mut dials = Dials::new(self, upstream);
-        // An attempt with little time left does not wait for an idle connection to become reusable.
+        // An attempt waits for an idle connection to become reusable for at most half of the time
+        // that it has for connecting.
         let latest_reuse_at =
             Instant::now() + deadline.saturating_duration_since(Instant::now()) / 2;
         loop {
@@ -155,8 +157,8 @@
                 .has_extended_reuse_delay(Instant::now())
     }
 
-    /// Starts a dial, which continues if its attempt ends. A connection that no attempt waits for
-    /// any more is added to the pool.
+    /// Starts a dial. If its attempt stops waiting for it, the dial continues and adds its
+    /// connection to the pool, unless descriptors are scarce at that time.
     fn start_dial(&self, upstream: &Rc<Upstream>, results: mpsc::Sender<DialResult>) {
         let connector = self.clone();
         let upstream = upstream.clone();
@@ -193,8 +195,8 @@
         let open_count = self.counts.record_connection_opened();
         let task = tokio::task::spawn_local(async move {
             let _open_count = open_count;
-            // An attempt on the connection gets its error too; on an idle connection only this task
-            // does.
+            // If an attempt uses the connection, the attempt gets the error too. If the connection
+            // is idle, only this task gets it.
             if let Err(error) = connection.await {
                 reporter.report_if_surplus_caused(&error);
             }
@@ -277,8 +279,8 @@
     }
 }
 
-/// Returns when the attempt that started a dial stops waiting for it, if descriptors are too scarce
-/// then to continue it. Never returns otherwise.
+/// Waits until the attempt that started a dial has stopped waiting for it. Returns then if
+/// descriptors are scarce, so that the dial must end; otherwise it never returns.
 async fn wait_until_dial_must_end(
     results: &mpsc::Sender<DialResult>,
     descriptors: &DescriptorBudget,
--- a/balancer/src/outbound/connector/tests.rs
+++ b/balancer/src/outbound/connector/tests.rs
@@ -67,7 +67,7 @@
         sleep(Duration::from_millis(100)).await;
         listener.admit();
         let Ok(busy) = connector.connect(&upstream, far_deadline()).await else {
-            panic!("another attempt connects at once");
+            panic!("the second attempt could not connect");
         };
         assert_eq!(busy.origin, ConnectionOrigin::New);
         assert!(!dialling.is_finished(), "the first attempt's dial is late");
--- a/balancer/src/outbound/dispatch.rs
+++ b/balancer/src/outbound/dispatch.rs
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Whether no more sockets may be opened.
+    /// Whether the descriptor budget has no free permit, so that no connection can be opened.
     pub fn descriptors_exhausted(&self) -> bool {
         match self {
             Dispatch::Sockets(transport) => transport.descriptors_exhausted(),
--- a/balancer/src/outbound/endpoint_table.rs
+++ b/balancer/src/outbound/endpoint_table.rs
@@ -1,5 +1,4 @@
-//! The endpoints that the core may choose for an attempt, with their connections. Kept up to date
-//! with the endpoint lists of discovery.
+//! The endpoints of discovery's lists, with their connections. Kept up to date with those lists.
 use crate::discovery::endpoints::{EndpointUpdate, ListedEndpoint};
 use crate::outbound::connection_pool::Upstream;
 use balancer_core::{Availability, Millis, UpstreamId};
@@ -55,12 +54,12 @@
     }
 }
 
-/// Every endpoint that the core may choose: the listed ones, and removed ones that have attempts in
+/// Every endpoint that is listed, and every one that is no longer listed but still has attempts in
 /// flight.
 pub struct EndpointTable {
     by_id: HashMap<UpstreamId, EndpointEntry>,
-    /// How long after an update requests may still be written to an upstream that it reports as
-    /// draining or no longer lists.
+    /// How long requests may still be written to an upstream after the update that reports it as
+    /// draining or no longer lists it.
     drain_grace: Duration,
     /// Whether any endpoint has ever been listed.
     has_ever_listed: bool,
@@ -105,7 +104,7 @@
             .collect()
     }
 
-    /// Removes an endpoint from the table.
+    /// Deletes the entry of an endpoint.
     pub fn forget(&mut self, id: UpstreamId) {
         self.by_id.remove(&id);
     }
@@ -115,8 +114,9 @@
         self.by_id.get(&id).map(|entry| &entry.upstream)
     }
 
-    /// Applies an update of discovery. A snapshot also removes the endpoints that it does not list.
-    /// An update does not lift the write deadline of an upstream that an operator has suspended.
+    /// Applies an update of discovery. A snapshot also marks the endpoints that it does not list as
+    /// gone. An update does not lift the write deadline of an upstream that an operator has
+    /// suspended.
     pub fn apply(
         &mut self,
         update: &EndpointUpdate,
@@ -159,8 +159,8 @@
         }
     }
 
-    /// Restores an upstream that an operator suspended. Its process was restarted in the meantime,
-    /// so its old connections are not used again.
+    /// Restores an upstream that an operator suspended. Its process may have been restarted while
+    /// it was suspended, so connections from before are not used again.
     pub fn restore(&self, id: UpstreamId) {
         if let Some(entry) = self.by_id.get(&id) {
             entry.upstream.mark_replaced();
@@ -170,7 +170,7 @@
         }
     }
 
-    /// How many upstreams are suspect: they have sent surplus data recently.
+    /// How many upstreams are suspect, that is, have sent surplus data recently.
     pub fn suspect_count(&self) -> usize {
         let now = Instant::now();
         self.by_id
@@ -187,7 +187,8 @@
         }
     }
 
-    /// Closes the connection that has been idle for longest, of all upstreams.
+    /// Closes the connection that has been idle for longest among the idle connections to all
+    /// upstreams.
     pub fn close_oldest_idle(&self) {
         let oldest = self
             .by_id
--- a/balancer/src/outbound/fault_periods.rs
+++ b/balancer/src/outbound/fault_periods.rs
@@ -1,4 +1,5 @@
-//! A period that starts at a fault, and whose length doubles each time the fault recurs after it.
+//! Periods that each begin with a fault. The length doubles each time a fault recurs after a
+//! period.
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -10,8 +11,8 @@
     length: Duration,
 }
 
-/// A period that begins with a fault, and ends once no fault has occurred for its length. A fault
-/// after its end begins a new period of twice the length.
+/// Successive periods, each of which begins with a fault and ends once no fault has occurred for
+/// its length. A fault after the end of a period begins a new one of twice the length.
 pub struct FaultPeriods {
     first_length: Duration,
     max_length: Duration,
@@ -19,8 +20,8 @@
 }
 
 impl FaultPeriods {
-    /// Creates one without a current period. The first period has `first_length`; none is longer
-    /// than `max_length`.
+    /// Creates the value before any fault. The first period has the length `first_length`; none is
+    /// longer than `max_length`.
     pub const fn new(first_length: Duration, max_length: Duration) -> FaultPeriods {
         FaultPeriods {
             first_length,
@@ -50,8 +51,9 @@
         begins.then_some(length)
     }
 
-    /// Records a check that found no fault: halves the period's length, but not below the first
-    /// length, and ends it at most this long after `now`.
+    /// Records an observation without a fault: halves the period's length, but not below the first
+    /// length. The period then ends at its previous end or at `now` plus the new length, whichever
+    /// is earlier.
     pub fn record_clean_observation(&self, now: Instant) {
         if let Some(newest) = self.newest.get() {
             let length = (newest.length / 2).max(self.first_length);
--- a/balancer/src/outbound/fault_periods/tests.rs
+++ b/balancer/src/outbound/fault_periods/tests.rs
@@ -1,11 +1,11 @@
-//! How a period grows and shrinks.
+//! How the length of periods grows and shrinks.
 use super::*;
 
 const FIRST: Duration = Duration::from_secs(2);
 const MAX: Duration = Duration::from_secs(60);
 const ONE_MS: Duration = Duration::from_millis(1);
 
-/// A period that has begun four times, and the time at which the newest began.
+/// Four successive periods, and the time at which the newest began.
 fn grown_periods() -> (FaultPeriods, Instant) {
     let periods = FaultPeriods::new(FIRST, MAX);
     let mut now = Instant::now();
--- a/balancer/src/outbound/headers.rs
+++ b/balancer/src/outbound/headers.rs
@@ -1,7 +1,7 @@
 //! Headers that the balancer adds, reads or removes when it forwards requests and responses.
 use hyper::header::{self, HeaderMap, HeaderName};
 
-/// Tells an upstream the remaining time of an attempt.
+/// Tells an upstream the remaining time of an attempt, in microseconds with the suffix `u`.
 pub const DEADLINE_HEADER: HeaderName = HeaderName::from_static("req-deadline");
 /// Marks a response whose upstream rejected the request without running it.
 pub const REJECTED_HEADER: HeaderName = HeaderName::from_static("srv-declined");
@@ -18,7 +18,7 @@
     header::UPGRADE,
 ];
 
-/// Removes the headers that belong to one connection, and those that frame the body, which is
+/// Removes the headers that belong to one connection, `Expect`, and `Content-Length`; the body is
 /// framed anew for the next connection.
 pub fn remove_hop_by_hop_headers(headers: &mut HeaderMap) {
     let connection_options: Vec<HeaderName> = headers
--- a/balancer/src/outbound/message.rs
+++ b/balancer/src/outbound/message.rs
@@ -72,7 +72,7 @@
     },
     /// The upstream found the request invalid, with this status.
     ClientError(StatusCode),
-    /// The client's request body failed.
+    /// The request body could not be read from the client to its end.
     RequestBodyFailed(BodyError),
     /// The request failed, and may have run.
     Failed,
@@ -81,10 +81,10 @@
 /// Why the driver did not accept a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum SubmitError {
-    /// The limit of pending requests is reached.
-    #[error("the limit of pending requests is reached")]
+    /// As many requests are in progress as are allowed.
+    #[error("as many requests are in progress as are allowed")]
     AtCapacity,
-    /// A request with the same id is pending.
+    /// A request with the same id is in progress.
     #[error("a request with this Req-Id is already in progress")]
     DuplicateRequestId,
 }
--- a/balancer/src/outbound/request_history.rs
+++ b/balancer/src/outbound/request_history.rs
@@ -1,5 +1,5 @@
-//! The requests that one connection to an upstream has carried, and what surplus data on it is
-//! evidence of.
+//! The requests that one connection to an upstream has carried, and the cause of surplus data on
+//! it.
 use crate::outbound::surplus_history::{
     SurplusCause, LONG_REUSE_DELAY, MAX_DETECTABLE_DUPLICATE_DELAY,
 };
@@ -48,14 +48,18 @@
         self.requests.get() > 1
     }
 
-    /// What surplus data that arrives at `now` is evidence of. On a connection that has carried one
-    /// request it is a copy of that request's response. After early reuse it may be the response to
-    /// a request that was given the response to an earlier one. Data later than
-    /// [`MAX_DETECTABLE_DUPLICATE_DELAY`] could have been taken for a response on a reused connection.
+    /// The cause of surplus data that arrives at `now`.
     ///
-    /// If the data equals the newest response (`is_duplicate`), its lateness is known. That holds only
-    /// if the newest response certainly belongs to its request: after early reuse it may be a copy
-    /// itself.
+    /// On a connection that has carried one request, the data is a duplicate of that request's
+    /// response. After early reuse, a request may have been given the response to an earlier
+    /// request; the data may then be the response that this request should have got. Data that
+    /// arrives later than [`MAX_DETECTABLE_DUPLICATE_DELAY`] after the newest response may be too
+    /// late for the reuse delay: on a reused connection it could have been taken for the response
+    /// to the next request.
+    ///
+    /// If the data equals the newest response (`is_duplicate`), the duplicate's delay is the time
+    /// since that response. This is known only if the newest response certainly belongs to its
+    /// request: after early reuse it may itself be a duplicate of an earlier response.
     pub fn cause_of_surplus(&self, is_duplicate: bool, now: Instant) -> SurplusCause {
         let delay = self.surplus_delay(now);
         let is_late = delay > MAX_DETECTABLE_DUPLICATE_DELAY;
@@ -69,7 +73,8 @@
     }
 
     /// Time since the newest response was complete. Zero before the first response, and while a
-    /// response is awaited or incomplete: data that arrives then counts as arriving with it.
+    /// response is awaited or incomplete: data that arrives meanwhile counts as arriving with that
+    /// response.
     fn surplus_delay(&self, now: Instant) -> Duration {
         match self.last_response_at.get() {
             Some(response_at) if !self.awaits_response.get() => {
--- a/balancer/src/outbound/request_history/tests.rs
+++ b/balancer/src/outbound/request_history/tests.rs
@@ -1,4 +1,4 @@
-//! What surplus data is evidence of, depending on what its connection has carried.
+//! The cause of surplus data, depending on what its connection has carried.
 use super::*;
 
 const ONE_MS: Duration = Duration::from_millis(1);
@@ -27,7 +27,10 @@
     connection.record_request(now);
     assert!(!connection.has_completed_request());
     let before_completion = connection.cause_of_surplus(false, now + LONG_REUSE_DELAY);
-    assert_eq!(before_completion, expected, "behind the response");
+    assert_eq!(
+        before_completion, expected,
+        "before the response is complete"
+    );
     connection.record_response(now);
     assert!(connection.has_completed_request() && !connection.is_reused());
     for delay in [Duration::ZERO, ONE_MS, MAX_DETECTABLE_DUPLICATE_DELAY] {
@@ -36,8 +39,8 @@
     }
 }
 
-/// Guards against treating surplus data as harmless that is the response to a request that was
-/// given a wrong one.
+/// Guards against treating surplus data as harmless if it may be the response to a request that was
+/// given another request's response.
 #[test]
 fn surplus_data_after_any_early_reuse_is_unexplained() {
     let early = LONG_REUSE_DELAY - ONE_MS;
@@ -53,8 +56,9 @@
     }
 }
 
-/// Guards against a single-use period after each copy: the copy of an earlier response cannot
-/// arrive that late.
+/// Guards against a single-use period after each duplicate: if each request followed the response
+/// before it after the long reuse delay, the data is a duplicate of the newest response, as a
+/// duplicate of an earlier response would have arrived during that delay.
 #[test]
 fn surplus_data_after_long_reuse_delays_is_a_probable_duplicate() {
     let (connection, now) = used_connection(&[LONG_REUSE_DELAY, LONG_REUSE_DELAY * 2]);
@@ -62,7 +66,7 @@
     assert_eq!(cause, SurplusCause::ProbableDuplicate);
 }
 
-/// Guards against relying on a reuse delay that is hardly longer than the lateness of copies.
+/// Guards against relying on a reuse delay that is hardly longer than the delay of duplicates.
 #[test]
 fn surplus_data_beyond_the_detectable_delay_is_unexplained() {
     for delays in [&[][..], &[LONG_REUSE_DELAY]] {
@@ -73,8 +77,8 @@
     }
 }
 
-/// Guards against measuring the lateness of data that arrives with a response from the response
-/// before it.
+/// Guards against a wrong delay of data that arrives while a response is awaited: it is zero, not
+/// the time since the previous response.
 #[test]
 fn surplus_data_while_a_later_response_is_awaited_is_a_probable_duplicate() {
     let (connection, now) = used_connection(&[LONG_REUSE_DELAY]);
@@ -84,8 +88,8 @@
     assert_eq!(cause, SurplusCause::ProbableDuplicate);
 }
 
-/// Guards against the long reuse delay where the bytes prove that the newest response was the right
-/// one.
+/// Guards against the long reuse delay although equal bytes prove that the data is a duplicate of
+/// the newest response, whose delay is known.
 #[test]
 fn the_same_response_again_is_a_duplicate_with_its_delay() {
     for delays in [&[][..], &[LONG_REUSE_DELAY]] {
@@ -101,7 +105,8 @@
 }
 
 /// Guards against repeated wrong responses: after early reuse the newest response may itself be a
-/// copy of an earlier one, and then a further copy is no evidence that it was the right one.
+/// duplicate of an earlier one, and then a further duplicate does not show that it was the right
+/// one.
 #[test]
 fn the_same_response_again_after_early_reuse_is_unexplained() {
     let (connection, now) = used_connection(&[ONE_MS]);
--- a/balancer/src/outbound/response_relay.rs
+++ b/balancer/src/outbound/response_relay.rs
@@ -68,8 +68,8 @@
     body: Incoming,
     /// Bytes passed on so far.
     forwarded: u64,
-    /// When the body must have ended, as long as no more bytes are forwarded than a small body has.
-    /// Guards against responses that begin and never end.
+    /// When the body must have ended, unless more bytes have been forwarded than a small body may
+    /// have. Guards against responses that begin and never end.
     small_body_deadline: Option<Instant>,
 }
 
--- a/balancer/src/outbound/reuse_lease.rs
+++ b/balancer/src/outbound/reuse_lease.rs
@@ -4,15 +4,17 @@
 use tokio::time::Instant;
 
 /// The use of one connection for one request. It is revoked when surplus data of the upstream is
-/// detected, if the connection carried an earlier request: the next response on it may then belong
-/// to the earlier request. The first response on a connection always belongs to its first request.
+/// detected that the reuse delay does not cover, if the connection carried an earlier request: the
+/// next response on it may then belong to the earlier request. The first response on a connection
+/// always belongs to its first request.
 ///
-/// A request whose lease is revoked ends as an error, not as a reset: an early reset would make the
-/// core treat all idle connections as stale.
+/// A request whose lease is revoked ends as an error, not as a reset: after a reset before the
+/// response, the core would treat all idle connections as stale.
 pub struct ReuseLease {
     upstream: Rc<Upstream>,
     carried_earlier_request: bool,
-    /// How many uncovered detections of surplus data the upstream had when the use began.
+    /// How often surplus data that the reuse delay did not cover had been detected when the use
+    /// began.
     detections_at_start: u64,
 }
 
@@ -43,7 +45,8 @@
                 != self.detections_at_start
     }
 
-    /// Returns once the response on this connection must not be used.
+    /// Waits until the response on this connection must not be used. Never returns on a connection
+    /// that carried no earlier request.
     pub async fn revoked(&self) {
         if !self.carried_earlier_request {
             std::future::pending::<()>().await;
--- a/balancer/src/outbound/surplus_history.rs
+++ b/balancer/src/outbound/surplus_history.rs
@@ -10,20 +10,20 @@
 use tokio::time::Instant;
 
 /// Time between a response and the next request on its connection, unless earlier surplus data
-/// extends it.
-/// Surplus data that arrives within this time is detected as unread data.
+/// requires a longer one. Surplus data that arrives within this time is detected as unread bytes.
 const REUSE_DELAY: Duration = Duration::from_millis(50);
-/// The reuse delay once the upstream has sent surplus data that is not certainly a copy. It detects
-/// copies that are up to a second late, even on a busy machine. A copy then closes only the
-/// connection that it arrives on, so the cost is in proportion to the number of copies.
+/// The reuse delay once the upstream has sent surplus data that is not certainly a duplicate. It
+/// detects duplicates with a delay of up to a second, even on a busy machine. A duplicate then
+/// closes only the connection that it arrives on, so the cost is in proportion to the number of
+/// duplicates.
 pub const LONG_REUSE_DELAY: Duration = Duration::from_millis(1500);
-/// The reuse delay is this multiple of the largest known lateness of a copy, as the next copy may
-/// be later.
+/// The reuse delay is this multiple of the largest known delay of a duplicate, as the next
+/// duplicate may have a longer one.
 const REUSE_DELAY_PER_DUPLICATE_DELAY: u32 = 8;
 /// Shortest reuse delay once the upstream has sent surplus data.
 const MIN_REUSE_DELAY_AFTER_SURPLUS: Duration = Duration::from_millis(200);
-/// How late a copy may be for [`LONG_REUSE_DELAY`] to detect it reliably. After a later one, each
-/// connection carries one request for a time.
+/// Largest delay of a duplicate that [`LONG_REUSE_DELAY`] detects reliably. After a duplicate with
+/// a longer one, each connection carries one request for a time.
 pub const MAX_DETECTABLE_DUPLICATE_DELAY: Duration = Duration::from_millis(1250);
 /// The reuse delay on the only connection to a trusted upstream. It is short, as successive
 /// requests wait for it.
@@ -35,29 +35,29 @@
 const FIRST_SUSPECT_PERIOD: Duration = Duration::from_secs(60);
 /// Longest suspect period.
 const MAX_SUSPECT_PERIOD: Duration = Duration::from_secs(3600);
-/// After this multiple of the suspect period without surplus data, an hour at first, the reuse
-/// delay is [`REUSE_DELAY`] again.
+/// If no surplus data arrives for this multiple of the suspect period after that period has ended,
+/// an hour at first, the reuse delay is [`REUSE_DELAY`] again.
 const SUSPECT_PERIODS_UNTIL_SHORT_DELAY: u32 = 60;
-/// How long each connection carries one request after unexplained surplus data. Longer than
-/// [`LONG_REUSE_DELAY`], so that responses in flight at its start arrive before connections are
-/// reused. Doubles with each recurrence after the period.
+/// How long after unexplained surplus data each connection carries only one request. Longer than
+/// [`LONG_REUSE_DELAY`], so that responses in flight at the start of the period arrive before
+/// connections are reused. Doubles with each recurrence after the period.
 const FIRST_SINGLE_USE_PERIOD: Duration = Duration::from_secs(2);
 /// Longest single-use period.
 const MAX_SINGLE_USE_PERIOD: Duration = Duration::from_secs(3600);
 
-/// What surplus data is evidence of.
+/// What explains surplus data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SurplusCause {
-    /// A copy of the newest response on its connection: their bytes are equal.
+    /// A duplicate of the newest response on its connection: their bytes are equal.
     Duplicate {
-        /// Time from that response to its copy.
+        /// Time from that response to its duplicate.
         delay: Duration,
     },
-    /// Probably a copy of the newest response on its connection, and early enough for
+    /// Probably a duplicate of the newest response on its connection, and early enough for
     /// [`LONG_REUSE_DELAY`] to detect it.
     ProbableDuplicate,
-    /// Possibly the response to a request that was given another request's response, or a copy that
-    /// is too late to be detected by the reuse delay.
+    /// Possibly the response to a request that was given another request's response, or a duplicate
+    /// that is too late to be detected by the reuse delay.
     Unexplained,
 }
 
@@ -74,9 +74,9 @@
 
 /// What is known of one upstream's surplus data.
 pub struct SurplusHistory {
-    /// The period in which the upstream is reported as suspect.
+    /// The periods in which the upstream is reported as suspect.
     suspect_periods: FaultPeriods,
-    /// The period in which each connection carries only one request.
+    /// The periods in which each connection carries only one request.
     single_use_periods: FaultPeriods,
     /// The reuse delay that the surplus data so far requires.
     extended_reuse_delay: Cell<Duration>,
@@ -138,16 +138,16 @@
         self.reuses.set(self.reuses.get().saturating_add(1));
     }
 
-    /// Whether this evidence requires no longer reuse delay than the one in force, so that idle
-    /// connections may still be reused.
+    /// Whether the reuse delay in force is long enough to detect such data, so that idle
+    /// connections may still be reused. Never so for unexplained data.
     pub fn is_covered_by_reuse_delay(&self, cause: SurplusCause, now: Instant) -> bool {
         self.has_extended_reuse_delay(now)
             && cause != SurplusCause::Unexplained
             && cause.required_reuse_delay() <= self.extended_reuse_delay.get()
     }
 
-    /// Records that surplus data was detected. Begins a period for which the upstream is suspect,
-    /// and returns its length, or extends the one in progress.
+    /// Records that surplus data was detected. Begins a suspect period and returns its length, or
+    /// extends the one in progress and returns `None`.
     pub fn record(&self, cause: SurplusCause, now: Instant) -> Option<Duration> {
         let is_covered = self.is_covered_by_reuse_delay(cause, now);
         if !self.has_extended_reuse_delay(now) {
@@ -183,7 +183,8 @@
         self.detections_beyond_reuse_delay.get()
     }
 
-    /// Returns once the number of uncovered detections differs from `known`.
+    /// Waits until the number of detections that the reuse delay did not cover differs from
+    /// `known`.
     pub async fn wait_for_detection_after(&self, known: u64) {
         loop {
             let detected = self.detected_beyond_reuse_delay.notified();
--- a/balancer/src/outbound/surplus_history/tests.rs
+++ b/balancer/src/outbound/surplus_history/tests.rs
@@ -33,8 +33,8 @@
     assert!(!history.is_suspect(again + FIRST_SUSPECT_PERIOD));
 }
 
-/// Guards against failing the requests in flight at each copy that the reuse delay has detected:
-/// when an upstream sent one response in ten twice, a quarter of the requests failed.
+/// Guards against failing the requests in flight at each duplicate that the reuse delay has
+/// detected: when an upstream sent one response in ten twice, a quarter of the requests failed.
 #[test]
 fn covered_surplus_data_affects_no_request_in_flight() {
     let history = SurplusHistory::default();
@@ -57,8 +57,8 @@
     }
 }
 
-/// Guards against a second wrong response after the suspect period: data that is up to a second
-/// late is detected before the connection carries another request, with a margin for a busy
+/// Guards against a second wrong response after the suspect period: data with a delay of up to a
+/// second is detected before the connection carries another request, with a margin for a busy
 /// machine.
 #[test]
 fn reuse_delay_exceeds_a_second_after_surplus_data() {
@@ -100,7 +100,7 @@
     );
 }
 
-/// Guards against a new connection for each request because of a single copy.
+/// Guards against a new connection for each request because of a single duplicate.
 #[test]
 fn a_probable_duplicate_begins_no_single_use_period() {
     let history = SurplusHistory::default();
@@ -111,8 +111,8 @@
     }
 }
 
-/// Guards against reuse before the responses in flight at a detection have arrived, and against
-/// trusting the upstream again as soon after each recurrence.
+/// Guards against reuse before the responses in flight at a detection have arrived, and against a
+/// single-use period that has the same length after each recurrence.
 #[test]
 fn unexplained_surplus_data_begins_a_single_use_period_that_doubles_at_each_recurrence() {
     let history = SurplusHistory::default();
@@ -162,8 +162,8 @@
     SurplusCause::Duplicate { delay }
 }
 
-/// Guards against reuse delays that are hardly longer than the lateness of copies, and against
-/// longer ones than the copies require.
+/// Guards against reuse delays that are hardly longer than the delay of duplicates, and against
+/// longer ones than the duplicates require.
 #[test]
 fn reuse_delay_follows_the_largest_known_delay_of_a_duplicate() {
     for (duplicate_delay_ms, reuse_delay_ms) in
--- a/balancer/src/outbound/surplus_reporter.rs
+++ b/balancer/src/outbound/surplus_reporter.rs
@@ -1,4 +1,4 @@
-//! Reports surplus data on a connection: to the record of its upstream, the metrics and the log.
+//! Reports surplus data on a connection: to its upstream, the metrics and the log.
 use crate::net::shared_stream::SharedStream;
 use crate::outbound::request_history::RequestHistory;
 use crate::outbound::surplus_history::{SurplusCause, LONG_REUSE_DELAY};
@@ -10,13 +10,13 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// The record of the surplus data of one upstream.
+/// Receives the reports of surplus data of one upstream.
 pub trait SurplusRecipient {
     /// Where the upstream listens.
     fn address(&self) -> SocketAddr;
 
-    /// Records that surplus data was detected, with the evidence that it gives. Returns the length
-    /// of the period for which the upstream is suspect, if that period begins now.
+    /// Records that surplus data with this cause was detected. Returns the length of the period for
+    /// which the upstream is suspect, if that period begins now.
     fn record_surplus(&self, cause: SurplusCause, now: Instant) -> Option<Duration>;
 }
 
@@ -30,8 +30,8 @@
 }
 
 impl SurplusReporter {
-    /// Creates a reporter for one connection. It updates the upstream's `recipient` as long as that
-    /// exists.
+    /// Creates a reporter for one connection. It reports to `recipient`, the upstream, as long as
+    /// that exists.
     pub fn new(
         recipient: Weak<dyn SurplusRecipient>,
         socket: SharedStream,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// The requests that the connection has carried.
+    /// The history of the requests that the connection has carried.
     pub fn request_history(&self) -> &RequestHistory {
         &self.request_history
     }
@@ -59,8 +59,9 @@
         self.report_cause(cause, now);
     }
 
-    /// Reports a response that arrived before its request was written completely. If it is a copy
-    /// of an earlier response, it is later than any reuse delay covers.
+    /// Reports a response that arrived before its request was written completely. If the response
+    /// is a duplicate of an earlier one, its delay is longer than the reuse delay that was in
+    /// force.
     pub fn report_early_response(&self) {
         self.report_cause(SurplusCause::Unexplained, Instant::now());
     }
@@ -75,7 +76,7 @@
         if let Some(period) = recipient.record_surplus(cause, now) {
             LogOutput::StandardError.write_line(&format!(
                 "upstream {address}: data beyond its responses: one request per connection \
-                 for {} s unless the connection has been idle for up to {} s",
+                 for {} s, or a wait of up to {} s before its next request",
                 period.as_secs(),
                 LONG_REUSE_DELAY.as_secs_f64()
             ));
@@ -90,7 +91,8 @@
     }
 }
 
-/// Whether data that belongs to no request caused the error, or the error that is its source.
+/// Whether surplus data caused this error: this error, or else its source, is hyper's error for an
+/// unexpected message.
 fn is_caused_by_surplus_data(error: &hyper::Error) -> bool {
     match error.source() {
         None => is_unexpected_message(error),
--- a/balancer/src/outbound/surplus_reporter/tests.rs
+++ b/balancer/src/outbound/surplus_reporter/tests.rs
@@ -25,7 +25,7 @@
     let connector = Connector::new(TIMEOUT, TIMEOUT, budget, Rc::default());
     let acquired = connector.connect(&upstream, Instant::now() + TIMEOUT).await;
     let Ok(mut acquired) = acquired else {
-        panic!("the connection opens");
+        panic!("the connection could not be opened");
     };
     assert_eq!(acquired.origin, ConnectionOrigin::New);
     let (mut peer, _) = listener.accept().expect("accepts");
@@ -68,7 +68,7 @@
         assert_eq!(
             detections_after(RESPONSE.to_vec(), no_http).await,
             1,
-            "no response"
+            "bytes that are no HTTP response"
         );
     };
     LocalSet::new().run_until(test).await;
