--- a/balancer/src/net/listener.rs
+++ b/balancer/src/net/listener.rs
@@ -8,7 +8,7 @@
 use std::net::{SocketAddr, TcpListener};
 use std::task::{Context, Poll};
 
-/// Most connections that the kernel queues until they are accepted.
+/// Largest number of connections that the kernel queues before they are accepted.
 const LISTEN_BACKLOG: i32 = 1024;
 
 /// A listening socket. Connections that it accepts are not yet registered with the event loop, so
@@ -27,7 +27,9 @@
         }
         socket.bind(&address.into())?;
         socket.listen(LISTEN_BACKLOG)?;
-        Ok(Listener(WatchedDescriptor::new(socket.into())?))
+        Ok(Listener(WatchedDescriptor::register_for_reading(
+            socket.into(),
+        )?))
     }
 
     /// The address that it listens on.
@@ -58,21 +60,22 @@
     }
 }
 
-/// Registers an accepted connection with the event loop, and retries until that succeeds. `None` if
-/// the client disconnects before.
-pub async fn register_when_possible(mut stream: std::net::TcpStream) -> Option<TcpStream> {
+/// Registers an accepted connection with the event loop, and retries until that succeeds. Returns
+/// `None` if the client disconnects before it succeeds.
+pub async fn register_accepted(mut stream: std::net::TcpStream) -> Option<TcpStream> {
     loop {
         match TcpStream::register(stream) {
             Ok(registered) => return Some(registered),
-            Err(failed) if has_disconnected(&failed.descriptor) => return None,
-            Err(failed) => stream = failed.descriptor,
+            Err(failed) if has_ended_without_unread_bytes(&failed.owner) => return None,
+            Err(failed) => stream = failed.owner,
         }
         sleep(REGISTRATION_RETRY_DELAY).await;
     }
 }
 
-/// Whether the client has disconnected and has left no unread bytes.
-fn has_disconnected(stream: &std::net::TcpStream) -> bool {
+/// Whether the client has closed, reset or half-closed the connection, and no bytes of it are
+/// unread.
+fn has_ended_without_unread_bytes(stream: &std::net::TcpStream) -> bool {
     use io::ErrorKind::{Interrupted, WouldBlock};
     match stream.peek(&mut [0]) {
         Ok(unread) => unread == 0,
--- a/balancer/src/net/retry_io.rs
+++ b/balancer/src/net/retry_io.rs
@@ -4,18 +4,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause between two attempts.
+/// Pause between two calls.
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Retries a call until it succeeds, fails with a permanent error, or `limit` has passed. Returns
 /// the last result.
 pub async fn retry_io<T>(
     limit: Duration,
-    mut attempt: impl FnMut() -> io::Result<T>,
+    mut call: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
     let deadline = Instant::now() + limit;
     loop {
-        match attempt() {
+        match call() {
             Err(error) if is_transient(&error) && Instant::now() < deadline => {
                 sleep(RETRY_INTERVAL).await;
             }
@@ -24,15 +24,15 @@
     }
 }
 
-/// Like [`retry_io`], but blocks the thread between two attempts. For the start of a process,
-/// before it has timers.
+/// Like [`retry_io`], but blocks the thread between two calls. It is used while a process starts,
+/// before the process has timers.
 pub fn retry_io_blocking<T>(
     limit: Duration,
-    mut attempt: impl FnMut() -> io::Result<T>,
+    mut call: impl FnMut() -> io::Result<T>,
 ) -> io::Result<T> {
     let deadline = Instant::now() + limit;
     loop {
-        match attempt() {
+        match call() {
             Err(error) if is_transient(&error) && Instant::now() < deadline => {
                 std::thread::sleep(RETRY_INTERVAL);
             }
--- a/balancer/src/net/shared_stream.rs
+++ b/balancer/src/net/shared_stream.rs
@@ -39,10 +39,11 @@
     Closed,
 }
 
-/// Decides whether the next message may be written. Called once, when its first byte is written.
-pub type WritePermit = Box<dyn FnOnce() -> bool>;
+/// Decides whether the next message may be written. Called once, before the first write of that
+/// message is tried.
+pub type WriteCheck = Box<dyn FnOnce() -> bool>;
 
-/// The error of a write that its [`WritePermit`] denied.
+/// The error of a write that its [`WriteCheck`] denied.
 #[derive(Debug, Error)]
 #[error("the write was denied")]
 struct WriteDenied;
@@ -54,12 +55,12 @@
     write_progress: Rc<Cell<WriteProgress>>,
     /// The number of messages that have been written completely.
     messages_written: Rc<Cell<u64>>,
-    /// Whether the runtime's readiness was cleared although bytes may be unread. The next read then
-    /// asks the kernel before it waits for readiness.
+    /// Whether the runtime's record that this stream is readable was cleared although bytes may be
+    /// unread. The next read then asks the kernel before it waits for the runtime.
     readiness_cleared: Rc<Cell<bool>>,
     /// Since when bytes are known to be unread.
     unread_since: Rc<Cell<Option<Instant>>>,
-    write_permit: Rc<RefCell<Option<WritePermit>>>,
+    write_check: Rc<RefCell<Option<WriteCheck>>>,
     /// The bytes of the newest response, on a connection to an upstream only.
     received: Option<Rc<RefCell<ReceivedBytes>>>,
 }
@@ -105,13 +106,13 @@
             messages_written,
             readiness_cleared: Rc::default(),
             unread_since: Rc::default(),
-            write_permit: Rc::default(),
+            write_check: Rc::default(),
             received: None,
         }
     }
 
     /// Wraps a stream to an upstream, and records the bytes of its newest response.
-    pub fn to_upstream(stream: TcpStream, messages_written: Rc<Cell<u64>>) -> SharedStream {
+    pub fn new_to_upstream(stream: TcpStream, messages_written: Rc<Cell<u64>>) -> SharedStream {
         SharedStream {
             received: Some(Rc::default()),
             ..SharedStream::new(stream, messages_written)
@@ -132,8 +133,8 @@
         }
     }
 
-    /// Whether the bytes after the newest response are a copy of it. Reads the unread bytes, so
-    /// that the connection cannot be used any more.
+    /// Whether the bytes after the newest response are a duplicate of it. Reads the unread bytes;
+    /// the connection cannot be used after that.
     pub fn is_response_repeated(&self) -> bool {
         let mut buffer = [0; MAX_RECORDED_BYTES];
         let mut unread = ReadBuf::new(&mut buffer);
@@ -151,8 +152,8 @@
         }
     }
 
-    /// How far the newest message has been written. The writer of the message sets it up to
-    /// [`WriteProgress::HandedOver`].
+    /// How far the newest message has been written. The writer of the message sets this to
+    /// [`WriteProgress::HandedOver`]; the flush after that sets [`WriteProgress::Complete`].
     pub fn write_progress(&self) -> Rc<Cell<WriteProgress>> {
         self.write_progress.clone()
     }
@@ -169,7 +170,7 @@
     }
 
     /// Whether the socket is open and has no unread bytes.
-    pub fn is_open_and_drained(&self) -> bool {
+    pub fn is_open_without_unread_bytes(&self) -> bool {
         self.unread_state() == UnreadState::Nothing
     }
 
@@ -184,14 +185,15 @@
         Peer(Rc::downgrade(&self.stream))
     }
 
-    /// Has the next message written only if `permit` allows it at the message's first byte.
-    pub fn set_write_permit(&self, permit: WritePermit) {
-        *self.write_permit.borrow_mut() = Some(permit);
+    /// Sets the check for the next message: the message is written only if `check` returns true
+    /// when its first write is tried.
+    pub fn set_write_check(&self, check: WriteCheck) {
+        *self.write_check.borrow_mut() = Some(check);
     }
 
-    fn check_write_permit(&self) -> io::Result<()> {
-        let permit = self.write_permit.borrow_mut().take();
-        if permit.is_none_or(|permit| permit()) {
+    fn run_write_check(&self) -> io::Result<()> {
+        let check = self.write_check.borrow_mut().take();
+        if check.is_none_or(|check| check()) {
             return Ok(());
         }
         Err(io::Error::other(WriteDenied))
@@ -221,7 +223,7 @@
         self.unread_since.take().unwrap_or_else(Instant::now)
     }
 
-    /// Returns when the peer has disconnected.
+    /// Waits until the peer has disconnected.
     pub async fn wait_for_disconnect(&self) {
         while !self.peer_disconnected() {
             self.record_unread(Instant::now());
@@ -275,7 +277,7 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.check_write_permit()?;
+        self.run_write_check()?;
         socket_io::poll_write(&self.stream, cx, &[io::IoSlice::new(buf)])
     }
 
@@ -299,7 +301,7 @@
         cx: &mut Context<'_>,
         bufs: &[io::IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        self.check_write_permit()?;
+        self.run_write_check()?;
         socket_io::poll_write(&self.stream, cx, bufs)
     }
 
--- a/balancer/src/net/watched_descriptor.rs
+++ b/balancer/src/net/watched_descriptor.rs
@@ -10,16 +10,17 @@
 use tokio::io::unix::AsyncFd;
 use tokio::io::Interest;
 
-/// A file descriptor that the event loop watches. Its owner cannot be replaced in the meantime.
+/// A file descriptor that the event loop watches. `T` is the value that owns the descriptor; while
+/// the event loop watches the descriptor, that value can be neither replaced nor taken out.
 pub struct WatchedDescriptor<T> {
     /// `None` only while this value is dropped.
-    watched: Option<AsyncFd<Owner<T>>>,
+    watched: Option<AsyncFd<WatchedOwner<T>>>,
 }
 
 impl<T> Drop for WatchedDescriptor<T> {
-    /// Catches a panic of the runtime, which wakes its event loop after several registrations have
-    /// ended, and panics if that fails. By then the registration has ended, and the event loop need
-    /// not be woken, as it runs on this thread.
+    /// Catches a panic of the runtime: after several registrations have ended, the runtime wakes
+    /// its event loop, and panics if it cannot. When it panics, this registration has ended
+    /// already, and the event loop need not be woken, as it runs on this thread.
     fn drop(&mut self) {
         let watched = self.watched.take();
         let _ = contain(|| drop(watched));
@@ -31,66 +32,66 @@
 #[error("cannot register a descriptor with the event loop: {source}")]
 pub struct RegistrationError<T> {
     /// The owner of the descriptor.
-    pub descriptor: T,
+    pub owner: T,
     /// The operating system's error.
     pub source: io::Error,
 }
 
-/// The owner of a descriptor, and the descriptor's number at its registration.
-struct Owner<T> {
-    descriptor: T,
+/// The owner of a watched descriptor, and the descriptor's number at its registration.
+struct WatchedOwner<T> {
+    owner: T,
     number: RawFd,
 }
 
-impl<T> AsRawFd for Owner<T> {
+impl<T> AsRawFd for WatchedOwner<T> {
     fn as_raw_fd(&self) -> RawFd {
         self.number
     }
 }
 
-impl<T: AsFd> AsFd for Owner<T> {
+impl<T: AsFd> AsFd for WatchedOwner<T> {
     fn as_fd(&self) -> BorrowedFd<'_> {
-        self.descriptor.as_fd()
+        self.owner.as_fd()
     }
 }
 
 impl<T: AsFd> WatchedDescriptor<T> {
     /// Registers a non-blocking descriptor with the event loop.
     pub fn register(
-        descriptor: T,
+        owner: T,
         interest: Interest,
     ) -> Result<WatchedDescriptor<T>, RegistrationError<T>> {
-        let number = descriptor.as_fd().as_raw_fd();
-        let owner = Owner { descriptor, number };
+        let number = owner.as_fd().as_raw_fd();
+        let watched_owner = WatchedOwner { owner, number };
         // SAFETY: the descriptor stays open until the registration has ended, as its owner is
         // neither replaced nor given away before, and its number stays the same.
         #[allow(unsafe_code)]
-        let watched = unsafe { AsyncFd::register_with_interest(owner, interest) };
+        let watched = unsafe { AsyncFd::register_with_interest(watched_owner, interest) };
         let watched = watched.map(|watched| WatchedDescriptor {
             watched: Some(watched),
         });
         watched.map_err(|error| {
-            let (owner, source) = error.into_parts();
+            let (watched_owner, source) = error.into_parts();
             RegistrationError {
-                descriptor: owner.descriptor,
+                owner: watched_owner.owner,
                 source,
             }
         })
     }
 
-    /// Registers a descriptor that is only read, not written. Drops its owner if that fails, which
+    /// Registers a non-blocking descriptor that is only read. If that fails, drops the owner, which
     /// closes the descriptor.
-    pub fn new(descriptor: T) -> io::Result<WatchedDescriptor<T>> {
-        WatchedDescriptor::register(descriptor, Interest::READABLE).map_err(|error| error.source)
+    pub fn register_for_reading(owner: T) -> io::Result<WatchedDescriptor<T>> {
+        WatchedDescriptor::register(owner, Interest::READABLE).map_err(|error| error.source)
     }
 
-    /// The watched descriptor.
+    /// The owner of the watched descriptor.
     pub fn get(&self) -> &T {
-        &self.watched().get_ref().descriptor
+        &self.watched().get_ref().owner
     }
 
     #[expect(clippy::expect_used, reason = "only `drop` takes the value")]
-    fn watched(&self) -> &AsyncFd<Owner<T>> {
+    fn watched(&self) -> &AsyncFd<WatchedOwner<T>> {
         self.watched
             .as_ref()
             .expect("the registration is taken only in drop")
@@ -136,8 +137,8 @@
         interest: Interest,
         mut call: impl FnMut(&T) -> io::Result<R>,
     ) -> io::Result<R> {
-        self.watched().try_io(interest, |owner| {
-            retry_interrupted(|| call(&owner.descriptor))
+        self.watched().try_io(interest, |watched_owner| {
+            retry_interrupted(|| call(&watched_owner.owner))
         })
     }
 
--- a/balancer/src/outbound/connection_pool.rs
+++ b/balancer/src/outbound/connection_pool.rs
@@ -1,9 +1,9 @@
 //! One upstream and its pool of idle connections.
 use crate::body::request_body::AttemptBody;
 use crate::net::shared_stream::{SharedStream, UnreadState};
-use crate::outbound::connection_use::ConnectionUse;
-use crate::outbound::surplus_history::{SurplusEvidence, SurplusHistory, LONG_REUSE_DELAY};
-use crate::outbound::surplus_reporter::{SurplusRecord, SurplusReporter};
+use crate::outbound::request_history::RequestHistory;
+use crate::outbound::surplus_history::{SurplusCause, SurplusHistory, LONG_REUSE_DELAY};
+use crate::outbound::surplus_reporter::{SurplusRecipient, SurplusReporter};
 use crate::telemetry::upstream_counts::UpstreamCounts;
 use hyper::client::conn::http1;
 use std::cell::{Cell, RefCell};
@@ -17,8 +17,8 @@
 /// Connections that have been idle for this long are preferred: the longer a connection has been
 /// idle, the less likely it is that surplus data still follows its last response.
 const PREFERRED_IDLE_TIME: Duration = Duration::from_secs(1);
-/// How long a connection that may not be reused stays open for observation: whether surplus data
-/// still follows the upstream's responses.
+/// How long a connection that may not be reused stays open, to find out whether surplus data still
+/// follows the upstream's responses.
 const OBSERVATION_TIME: Duration = LONG_REUSE_DELAY;
 
 /// An open connection; closed when dropped.
@@ -70,12 +70,12 @@
         }
     }
 
-    /// The requests that it has carried.
-    pub fn connection_use(&self) -> &ConnectionUse {
-        self.surplus_reporter.connection_use()
+    /// The history of the requests that the connection has carried.
+    pub fn request_history(&self) -> &RequestHistory {
+        self.surplus_reporter.request_history()
     }
 
-    /// Reports surplus data on this connection.
+    /// The reporter of surplus data on this connection.
     pub fn surplus_reporter(&self) -> &SurplusReporter {
         &self.surplus_reporter
     }
@@ -108,7 +108,7 @@
         if self.is_observed_only {
             return None;
         }
-        let delay = if self.connection.connection_use().has_completed_request() {
+        let delay = if self.connection.request_history().has_completed_request() {
             reuse_delay
         } else {
             Duration::ZERO
@@ -149,12 +149,12 @@
     /// After this time nothing may be written to the upstream. Set while the upstream is draining,
     /// gone or suspended.
     write_deadline: Cell<Option<Instant>>,
-    /// Increases with each process that replaces the upstream's previous one.
+    /// How often another process has replaced the upstream's process.
     generation: Cell<u64>,
     idle: RefCell<Vec<IdleConnection>>,
     /// The number of open connections: idle ones, and those that carry a request.
     open_connections: Rc<Cell<usize>>,
-    surplus: SurplusHistory,
+    surplus_history: SurplusHistory,
     /// Wakes an attempt that waits for a connection when one becomes idle.
     idle_added: Notify,
 }
@@ -168,7 +168,7 @@
             generation: Cell::new(0),
             idle: RefCell::default(),
             open_connections: Rc::default(),
-            surplus: SurplusHistory::default(),
+            surplus_history: SurplusHistory::default(),
             idle_added: Notify::new(),
         })
     }
@@ -183,8 +183,8 @@
         self.address.replace(address)
     }
 
-    /// The generation of the upstream, which increases with each process that replaces the previous
-    /// one. A connection belongs to one generation.
+    /// The generation of the upstream: how often another process has replaced its process. A
+    /// connection belongs to the generation in which its dial began.
     pub fn generation(&self) -> u64 {
         self.generation.get()
     }
@@ -214,8 +214,8 @@
     }
 
     /// The history of its surplus data.
-    pub fn surplus(&self) -> &SurplusHistory {
-        &self.surplus
+    pub fn surplus_history(&self) -> &SurplusHistory {
+        &self.surplus_history
     }
 
     /// Closes all idle connections.
@@ -228,21 +228,21 @@
     pub fn close_expired(&self, now: Instant, idle_limit: Duration) {
         self.idle.borrow_mut().retain(|idle| {
             if idle.is_observed_clean(now) {
-                self.surplus.record_clean_observation(now);
+                self.surplus_history.record_clean_observation(now);
             }
             !idle.connection.sender.is_closed() && !idle.is_expired(now, idle_limit)
         });
     }
 
     /// Whether an idle connection may carry a request now.
-    pub fn has_usable_idle(&self, now: Instant) -> bool {
+    pub fn has_reusable_idle(&self, now: Instant) -> bool {
         let reuse_delay = self.reuse_delay(now);
-        let is_usable =
+        let is_reusable =
             |idle: &IdleConnection| idle.reusable_at(reuse_delay).is_some_and(|at| at <= now);
-        self.idle.borrow().iter().any(is_usable)
+        self.idle.borrow().iter().any(is_reusable)
     }
 
-    /// Since when the connection that has been idle for longest is idle.
+    /// When the connection that has been idle for longest became idle.
     pub fn oldest_idle_since(&self) -> Option<Instant> {
         self.idle.borrow().first().map(|idle| idle.idle_since)
     }
@@ -256,14 +256,14 @@
     }
 
     /// Takes a connection that may carry a request now and has been idle for less than
-    /// `idle_limit`. Without one, tells when the next one may be reused.
+    /// `idle_limit`. If there is none, returns the time at which the next one may carry a request.
     pub fn take_idle(&self, idle_limit: Duration) -> PooledConnection {
         let now = Instant::now();
         self.close_expired(now, idle_limit);
         while let Some(connection) = self.remove_best_idle(now) {
             if connection.check_reusable() {
-                if connection.connection_use().has_completed_request() {
-                    self.surplus.record_reuse();
+                if connection.request_history().has_completed_request() {
+                    self.surplus_history.record_reuse();
                 }
                 return PooledConnection::Ready(connection);
             }
@@ -278,18 +278,20 @@
     }
 
     fn reuse_delay(&self, now: Instant) -> Duration {
-        self.surplus.reuse_delay(self.has_one_connection(), now)
+        self.surplus_history
+            .reuse_delay(self.has_sole_connection(), now)
     }
 
     /// Whether exactly one connection to the upstream is open, idle or in use.
-    pub fn has_one_connection(&self) -> bool {
+    pub fn has_sole_connection(&self) -> bool {
         self.open_connections.get() == 1
     }
 
-    /// Removes the most recently used of the connections that have been idle for
-    /// [`PREFERRED_IDLE_TIME`]: the others stay idle and expire, whereas using them in turn would
-    /// keep all of them open. Without one, removes the connection that has been idle for longest
-    /// of those that may be used.
+    /// Removes the connection for the next request. Of the connections that have been idle for at
+    /// least [`PREFERRED_IDLE_TIME`], this is the one that became idle last: the others stay idle
+    /// and expire, whereas using all of them in turn would keep all of them open. If none has been
+    /// idle for that long, it is the connection that has been idle for longest, of those that may
+    /// carry a request.
     fn remove_best_idle(&self, now: Instant) -> Option<Connection> {
         let reuse_delay = self.reuse_delay(now);
         let mut idle = self.idle.borrow_mut();
@@ -303,15 +305,16 @@
         Some(idle.remove(position).connection)
     }
 
-    /// Returns a connection to the pool after a complete response. If the single-use period lasts
-    /// beyond the connection's reuse delay, it carries no further request: it is kept for
-    /// observation if no other one is, and closed otherwise.
+    /// Returns a connection to the pool after a complete response. If the single-use period will
+    /// still be in progress after [`LONG_REUSE_DELAY`] from now, the connection carries no further
+    /// request: it is kept open for observation if no other connection to this upstream is, and
+    /// closed otherwise.
     pub fn return_after_response(&self, connection: Connection) {
         let now = Instant::now();
         connection.socket.acknowledge_received_data();
-        connection.connection_use().record_response(now);
+        connection.request_history().record_response(now);
         connection.socket.complete_response();
-        let is_single_use = self.surplus.is_single_use(now + LONG_REUSE_DELAY);
+        let is_single_use = self.surplus_history.is_single_use(now + LONG_REUSE_DELAY);
         if !(is_single_use && self.is_observing()) {
             self.add_idle(connection, is_single_use);
         }
@@ -348,28 +351,28 @@
     }
 
     /// Creates a reporter of surplus data on one connection to this upstream.
-    pub fn surplus_reporter(
+    pub fn new_surplus_reporter(
         self: &Rc<Self>,
         socket: SharedStream,
         counts: Rc<UpstreamCounts>,
     ) -> SurplusReporter {
-        let record: Rc<dyn SurplusRecord> = self.clone();
-        SurplusReporter::new(Rc::downgrade(&record), socket, counts)
+        let recipient: Rc<dyn SurplusRecipient> = self.clone();
+        SurplusReporter::new(Rc::downgrade(&recipient), socket, counts)
     }
 }
 
-impl SurplusRecord for Upstream {
+impl SurplusRecipient for Upstream {
     fn address(&self) -> SocketAddr {
         self.address.get()
     }
 
     /// Closes all idle connections, unless their reuse delay is long enough to detect such data on
     /// them too.
-    fn record_surplus(&self, evidence: SurplusEvidence, now: Instant) -> Option<Duration> {
-        if !self.surplus.is_covered_by_reuse_delay(evidence, now) {
+    fn record_surplus(&self, cause: SurplusCause, now: Instant) -> Option<Duration> {
+        if !self.surplus_history.is_covered_by_reuse_delay(cause, now) {
             self.close_idle();
         }
-        self.surplus.record(evidence, now)
+        self.surplus_history.record(cause, now)
     }
 }
 
--- a/balancer/src/outbound/growing_period.rs
+++ b/balancer/src/outbound/fault_periods.rs
@@ -1,4 +1,5 @@
-//! A period that starts at a fault, and whose length doubles each time the fault recurs after it.
+//! Periods that each begin with a fault. The length doubles each time a fault recurs after a
+//! period.
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -10,19 +11,19 @@
     length: Duration,
 }
 
-/// A period that begins with a fault, and ends once no fault has occurred for its length. A fault
-/// after its end begins a new period of twice the length.
-pub struct GrowingPeriod {
+/// Successive periods, each of which begins with a fault and ends once no fault has occurred for
+/// its length. A fault after the end of a period begins a new one of twice the length.
+pub struct FaultPeriods {
     first_length: Duration,
     max_length: Duration,
     newest: Cell<Option<Period>>,
 }
 
-impl GrowingPeriod {
-    /// Creates one without a current period. The first period has `first_length`; none is longer
-    /// than `max_length`.
-    pub const fn new(first_length: Duration, max_length: Duration) -> GrowingPeriod {
-        GrowingPeriod {
+impl FaultPeriods {
+    /// Creates the value before any fault. The first period has the length `first_length`; none is
+    /// longer than `max_length`.
+    pub const fn new(first_length: Duration, max_length: Duration) -> FaultPeriods {
+        FaultPeriods {
             first_length,
             max_length,
             newest: Cell::new(None),
@@ -50,9 +51,10 @@
         begins.then_some(length)
     }
 
-    /// Records a check that found no fault: halves the period's length, but not below the first
-    /// length, and ends it at most this long after `now`.
-    pub fn record_clean(&self, now: Instant) {
+    /// Records an observation without a fault: halves the period's length, but not below the first
+    /// length. The period then ends at its previous end or at `now` plus the new length, whichever
+    /// is earlier.
+    pub fn record_clean_observation(&self, now: Instant) {
         if let Some(newest) = self.newest.get() {
             let length = (newest.length / 2).max(self.first_length);
             self.newest.set(Some(Period {
--- a/balancer/src/outbound/reuse_lease.rs
+++ b/balancer/src/outbound/reuse_lease.rs
@@ -4,27 +4,29 @@
 use tokio::time::Instant;
 
 /// The use of one connection for one request. It is revoked when surplus data of the upstream is
-/// detected, if the connection carried an earlier request: the next response on it may then belong
-/// to the earlier request. The first response on a connection always belongs to its first request.
+/// detected that the reuse delay does not cover, if the connection carried an earlier request: the
+/// next response on it may then belong to the earlier request. The first response on a connection
+/// always belongs to its first request.
 ///
-/// A request whose lease is revoked ends as an error, not as a reset: an early reset would make the
-/// core treat all idle connections as stale.
+/// A request whose lease is revoked ends as an error, not as a reset: after a reset before the
+/// response, the core would treat all idle connections as stale.
 pub struct ReuseLease {
     upstream: Rc<Upstream>,
     carried_earlier_request: bool,
-    /// How many uncovered detections of surplus data the upstream had when the use began.
+    /// How often surplus data that the reuse delay did not cover had been detected when the use
+    /// began.
     detections_at_start: u64,
 }
 
 impl ReuseLease {
     /// Begins the use of this connection to `upstream` for its next request.
     pub fn new(upstream: &Rc<Upstream>, connection: &Connection) -> ReuseLease {
-        connection.connection_use().record_request(Instant::now());
+        connection.request_history().record_request(Instant::now());
         connection.socket.begin_request();
         ReuseLease {
             upstream: upstream.clone(),
-            carried_earlier_request: connection.connection_use().is_reused(),
-            detections_at_start: upstream.surplus().uncovered_detections(),
+            carried_earlier_request: connection.request_history().is_reused(),
+            detections_at_start: upstream.surplus_history().detections_beyond_reuse_delay(),
         }
     }
 
@@ -36,17 +38,22 @@
     /// Whether the response on this connection must not be used.
     pub fn is_revoked(&self) -> bool {
         self.carried_earlier_request
-            && self.upstream.surplus().uncovered_detections() != self.detections_at_start
+            && self
+                .upstream
+                .surplus_history()
+                .detections_beyond_reuse_delay()
+                != self.detections_at_start
     }
 
-    /// Returns once the response on this connection must not be used.
+    /// Waits until the response on this connection must not be used. Never returns on a connection
+    /// that carried no earlier request.
     pub async fn revoked(&self) {
         if !self.carried_earlier_request {
             std::future::pending::<()>().await;
         }
         self.upstream
-            .surplus()
-            .detected_since(self.detections_at_start)
+            .surplus_history()
+            .wait_for_detection_after(self.detections_at_start)
             .await;
     }
 }
