--- a/soak/src/checker/attempts.rs
+++ b/soak/src/checker/attempts.rs
@@ -91,10 +91,10 @@
     /// Checks that a request that may have run is repeated only where that is safe.
     pub(super) fn check_duplicate_executions(&self, id: &str, request: &Request) -> Vec<Violation> {
         let mut violations = Vec::new();
-        let mut first_run_at: Option<Instant> = None;
+        let mut executed_at: Option<Instant> = None;
         for (number, attempt) in request.attempts.iter().enumerate() {
-            let is_unsafe = first_run_at
-                .is_some_and(|first_run_at| !self.may_repeat(request, attempt, first_run_at));
+            let is_unsafe = executed_at
+                .is_some_and(|executed_at| !self.may_repeat(request, attempt, executed_at));
             if is_unsafe {
                 let details = format!(
                     "{id}: attempt {number} may run again: {:?}",
@@ -106,19 +106,19 @@
                     details,
                 ));
             }
-            if attempt.may_have_run() {
-                first_run_at.get_or_insert(attempt.started_at);
+            if attempt.may_have_executed() {
+                executed_at.get_or_insert(attempt.started_at);
             }
         }
         violations
     }
 
-    /// Whether an attempt may follow another one that started at `first_run_at` and may have run.
-    fn may_repeat(&self, request: &Request, attempt: &Attempt, first_run_at: Instant) -> bool {
+    /// Whether an attempt may follow another one that started at `executed_at` and may have run.
+    fn may_repeat(&self, request: &Request, attempt: &Attempt, executed_at: Instant) -> bool {
         match request.start.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::IdempotencyKey => {
-                attempt.started_at < first_run_at + self.limits.repeat_window + SCHEDULING_SLACK
+                attempt.started_at < executed_at + self.limits.repeat_window + SCHEDULING_SLACK
             }
             Idempotency::NonIdempotent => attempt.received_at.is_none(),
         }
--- a/soak/src/checker/responses.rs
+++ b/soak/src/checker/responses.rs
@@ -105,5 +105,5 @@
 fn is_falsely_rejected(request: &Request, outcome: ClientOutcome) -> bool {
     matches!(outcome, ClientOutcome::Response(429 | 503))
         && request.start.idempotency == Idempotency::NonIdempotent
-        && request.attempts.iter().any(Attempt::may_have_run)
+        && request.attempts.iter().any(Attempt::may_have_executed)
 }
--- a/soak/src/checker/tests.rs
+++ b/soak/src/checker/tests.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn reports_repeat_and_rejection_of_a_non_idempotent_request_that_may_have_run() {
+fn reports_repeat_and_rejection_of_a_non_idempotent_request_that_may_have_executed() {
     let mut observations = Observations::new();
     record_request(&mut observations, "a", Idempotency::NonIdempotent);
     record_attempt(&mut observations, "a", AttemptOutcome::Reset);
--- a/soak/src/injector.rs
+++ b/soak/src/injector.rs
@@ -48,7 +48,7 @@
             Fault::Stall => self.stall_balancer().await,
             Fault::Release => self.release_upstreams().await,
             Fault::UpstreamCrash => self.crash_upstream().await,
-            Fault::BadUpstreams => self.misbehave_upstreams().await,
+            Fault::BadUpstreams => self.make_upstreams_misbehave().await,
             Fault::DiscoveryDown => self.take_discovery_down().await,
             Fault::SilentWatches => self.testbed.discovery().silence_watches(),
             Fault::MalformedLists => self.send_malformed_lists().await,
--- a/soak/src/injector/upstreams.rs
+++ b/soak/src/injector/upstreams.rs
@@ -73,7 +73,7 @@
     }
 
     /// Makes some upstreams misbehave, then gives them the profiles that they had before.
-    pub(super) async fn misbehave_upstreams(&mut self) {
+    pub(super) async fn make_upstreams_misbehave(&mut self) {
         let upstreams = self.draw_upstreams();
         let previous: Vec<UpstreamProfile> = upstreams
             .iter()
--- a/soak/src/limits.rs
+++ b/soak/src/limits.rs
@@ -41,11 +41,11 @@
 }
 
 /// Below this number of expected requests the tolerance for random variation is wider.
-const FEW_REQUESTS: f64 = 30.0;
+const LOW_COUNT_THRESHOLD: f64 = 30.0;
 /// Standard deviations, and requests, that are tolerated where few requests are expected.
-const TOLERANCE_OF_FEW: f64 = 3.0;
+const LOW_COUNT_TOLERANCE: f64 = 3.0;
 /// Standard deviations, and requests, that are tolerated otherwise.
-const TOLERANCE_OF_MANY: f64 = 2.0;
+const HIGH_COUNT_TOLERANCE: f64 = 2.0;
 
 impl SlowStartLimits {
     /// The requests that an upstream of this age may get within one overload window.
@@ -56,10 +56,10 @@
             * fraction.min(1.0)
             * self.overload_factor
             * self.overload_window.as_secs_f64();
-        let tolerance = if limit < FEW_REQUESTS {
-            TOLERANCE_OF_FEW
+        let tolerance = if limit < LOW_COUNT_THRESHOLD {
+            LOW_COUNT_TOLERANCE
         } else {
-            TOLERANCE_OF_MANY
+            HIGH_COUNT_TOLERANCE
         };
         limit + tolerance * limit.sqrt() + tolerance
     }
--- a/soak/src/observations.rs
+++ b/soak/src/observations.rs
@@ -192,7 +192,7 @@
             .get(request_id)
             .map(|request| request.start.balancer);
         let is_allowed =
-            balancer.is_some_and(|balancer| self.surplus.may_pass_on(source, balancer));
+            balancer.is_some_and(|balancer| self.surplus.record_passed_on(source, balancer));
         if !is_allowed {
             self.record_violation(Rule::WrongResponse, details);
         }
--- a/soak/src/observations/request.rs
+++ b/soak/src/observations/request.rs
@@ -36,7 +36,7 @@
 
 impl Attempt {
     /// Whether the request may have run at the upstream.
-    pub fn may_have_run(&self) -> bool {
+    pub fn may_have_executed(&self) -> bool {
         let rejected = matches!(self.outcome, Some((AttemptOutcome::Rejected, _)));
         self.received_at.is_some() && !rejected
     }
--- a/soak/src/observations/surplus.rs
+++ b/soak/src/observations/surplus.rs
@@ -5,7 +5,7 @@
 
 /// A surplus response that is at least this late may reach one client before its balancer knows that the upstream sends
 /// such responses.
-const ALWAYS_DETECTED: Duration = Duration::from_millis(10);
+const MIN_UNDETECTED_DELAY: Duration = Duration::from_millis(10);
 
 /// One process of a balancer, by the number of processes before it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -45,12 +45,12 @@
 
     /// A client got the response to the request `source`. Returns whether it may have: it was a late surplus response, the
     /// first from this upstream that the balancer's process has passed on.
-    pub(super) fn may_pass_on(&mut self, source: &str, balancer: BalancerId) -> bool {
+    pub(super) fn record_passed_on(&mut self, source: &str, balancer: BalancerId) -> bool {
         let Some(surplus) = self.sent.get(source) else {
             return false;
         };
         let number = self.process_counts.get(&balancer).copied().unwrap_or(0);
         let process = BalancerProcess { balancer, number };
-        surplus.delay >= ALWAYS_DETECTED && self.passed_on.insert((surplus.upstream, process))
+        surplus.delay >= MIN_UNDETECTED_DELAY && self.passed_on.insert((surplus.upstream, process))
     }
 }
