--- a/soak/src/checker.rs
+++ b/soak/src/checker.rs
@@ -1,4 +1,4 @@
-//! Checks the rules against the observations of a run. It knows nothing of how a balancer decides.
+//! Checks the observations of a run against the rules, without regard to how a balancer makes its decisions.
 mod attempts;
 mod availability;
 mod responses;
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Returns all violations in the order of time, including those that were recorded during the run.
+    /// Returns all violations, ordered by time, including those that were recorded during the run.
     pub fn check(&self) -> Vec<Violation> {
         let mut violations = self.observations.violations().to_vec();
         for (id, request) in self.observations.requests() {
--- a/soak/src/checker/attempts.rs
+++ b/soak/src/checker/attempts.rs
@@ -9,14 +9,14 @@
 use tokio::time::Instant;
 
 impl Checker<'_> {
-    /// Checks the number of attempts.
+    /// Checks that a request has at most [`MAX_ATTEMPTS`] attempts.
     pub(super) fn check_attempt_count(&self, id: &str, request: &Request) -> Option<Violation> {
         let count = request.attempts.len();
         if count <= MAX_ATTEMPTS {
             return None;
         }
         let last = request.attempts.last()?;
-        let details = format!("{id}: {count} attempts");
+        let details = format!("{id}: {count} attempts, more than the allowed {MAX_ATTEMPTS}");
         Some(self.violation(Rule::TooManyAttempts, last.started_at, details))
     }
 
@@ -36,7 +36,7 @@
             }
             let delay = attempt.started_at - disconnected_at;
             let details =
-                format!("{id}: attempt {number} starts {delay:?} after its client disconnected");
+                format!("{id}: attempt {number} started {delay:?} after the client disconnected");
             violations.push(self.violation(
                 Rule::AttemptAfterDisconnect,
                 attempt.started_at,
@@ -46,7 +46,7 @@
         violations
     }
 
-    /// Checks that no upstream is given more time than the client has left.
+    /// Checks that no upstream gets a deadline later than the client's.
     pub(super) fn check_forwarded_deadlines(&self, id: &str, request: &Request) -> Vec<Violation> {
         let expires_at = request.sent_at + request.start.deadline;
         let mut violations = Vec::new();
@@ -59,7 +59,7 @@
                 continue;
             }
             let details = format!(
-                "{id}: attempt {number} was given {forwarded:?} of {remaining:?}, sent {:.3}",
+                "{id}: attempt {number} got a deadline of {forwarded:?} when the client had {remaining:?} left (request sent at {:.3} s)",
                 self.seconds(request.sent_at)
             );
             violations.push(self.violation(Rule::ForwardedDeadline, attempt.started_at, details));
@@ -80,7 +80,7 @@
                 continue;
             }
             let details = format!(
-                "{id}: attempt {} starts while the previous one is in flight, which ended at {previous_ended_at:?}",
+                "{id}: attempt {} started before the previous one ended (recorded end: {previous_ended_at:?})",
                 index + 1
             );
             violations.push(self.violation(Rule::ConcurrentAttempts, next.started_at, details));
@@ -88,7 +88,7 @@
         violations
     }
 
-    /// Checks that a request that may have run is repeated only where that is safe.
+    /// Checks that a request that may have been executed is repeated only where that is safe.
     pub(super) fn check_duplicate_executions(&self, id: &str, request: &Request) -> Vec<Violation> {
         let mut violations = Vec::new();
         let mut executed_at: Option<Instant> = None;
@@ -97,7 +97,7 @@
                 .is_some_and(|executed_at| !self.may_repeat(request, attempt, executed_at));
             if is_unsafe {
                 let details = format!(
-                    "{id}: attempt {number} may run again: {:?}",
+                    "{id}: attempt {number} may execute the request again; attempts: {:?}",
                     request.attempts
                 );
                 violations.push(self.violation(
@@ -113,7 +113,7 @@
         violations
     }
 
-    /// Whether an attempt may follow another one that started at `executed_at` and may have run.
+    /// Whether an attempt may follow another one that started at `executed_at` and may have executed the request.
     fn may_repeat(&self, request: &Request, attempt: &Attempt, executed_at: Instant) -> bool {
         match request.start.idempotency {
             Idempotency::Idempotent => true,
--- a/soak/src/checker/availability.rs
+++ b/soak/src/checker/availability.rs
@@ -5,7 +5,7 @@
 use crate::rules::{Rule, Violation};
 
 impl Checker<'_> {
-    /// Checks that no attempt goes to an upstream that is unavailable, for either cause.
+    /// Checks that no attempt goes to an upstream that is unavailable for any cause.
     pub(super) fn check_unavailable_upstreams(
         &self,
         id: &str,
@@ -38,7 +38,7 @@
             .iter()
             .find(|period| self.is_within(attempt, period))?;
         let details = format!(
-            "{id}: balancer {} sent to upstream {} {:?} after it counts as knowing that it is unavailable ({cause:?}: {:?} at {:.3} s)",
+            "{id}: balancer {} used upstream {} {:?} after it was considered notified that it is unavailable ({cause:?}: {:?} at {:.3} s)",
             route.balancer,
             route.upstream,
             attempt.started_at - period.start,
@@ -48,7 +48,7 @@
         Some(self.violation(Rule::UnavailableUpstream, attempt.started_at, details))
     }
 
-    /// Whether an attempt starts within a period, after the grace period.
+    /// Whether an attempt starts after the grace period at the start of an unavailable period, and before its end.
     fn is_within(&self, attempt: &Attempt, period: &UnavailablePeriod) -> bool {
         let grace = self.limits.drain_grace + SCHEDULING_SLACK;
         attempt.started_at > period.start + grace
--- a/soak/src/checker/responses.rs
+++ b/soak/src/checker/responses.rs
@@ -1,4 +1,4 @@
-//! Checks of what a client gets for a request.
+//! Checks of the responses that clients receive.
 use super::Checker;
 use crate::limits::{RESPONSE_SLACK, SCHEDULING_SLACK};
 use crate::observations::{Attempt, ClientOutcome, Period, Request};
@@ -7,7 +7,7 @@
 use tokio::time::Instant;
 
 impl Checker<'_> {
-    /// Checks that a request got a final response in time, and that a rejection is true.
+    /// Checks that a request got a final response in time, and that a rejected request was not executed.
     pub(super) fn check_response(&self, id: &str, request: &Request) -> Option<Violation> {
         let (outcome, ended_at) = request.outcome?;
         let due_at =
@@ -29,7 +29,7 @@
         Some(self.violation(rule, ended_at, details))
     }
 
-    /// Whether the balancer was down at any time from the request to this instant.
+    /// Whether the balancer was down at any time between the request and `until`.
     fn was_interrupted(&self, request: &Request, until: Instant) -> bool {
         let period = Period {
             start: request.sent_at,
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Whether a request was lost whose connection closed without a response.
+    /// Whether a request counts as lost after its connection closed without a response.
     fn is_lost_with_connection(&self, request: &Request, closed_at: Instant) -> bool {
         if !request.attempts.is_empty() {
             return true;
@@ -62,11 +62,11 @@
             start: request.sent_at,
             end: closed_at,
         };
-        // Without descriptors a balancer may close a new connection unread.
+        // A balancer that has no file descriptors left may close a new connection without reading from it.
         let had_no_descriptors = self
             .observations
             .had_exhausted_descriptors(request.start.balancer, period);
-        // On a connection that was used before, the close may have crossed the request.
+        // A reused connection may have been closed by the balancer while the request was on its way.
         request.start.new_connection && !had_no_descriptors
     }
 
@@ -92,7 +92,7 @@
             })
             .collect();
         format!(
-            "{id} at balancer {}, sent {:.3}, deadline {:?}, ended {outcome:?} after {:?}, attempts {attempts:?}",
+            "{id}: balancer {}, sent at {:.3} s, deadline {:?}, ended {outcome:?} after {:?}, attempts (upstream, start in s, outcome and end in s) {attempts:?}",
             request.start.balancer,
             self.seconds(request.sent_at),
             request.start.deadline,
@@ -101,7 +101,7 @@
     }
 }
 
-/// Whether a response promises that a non-idempotent request did not run although it may have.
+/// Whether a response states that a non-idempotent request was not executed although it may have been.
 fn is_falsely_rejected(request: &Request, outcome: ClientOutcome) -> bool {
     matches!(outcome, ClientOutcome::Response(429 | 503))
         && request.start.idempotency == Idempotency::NonIdempotent
--- a/soak/src/checker/slow_start.rs
+++ b/soak/src/checker/slow_start.rs
@@ -1,4 +1,4 @@
-//! Checks that upstreams get no more requests than they can serve while they warm up.
+//! Checks that upstreams in slow start get no more requests than they can serve.
 use super::Checker;
 use crate::ids::UpstreamId;
 use crate::limits::SlowStartLimits;
@@ -6,7 +6,7 @@
 use std::collections::HashMap;
 use tokio::time::Instant;
 
-/// Too many requests within one overload window.
+/// More requests within one overload window than slow start allows.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Overload {
     /// When the last of these requests started.
@@ -18,7 +18,7 @@
 }
 
 impl Checker<'_> {
-    /// Checks each start of an upstream.
+    /// Checks the slow start after each start of an upstream.
     pub(super) fn check_slow_starts(&self) -> Vec<Violation> {
         let requests = self.request_times_by_upstream();
         let mut violations = Vec::new();
@@ -31,7 +31,7 @@
                     continue;
                 };
                 let details = format!(
-                    "upstream {upstream}: {} requests in a window that allows {:.1}",
+                    "upstream {upstream}: {} requests within an overload window that allows {:.1} in slow start",
                     overload.requests, overload.allowed
                 );
                 violations.push(self.violation(Rule::SlowStartExceeded, overload.at, details));
@@ -40,7 +40,7 @@
         violations
     }
 
-    /// The start times of all complete attempts at each upstream, in order.
+    /// The start times of all completely received attempts at each upstream, sorted.
     fn request_times_by_upstream(&self) -> HashMap<UpstreamId, Vec<Instant>> {
         let mut times: HashMap<UpstreamId, Vec<Instant>> = HashMap::new();
         for (_, request) in self.observations.requests() {
--- a/soak/src/checker/tests.rs
+++ b/soak/src/checker/tests.rs
@@ -1,4 +1,4 @@
-//! Which observations the checker reports as violations.
+//! Tests which observations the checker reports as violations.
 use super::slow_start::find_overload;
 use super::Checker;
 use crate::ids::{BalancerId, UpstreamId};
@@ -115,7 +115,8 @@
 fn counts_slow_start_requests_over_the_overload_window() {
     let start = Instant::now();
     let limits = limits().slow_start;
-    // At its start the upstream serves a tenth of ten requests a second. Four times that is 4, and 13 requests are allowed.
+    // At its start the upstream serves a tenth of ten requests a second. The overload factor of 4 makes the limit
+    // 4 requests; the tolerance of 3 * sqrt(4) + 3 = 9 requests raises it to 13.
     let at_once: Vec<Instant> = (0..14).map(|n| start + Duration::from_millis(n)).collect();
     assert!(find_overload(&at_once[..12], start, &limits).is_none());
     assert!(find_overload(&at_once, start, &limits).is_some());
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -11,7 +11,7 @@
     Kill,
     /// A balancer's new configuration names another address of discovery.
     Reload,
-    /// A balancer's process is stopped for a moment, again and again.
+    /// A balancer's process is repeatedly paused for a moment.
     Stall,
     /// Upstreams drain, disappear and come back, warming up.
     Release,
@@ -99,7 +99,8 @@
         Fault::GENERAL.into_iter().chain(Fault::OWN_DESCRIPTORS)
     }
 
-    /// The name for `--only` and in the report. Some names are older than the terms of the code and stay for those who use them.
+    /// The name for `--only` and in the report. Some names differ from the variant's: they are older, and stay for the
+    /// commands that use them.
     pub fn name(self) -> &'static str {
         match self {
             Fault::Restart => "restart",
@@ -140,7 +141,7 @@
 
 /// A name that no kind of fault has.
 #[derive(Clone, Copy, Debug, thiserror::Error)]
-#[error("the kinds of fault are {}", format_names())]
+#[error("unknown kind of fault; the known kinds are {}", format_names())]
 pub struct UnknownFault;
 
 fn format_names() -> String {
@@ -151,7 +152,7 @@
 impl FromStr for Fault {
     type Err = UnknownFault;
 
-    /// Finds the kind with this name. Upper and lower case are the same.
+    /// Finds the kind with this name, ignoring case.
     fn from_str(name: &str) -> Result<Fault, UnknownFault> {
         Fault::all()
             .find(|fault| fault.name() == name.to_lowercase())
--- a/soak/src/injector.rs
+++ b/soak/src/injector.rs
@@ -1,4 +1,4 @@
-//! Makes the faults of a plan happen. One file for each part of the testbed.
+//! Injects the faults of a plan. Each submodule injects the faults of one part of the testbed.
 mod balancers;
 mod clients;
 mod discovery;
--- a/soak/src/injector/balancers.rs
+++ b/soak/src/injector/balancers.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use tokio::time::{sleep, Instant};
 
-/// Time for which a process is stopped.
+/// Time for which a stall pauses a process.
 const STALL_DURATION: Duration = Duration::from_millis(140);
 /// Pause between two stalls, in milliseconds.
 const STALL_PAUSE_MS: Range<u64> = 200..900;
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Sends one balancer several reloads in a row, then shuts it down with further signals on the way.
+    /// Sends one balancer several reloads in a row, then shuts it down and sends more signals during the shutdown.
     pub(super) async fn send_signal_series(&mut self) {
         let balancer = self.draw_balancer();
         for _ in 0..self.random.random_range(RELOADS_IN_SERIES) {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Stops one balancer's process for a moment, again and again.
+    /// Repeatedly pauses one balancer's process for a moment.
     pub(super) async fn stall_balancer(&mut self) {
         let ends_at = self.ends_at();
         let id = self.draw_balancer();
--- a/soak/src/injector/clients.rs
+++ b/soak/src/injector/clients.rs
@@ -4,11 +4,11 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, Instant};
 
-/// Pause between two idle connections: hundreds of them open within a few seconds.
+/// Pause between two idle connections, short enough to open hundreds of them within a few seconds.
 const IDLE_CONNECTION_PAUSE: Duration = Duration::from_millis(5);
 
 impl FaultInjector {
-    /// Clients of some balancers send several times their usual rate.
+    /// Makes the clients of some balancers send at several times their usual rate.
     pub(super) async fn send_burst(&mut self) {
         let balancers = self.draw_balancers();
         for &balancer in &balancers {
--- a/soak/src/injector/discovery.rs
+++ b/soak/src/injector/discovery.rs
@@ -9,15 +9,15 @@
 
 /// Shortest outage of discovery.
 const MIN_OUTAGE: Duration = Duration::from_secs(3);
-/// What polled discovery may do while it is down.
+/// The conditions that an outage of discovery may have in poll mode.
 const POLL_OUTAGES: [DiscoveryCondition; 3] = [
     DiscoveryCondition::Rejecting,
     DiscoveryCondition::Unresponsive,
     DiscoveryCondition::Disconnecting,
 ];
-/// Probabilities of a malformed response, and of a disconnect, that a fault draws from in poll mode.
+/// Range of the probabilities of a malformed response, and of a disconnect, that a fault draws in poll mode.
 const BROKEN_RESPONSE_PROBABILITY: Range<f64> = 0.0..0.1;
-/// Probabilities of a response in pieces that a fault draws from.
+/// Range of the probability of a response in pieces that a fault draws.
 const SPLIT_PROBABILITY: Range<f64> = 0.0..0.5;
 /// Probability of a snapshot as the first response to a watch.
 const SNAPSHOT_PROBABILITY: f64 = 0.5;
@@ -50,7 +50,7 @@
             .set_faults(DiscoveryFaults::default());
     }
 
-    /// Draws a probability in poll mode. Agents, in push mode, send no broken responses, and nothing is drawn.
+    /// Draws a probability in poll mode. In push mode agents send no broken responses, so nothing is drawn.
     fn draw_broken_response_probability(&mut self) -> f64 {
         match self.testbed.mode() {
             DiscoveryMode::Push => 0.0,
--- a/soak/src/injector/failing_calls.rs
+++ b/soak/src/injector/failing_calls.rs
@@ -41,7 +41,8 @@
     max_probability: 0.005,
 };
 
-/// Faults of [`Fault::EventDescriptors`](crate::fault::Fault::EventDescriptors). Most of these calls are rare.
+/// Faults of [`Fault::EventDescriptors`](crate::fault::Fault::EventDescriptors). Most of these calls are rare, so they
+/// need a high probability.
 pub(super) const EVENT_DESCRIPTOR_FAILURES: FailingCalls = FailingCalls {
     faults: &[
         SyscallFault::InterruptedEventRead,
--- a/soak/src/injector/overrides.rs
+++ b/soak/src/injector/overrides.rs
@@ -1,4 +1,4 @@
-//! Operators who suspend and restore endpoints, also while the disk fails.
+//! Faults of overrides: operators suspend and restore endpoints, with a working or a failing disk.
 use super::system_calls::{in_millionths, report_failure};
 use super::FaultInjector;
 use crate::ids::BalancerId;
@@ -12,7 +12,7 @@
 const SUSPENSION_MS: Range<u64> = 200..1500;
 /// Pause between two suspensions, in milliseconds.
 const SUSPENSION_PAUSE_MS: Range<u64> = 100..800;
-/// Probabilities of a failing disk operation that a fault draws from.
+/// Range of the probability of a failing disk operation that a fault draws.
 const DISK_FAILURE_PROBABILITY: Range<f64> = 0.0..0.6;
 
 impl FaultInjector {
@@ -21,7 +21,7 @@
         self.change_overrides_at(balancer).await;
     }
 
-    /// Changes overrides while the balancer's disk fails. The balancer may be killed at the end.
+    /// Changes overrides while the balancer's disk fails. Half of the time the balancer is killed at the end.
     pub(super) async fn fail_disk(&mut self) {
         let id = self.draw_balancer();
         {
@@ -40,7 +40,7 @@
         report_failure(balancer.clear_syscall_faults());
     }
 
-    /// Suspends and restores one endpoint at one balancer, again and again.
+    /// Repeatedly suspends and restores one endpoint at one balancer.
     async fn change_overrides_at(&mut self, balancer: BalancerId) {
         let upstream = self.draw_upstream();
         let endpoint_id = upstream.endpoint_id();
--- a/soak/src/injector/own_descriptors.rs
+++ b/soak/src/injector/own_descriptors.rs
@@ -18,7 +18,7 @@
     SyscallFault::SocketpairCreation,
     SyscallFault::Duplication,
 ];
-/// Number of first calls of a kind that fail.
+/// How many of the first calls of each kind fail.
 const FAILING_FIRST_CALLS: Range<u32> = 0..3;
 
 impl FaultInjector {
--- a/soak/src/injector/system_calls.rs
+++ b/soak/src/injector/system_calls.rs
@@ -8,7 +8,7 @@
 use std::ops::Range;
 use tokio::time::{sleep, Instant};
 
-/// Largest offsets of the wall clock, in milliseconds: an hour or ten seconds.
+/// Largest offsets of the wall clock in either direction, in milliseconds: an hour or ten seconds.
 const MAX_CLOCK_OFFSETS_MS: [i64; 2] = [3_600_000, 10_000];
 /// Time between two steps of the wall clock, in milliseconds.
 const CLOCK_STEP_PAUSE_MS: Range<u64> = 300..2000;
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Makes system calls of a balancer fail, each kind with a probability of its own.
+    /// Makes system calls of a balancer fail, and draws a probability for each kind of call.
     pub(super) async fn start_failing_calls(&mut self, id: BalancerId, calls: &FailingCalls) {
         let balancer = self.testbed.lock_balancer(id).await;
         for &fault in calls.faults {
@@ -41,7 +41,7 @@
         report_failure(balancer.clear_syscall_faults());
     }
 
-    /// Steps the wall clock of one balancer, again and again.
+    /// Repeatedly steps the wall clock of one balancer.
     pub(super) async fn step_clock(&mut self) {
         let balancer = self.draw_balancer();
         let ends_at = self.ends_at();
@@ -62,7 +62,8 @@
         self.restart_with_clock_offset(balancer, 0).await;
     }
 
-    /// Kills a balancer and starts it with this offset. The offset does not change if another fault uses the balancer.
+    /// Kills a balancer and starts it with this offset of the wall clock. The offset does not change if another
+    /// fault has exclusive use of the balancer at that time.
     async fn restart_with_clock_offset(&self, id: BalancerId, offset_ms: i64) {
         let killed_at = self.testbed.kill(id).await;
         if let Ok(balancer) = self.testbed.try_lock_balancer(id) {
@@ -91,6 +92,6 @@
 /// Reports a fault that could not be set or cleared. The run goes on without it.
 pub(super) fn report_failure(result: Result<(), BalancerError>) {
     if let Err(error) = result {
-        eprintln!("a fault could not be set: {error}");
+        eprintln!("cannot set or clear a system call fault: {error}");
     }
 }
--- a/soak/src/injector/upstreams.rs
+++ b/soak/src/injector/upstreams.rs
@@ -18,7 +18,7 @@
 const REJECTS_WHILE_DRAINING: f64 = 0.5;
 /// Lowest mean latency of an upstream that misbehaves, in milliseconds.
 const MIN_MEAN_LATENCY_MS: f64 = 5.0;
-/// Most that a fault adds to that latency, in milliseconds.
+/// Limit of what a fault adds to that latency, in milliseconds.
 const MAX_ADDED_LATENCY_MS: f64 = 200.0;
 
 impl FaultInjector {
@@ -60,7 +60,7 @@
 
     async fn start_upstream(&self, upstream: UpstreamId) {
         if let Err(error) = self.testbed.upstream(upstream).restart().await {
-            eprintln!("upstream {upstream} does not come back: {error}");
+            eprintln!("cannot restart upstream {upstream}: {error}");
             return;
         }
         self.testbed
@@ -72,7 +72,7 @@
             .set_endpoint_started(upstream, unix_time_ms());
     }
 
-    /// Makes some upstreams misbehave, then gives them the profiles that they had before.
+    /// Makes some upstreams misbehave, then restores their previous profiles.
     pub(super) async fn make_upstreams_misbehave(&mut self) {
         let upstreams = self.draw_upstreams();
         let previous: Vec<UpstreamProfile> = upstreams
@@ -89,7 +89,7 @@
         }
     }
 
-    /// Draws a profile. The fields are drawn in this order.
+    /// Draws a profile. The fields are drawn in the order in which they are written.
     fn draw_misbehaving_profile(&mut self) -> UpstreamProfile {
         let mut draw_below = |limit: f64| self.random.random_range(0.0..limit);
         UpstreamProfile {
--- a/soak/src/limits.rs
+++ b/soak/src/limits.rs
@@ -1,31 +1,31 @@
-//! The limits that a run's settings set for balancers, and the slack that the checks add to them.
+//! The limits in the balancers' settings, and the slack that the checks add to them.
 use std::time::Duration;
 
-/// Delay between two steps of a balancer or a stand-in that every check tolerates.
+/// Scheduling delay, of a balancer or a stand-in, that every check tolerates.
 pub const SCHEDULING_SLACK: Duration = Duration::from_millis(60);
 /// Time after its deadline within which a final response must arrive.
 pub const RESPONSE_SLACK: Duration = Duration::from_millis(500);
-/// Time after its client disconnected within which an attempt may still start.
+/// Time after the client disconnects within which an attempt may still start.
 pub const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
-/// Excess of the deadline forwarded to an upstream over the time that the client has left.
+/// How much the deadline forwarded to an upstream may exceed the time that the client has left.
 pub const FORWARDED_DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// Time after an attempt starts within which its upstream may see the end of the previous attempt.
+/// Time after an attempt starts within which the end of the previous attempt may still reach that one's upstream.
 pub const OVERLAP_SLACK: Duration = Duration::from_millis(100);
-/// Most attempts for one request. Balancers get the same number in their settings.
+/// Maximum number of attempts for one request. The balancers' settings contain the same number.
 pub const MAX_ATTEMPTS: usize = 5;
 
-/// The limits that the settings of a run state.
+/// The limits in the settings of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Time after a balancer learns that an upstream drains within which it may still send requests there.
     pub drain_grace: Duration,
     /// Time for which upstreams discard repeats of a request with an idempotency key.
     pub repeat_window: Duration,
-    /// Requests that an upstream may get while it warms up.
+    /// Requests that an upstream may get during slow start.
     pub slow_start: SlowStartLimits,
 }
 
-/// The limits for an upstream that warms up.
+/// The limits for an upstream in slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartLimits {
     /// Requests a second that a warm upstream can serve.
@@ -40,11 +40,11 @@
     pub overload_window: Duration,
 }
 
-/// Below this number of expected requests the tolerance for random variation is wider.
+/// Below this limit, in requests per overload window, the tolerance for random variation is wider.
 const LOW_COUNT_THRESHOLD: f64 = 30.0;
-/// Standard deviations, and requests, that are tolerated where few requests are expected.
+/// Tolerance below [`LOW_COUNT_THRESHOLD`]: this many standard deviations plus this many requests.
 const LOW_COUNT_TOLERANCE: f64 = 3.0;
-/// Standard deviations, and requests, that are tolerated otherwise.
+/// Tolerance from [`LOW_COUNT_THRESHOLD`] on: this many standard deviations plus this many requests.
 const HIGH_COUNT_TOLERANCE: f64 = 2.0;
 
 impl SlowStartLimits {
--- a/soak/src/observations.rs
+++ b/soak/src/observations.rs
@@ -30,7 +30,7 @@
 }
 
 impl Observations {
-    /// Starts a run in which nothing has been observed.
+    /// Creates the empty record of a run that starts now.
     pub fn new() -> Observations {
         Observations {
             started_at: Instant::now(),
@@ -71,14 +71,14 @@
         overlaps_any(self.descriptor_exhaustion.get(&balancer), period)
     }
 
-    /// When each upstream that restarted did so.
+    /// The times of the restarts of each upstream that has restarted.
     pub fn upstream_starts(&self) -> impl Iterator<Item = (UpstreamId, &[Instant])> {
         self.upstream_starts
             .iter()
             .map(|(&upstream, starts)| (upstream, starts.as_slice()))
     }
 
-    /// The violations that were observed at once, in the order of their time.
+    /// The violations that were detected during the run, ordered by time.
     pub fn violations(&self) -> &[Violation] {
         &self.violations
     }
@@ -96,7 +96,7 @@
         counts
     }
 
-    /// Records a violation that is known without a check of the recorded run.
+    /// Records a violation that was detected during the run.
     pub fn record_violation(&mut self, rule: Rule, details: String) {
         let at = self.started_at.elapsed();
         self.violations.push(Violation { rule, at, details });
@@ -120,14 +120,15 @@
         }
     }
 
-    /// Records how a request ended at its client. The first outcome stays.
+    /// Records how a request ended at its client. Only its first outcome counts.
     pub fn record_outcome(&mut self, id: &str, outcome: ClientOutcome) {
         if let Some(request) = self.requests.get_mut(id) {
             request.outcome.get_or_insert((outcome, Instant::now()));
         }
     }
 
-    /// Records that an attempt has started. Returns its number among the request's attempts; none if no client sent the request.
+    /// Records that an attempt has started. Returns its number among the request's attempts; none if no client has sent
+    /// the request.
     pub fn record_attempt(
         &mut self,
         request_id: &str,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Records how an attempt ended. The first outcome stays.
+    /// Records how an attempt ended. Only its first outcome counts.
     pub fn record_attempt_outcome(
         &mut self,
         request_id: &str,
@@ -184,8 +185,8 @@
         self.surplus.record_sent(request_id, upstream, delay);
     }
 
-    /// Records that a request got the response to the request `source`: a violation, unless it was a surplus response of
-    /// which the balancer could not know.
+    /// Records that a request got the response to the request `source`. This is a violation unless it was a surplus
+    /// response that the balancer could not have detected.
     pub fn record_wrong_response(&mut self, request_id: &str, source: &str, details: String) {
         let balancer = self
             .requests
@@ -198,14 +199,14 @@
         }
     }
 
-    /// Records that a balancer counts as knowing, from `since`, that it may use an upstream.
+    /// Records that a balancer is considered notified, from `since` on, that it may use an upstream.
     pub fn record_available(&mut self, route: Route, since: Instant) {
         for period in self.unavailable.entry(route).or_default() {
             period.end.get_or_insert(since);
         }
     }
 
-    /// Records that a balancer counts as knowing, from `since`, that it may not use an upstream.
+    /// Records that a balancer is considered notified, from `since` on, that it may not use an upstream.
     pub fn record_unavailable(&mut self, route: Route, since: Instant, source: NoticeSource) {
         let periods = self.unavailable.entry(route).or_default();
         match periods.iter_mut().find(|period| period.end.is_none()) {
@@ -240,7 +241,7 @@
         });
     }
 
-    /// Records that an upstream starts now and warms up.
+    /// Records that an upstream starts now and needs a slow start.
     pub fn record_upstream_start(&mut self, upstream: UpstreamId) {
         let starts = self.upstream_starts.entry(upstream).or_default();
         starts.push(Instant::now());
--- a/soak/src/observations/period.rs
+++ b/soak/src/observations/period.rs
@@ -5,7 +5,7 @@
 /// Why an upstream may not be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum UnavailabilityCause {
-    /// The endpoint list says that it drains or removes it.
+    /// The endpoint list states that it drains or has been removed.
     EndpointList,
     /// An operator has suspended it.
     Suspension,
@@ -19,36 +19,36 @@
     ];
 }
 
-/// The use of an upstream by a balancer, restricted by one cause.
+/// A balancer's use of an upstream, with one of the causes that may make it unavailable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Route {
     /// The balancer.
     pub balancer: BalancerId,
     /// The upstream.
     pub upstream: UpstreamId,
-    /// The cause that may make the upstream unavailable to the balancer.
+    /// The cause. Each cause makes the upstream unavailable independently of the other.
     pub cause: UnavailabilityCause,
 }
 
-/// Why a balancer counts as knowing that it may not use an upstream.
+/// Why a balancer is considered notified that it may not use an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeSource {
-    /// Discovery has written a list to one of its processes.
+    /// Discovery has sent the list to one of its processes.
     ListResponse,
-    /// The list in the configuration that its process started with.
+    /// The list was in the configuration that its process started with.
     StartupList,
-    /// Discovery had the change and could be reached for as long as a notification may take.
+    /// Discovery has had the change, and has been reachable, for as long as a notification may take.
     Deadline,
-    /// It has confirmed an operator's command.
+    /// The balancer has confirmed an operator's command.
     OperatorCommand,
 }
 
 /// A period in which an upstream may not be used.
 #[derive(Clone, Copy, Debug)]
 pub struct UnavailablePeriod {
-    /// When the balancer counts as knowing.
+    /// When the balancer was considered notified.
     pub start: Instant,
-    /// Why it counts as knowing since then.
+    /// Why it was considered notified then.
     pub source: NoticeSource,
     /// When the upstream is available again; none while it is not.
     pub end: Option<Instant>,
--- a/soak/src/observations/request.rs
+++ b/soak/src/observations/request.rs
@@ -4,12 +4,12 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How an attempt ended, as its upstream knows.
+/// How an attempt ended, as its upstream observes it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// The upstream served it.
     Success,
-    /// The upstream rejected it, with the header that says that nothing ran.
+    /// The upstream rejected it, with the header that states that the request was not executed.
     Rejected,
     /// The upstream responded with an error.
     Error,
@@ -28,14 +28,14 @@
     pub started_at: Instant,
     /// When its last byte arrived; none if that has not arrived.
     pub received_at: Option<Instant>,
-    /// The deadline that the balancer forwarded, as the time that is left.
+    /// The remaining time that the balancer forwarded as the deadline.
     pub forwarded_deadline: Option<Duration>,
     /// How and when it ended.
     pub outcome: Option<(AttemptOutcome, Instant)>,
 }
 
 impl Attempt {
-    /// Whether the request may have run at the upstream.
+    /// Whether the upstream may have executed the request.
     pub fn may_have_executed(&self) -> bool {
         let rejected = matches!(self.outcome, Some((AttemptOutcome::Rejected, _)));
         self.received_at.is_some() && !rejected
@@ -53,20 +53,21 @@
     ConnectionClosed,
     /// The client disconnected.
     Disconnected,
-    /// No response arrived by the deadline and some time after it.
+    /// No response arrived before the client stopped waiting, some time after the deadline.
     NoResponse,
 }
 
 /// The properties of a request that its client knows before it sends it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestStart {
-    /// What repeating it may do.
+    /// Whether it may be executed more than once.
     pub idempotency: Idempotency,
     /// The balancer that it goes to.
     pub balancer: BalancerId,
     /// Time that the client allows for the response.
     pub deadline: Duration,
-    /// Time within which the response can arrive. It follows the responses to earlier requests on the connection.
+    /// Time within which the response must arrive. It exceeds `deadline` if an earlier request of the same pipeline, whose
+    /// response comes first, has a longer deadline.
     pub response_timeout: Duration,
     /// Whether its connection has carried no request before.
     pub new_connection: bool,
--- a/soak/src/observations/surplus.rs
+++ b/soak/src/observations/surplus.rs
@@ -3,11 +3,11 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// A surplus response that is at least this late may reach one client before its balancer knows that the upstream sends
-/// such responses.
+/// Shortest delay after which a surplus response may reach one client, before the balancer's process knows that the
+/// upstream sends such responses. A balancer must always detect one with a shorter delay.
 const MIN_UNDETECTED_DELAY: Duration = Duration::from_millis(10);
 
-/// One process of a balancer, by the number of processes before it.
+/// One process of a balancer, identified by how many of the balancer's processes had started by then.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct BalancerProcess {
     balancer: BalancerId,
@@ -18,11 +18,11 @@
 #[derive(Clone, Copy, Debug)]
 struct SurplusResponse {
     upstream: UpstreamId,
-    /// Time between the response and this one.
+    /// Time from the first response to the surplus one.
     delay: Duration,
 }
 
-/// Surplus responses, and which processes have passed one on.
+/// Surplus responses, and the processes that have passed one on to a client.
 #[derive(Debug, Default)]
 pub(super) struct SurplusResponses {
     /// By the id of the request that the response belongs to.
@@ -32,19 +32,19 @@
 }
 
 impl SurplusResponses {
-    /// A process of a balancer starts.
+    /// Records that a process of a balancer starts.
     pub(super) fn record_process_start(&mut self, balancer: BalancerId) {
         *self.process_counts.entry(balancer).or_default() += 1;
     }
 
-    /// An upstream sends the response to a request again.
+    /// Records that an upstream sends the response to a request again.
     pub(super) fn record_sent(&mut self, request_id: &str, upstream: UpstreamId, delay: Duration) {
         let surplus = SurplusResponse { upstream, delay };
         self.sent.insert(request_id.to_string(), surplus);
     }
 
-    /// A client got the response to the request `source`. Returns whether it may have: it was a late surplus response, the
-    /// first from this upstream that the balancer's process has passed on.
+    /// Records that another request got the response to the request `source`. Returns whether that is allowed: it was a
+    /// late surplus response, and the first from this upstream that the balancer's process has passed on.
     pub(super) fn record_passed_on(&mut self, source: &str, balancer: BalancerId) -> bool {
         let Some(surplus) = self.sent.get(source) else {
             return false;
--- a/soak/src/plan.rs
+++ b/soak/src/plan.rs
@@ -7,7 +7,7 @@
 
 /// Number of general faults in a run of intensity 1.
 const FAULT_COUNT: Range<usize> = 5..10;
-/// Number of faults of own descriptors in a run of intensity 1, which come on top.
+/// Number of additional faults of balancers' own descriptors in a run of intensity 1.
 const OWN_DESCRIPTOR_FAULT_COUNT: Range<usize> = 1..3;
 /// When faults start, as fractions of the run's length.
 const START_FRACTION: Range<f64> = 0.05..0.6;
@@ -60,7 +60,7 @@
             }
         };
         draw(&Fault::GENERAL, FAULT_COUNT);
-        // After the general faults, so that these stay the same for a seed.
+        // Drawn after the general faults, so that a seed still draws the same general faults.
         draw(&Fault::OWN_DESCRIPTORS, OWN_DESCRIPTOR_FAULT_COUNT);
     } else {
         for &fault in only.iter().cycle().take(only.len() * (intensity + 1)) {
--- a/soak/src/plan/tests.rs
+++ b/soak/src/plan/tests.rs
@@ -1,4 +1,4 @@
-//! Which faults a seed draws.
+//! Tests which faults a seed draws.
 use super::draw_faults;
 use crate::fault::Fault;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 #[test]
 fn a_seed_keeps_its_general_faults() {
-    // The report of seed 5033 before there were faults of own descriptors.
+    // The faults in the report of seed 5033 before the faults of own descriptors were added.
     let expected = "release, reload, brokenreads, burst, failingsockets, shorttransfers, burst, reload, spoiltlists, \
          release, idlecrowd, spoiltlists, release, interrupted, silentwatches, \
          upgrade, signalseries, burst";
--- a/soak/src/rules.rs
+++ b/soak/src/rules.rs
@@ -2,12 +2,12 @@
 use std::fmt;
 use std::time::Duration;
 
-/// A rule that balancers must keep.
+/// A rule that balancers must follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// A request that a balancer read gets a final response in time.
     LostRequest,
-    /// A request does not run twice, unless it may be repeated.
+    /// A request is not executed twice, unless it may be repeated.
     DuplicateExecution,
     /// A request has at most one attempt in flight.
     ConcurrentAttempts,
@@ -17,15 +17,15 @@
     UnavailableUpstream,
     /// No attempt starts after its client has disconnected.
     AttemptAfterDisconnect,
-    /// An upstream is not given more time than the client has left.
+    /// An upstream gets no deadline later than the client's.
     ForwardedDeadline,
-    /// A response that promises that nothing ran follows no attempt that may have run.
+    /// A response states that a request was not executed only if no attempt may have executed it.
     FalseRejection,
-    /// A client gets the response that an upstream made for its request.
+    /// A client gets only the response to its own request, and an upstream only requests that a client has sent.
     WrongResponse,
-    /// An upstream that warms up gets no more requests than it can serve.
+    /// An upstream in slow start gets no more requests than it can serve.
     SlowStartExceeded,
-    /// A balancer starts, and exits only when it is asked to.
+    /// A balancer starts, exits only when it is asked to, and then exits in time and without an error.
     Crash,
     /// A balancer is ready in time.
     NotReady,
@@ -40,7 +40,7 @@
     pub rule: Rule,
     /// Time since the start of the run.
     pub at: Duration,
-    /// Describes the observation.
+    /// What was observed.
     pub details: String,
 }
 
