--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -57,8 +57,8 @@
     /// Sends requests until the group is stopped.
     pub async fn run(mut self) {
         while !self.group.is_stopped() {
-            let mean_pauses = -(1.0 - self.random.random::<f64>()).ln();
-            let pause_seconds = mean_pauses / self.group.request_rate();
+            let pause_factor = -(1.0 - self.random.random::<f64>()).ln();
+            let pause_seconds = pause_factor / self.group.request_rate();
             sleep(Duration::from_secs_f64(
                 pause_seconds.min(MAX_REQUEST_PAUSE_SECONDS),
             ))
--- a/soak/src/discovery/agent.rs
+++ b/soak/src/discovery/agent.rs
@@ -1,6 +1,6 @@
 //! The agents of discovery, which serve the connections of one balancer each.
 use super::condition::DiscoveryCondition;
-use super::queue::{Admission, MAX_QUEUE_WAIT};
+use super::queue::{Admission, QUEUE_TIMEOUT};
 use super::state::DrawnFaults;
 use super::Discovery;
 use crate::discovery_mode::DiscoveryMode;
@@ -178,14 +178,14 @@
         match admission {
             Some(Admission::ServedAt(turn)) => sleep_until(turn).await,
             Some(Admission::TimesOut) => {
-                sleep(MAX_QUEUE_WAIT).await;
+                sleep(QUEUE_TIMEOUT).await;
                 return false;
             }
             Some(Admission::Rejected) => return false,
             None => {
                 let condition = self.discovery.state().condition;
                 if condition == DiscoveryCondition::Rejecting {
-                    sleep(MAX_QUEUE_WAIT).await;
+                    sleep(QUEUE_TIMEOUT).await;
                 }
             }
         }
--- a/soak/src/discovery/queue.rs
+++ b/soak/src/discovery/queue.rs
@@ -3,15 +3,15 @@
 use tokio::time::Instant;
 
 /// Discovery fails requests that have waited this long.
-pub(super) const MAX_QUEUE_WAIT: Duration = Duration::from_secs(2);
+pub(super) const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
 /// Discovery rejects requests at once that would wait longer than this.
-const MAX_QUEUE_LENGTH: Duration = Duration::from_millis(2300);
+const MAX_EXPECTED_WAIT: Duration = Duration::from_millis(2300);
 
 /// How a request waits for its turn.
 pub(super) enum Admission {
     /// Its turn comes at this time.
     ServedAt(Instant),
-    /// It fails after it has waited for [`MAX_QUEUE_WAIT`].
+    /// It fails after it has waited for [`QUEUE_TIMEOUT`].
     TimesOut,
     /// The queue is full.
     Rejected,
@@ -37,11 +37,11 @@
     pub(super) fn admit(&mut self, now: Instant) -> Admission {
         let turn = self.free_at.max(now);
         let wait = turn - now;
-        if wait > MAX_QUEUE_LENGTH {
+        if wait > MAX_EXPECTED_WAIT {
             return Admission::Rejected;
         }
         self.free_at = turn + self.service_time;
-        if wait > MAX_QUEUE_WAIT {
+        if wait > QUEUE_TIMEOUT {
             return Admission::TimesOut;
         }
         Admission::ServedAt(turn)
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -107,21 +107,21 @@
     fn find(arguments: &Arguments) -> Result<BuildFiles, SoakError> {
         let program = match &arguments.program {
             Some(program) => program.clone(),
-            None => find_built("balancer")?,
+            None => require_build_output("balancer")?,
         };
         Ok(BuildFiles {
             program,
-            library: find_built("libfault_injection.so")?,
+            library: require_build_output("libfault_injection.so")?,
         })
     }
 }
 
-fn find_built(file: &'static str) -> Result<PathBuf, SoakError> {
+fn require_build_output(file: &'static str) -> Result<PathBuf, SoakError> {
     find_build_output(file).ok_or(SoakError::NotBuilt { file })
 }
 
 fn main() -> ExitCode {
-    match play_seeds(&Arguments::parse()) {
+    match run_seeds(&Arguments::parse()) {
         Ok(true) => ExitCode::SUCCESS,
         Ok(false) => ExitCode::FAILURE,
         Err(error) => {
@@ -132,7 +132,7 @@
 }
 
 /// Plays the runs of all seeds. Returns whether none broke a rule.
-fn play_seeds(arguments: &Arguments) -> Result<bool, SoakError> {
+fn run_seeds(arguments: &Arguments) -> Result<bool, SoakError> {
     let files = BuildFiles::find(arguments)?;
     let folder = arguments
         .logs
@@ -158,13 +158,13 @@
             library: files.library.clone(),
             folder: folder.join(format!("seed-{seed}")),
         };
-        passed &= play_seed(&runtime, options, arguments)?;
+        passed &= run_seed(&runtime, options, arguments)?;
     }
     Ok(passed)
 }
 
 /// Plays one run and prints its report. Returns whether it broke no rule; its logs are removed then, unless they are to be kept.
-fn play_seed(
+fn run_seed(
     runtime: &Runtime,
     options: RunOptions,
     arguments: &Arguments,
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Time between two records of which changes balancers count as notified of.
-const NOTIFICATION_RECORD_INTERVAL: Duration = Duration::from_millis(20);
+const NOTIFICATION_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Time for clients to finish their requests at the end.
 const CLIENT_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 /// Clients of each balancer by kind.
@@ -45,7 +45,7 @@
     let clients_per_balancer = CLIENTS.iter().map(|&(_, count)| count).sum();
     let testbed = Arc::new(Testbed::build(&options, clients_per_balancer).await?);
     testbed.start_balancers().await;
-    let notification_records = tokio::spawn(record_notifications(testbed.clone()));
+    let notification_task = tokio::spawn(record_notifications(testbed.clone()));
     let clients = start_clients(&testbed, options.seed);
     let mut faults = draw_faults(
         options.seed,
@@ -63,8 +63,8 @@
     for client in clients {
         let _ = timeout(CLIENT_SHUTDOWN_TIMEOUT, client).await;
     }
-    testbed.end_balancers().await;
-    notification_records.abort();
+    testbed.shut_down_balancers().await;
+    notification_task.abort();
     let observations = testbed.recorder().lock();
     Ok(RunResult {
         faults,
@@ -76,7 +76,7 @@
 async fn record_notifications(testbed: Arc<Testbed>) {
     loop {
         testbed.discovery().record_overdue_notifications();
-        sleep(NOTIFICATION_RECORD_INTERVAL).await;
+        sleep(NOTIFICATION_CHECK_INTERVAL).await;
     }
 }
 
--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -23,14 +23,14 @@
 struct ManagedUpstream {
     upstream: Upstream,
     /// Held while the upstream is down or about to be.
-    release: Mutex<()>,
+    reservation: Mutex<()>,
 }
 
 /// A balancer of a run.
 struct ManagedBalancer {
     balancer: Mutex<Balancer>,
     /// Held while operators suspend and restore endpoints at the balancer.
-    overrides: Mutex<()>,
+    overrides_reservation: Mutex<()>,
     clients: Arc<ClientGroup>,
     /// Two addresses of discovery. A reload changes from one to the other.
     discovery_addresses: [SocketAddr; 2],
@@ -94,7 +94,7 @@
 
     /// Reserves an upstream for a fault that stops it. Fails while another fault has reserved it.
     pub fn try_reserve_upstream(&self, id: UpstreamId) -> Result<MutexGuard<'_, ()>, TryLockError> {
-        self.upstreams[id.0].release.try_lock()
+        self.upstreams[id.0].reservation.try_lock()
     }
 
     /// Number of balancers.
@@ -125,7 +125,7 @@
         &self,
         id: BalancerId,
     ) -> Result<MutexGuard<'_, ()>, TryLockError> {
-        self.balancers[id.0].overrides.try_lock()
+        self.balancers[id.0].overrides_reservation.try_lock()
     }
 
     /// The clients of a balancer.
--- a/soak/src/testbed/lifecycle.rs
+++ b/soak/src/testbed/lifecycle.rs
@@ -125,7 +125,7 @@
     }
 
     /// Checks what balancers have counted themselves, then ends them.
-    pub async fn end_balancers(&self) {
+    pub async fn shut_down_balancers(&self) {
         for id in self.balancer_ids() {
             let mut balancer = self.lock_balancer(id).await;
             self.check_balancer(&mut balancer).await;
--- a/soak/src/testbed/setup.rs
+++ b/soak/src/testbed/setup.rs
@@ -101,7 +101,7 @@
         );
         self.balancers.push(ManagedBalancer {
             balancer: Mutex::new(balancer),
-            overrides: Mutex::default(),
+            overrides_reservation: Mutex::default(),
             clients: Arc::new(clients),
             discovery_addresses,
             uses_second_address: AtomicBool::new(false),
@@ -159,7 +159,7 @@
             })?;
         upstreams.push(ManagedUpstream {
             upstream,
-            release: Mutex::default(),
+            reservation: Mutex::default(),
         });
     }
     Ok(upstreams)
