--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of clients. Some keep to the protocol, some disconnect and some misbehave.
+//! Stand-ins for clients. Some follow the protocol, some disconnect and some misbehave.
 mod exchange;
 mod group;
 mod misbehavior;
@@ -17,11 +17,11 @@
 use tokio::net::TcpStream;
 use tokio::time::sleep;
 
-/// Pause before a client tries again to connect to a balancer that is not there.
+/// Pause before a client that could not connect tries again.
 const RECONNECT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest pause before a request.
+/// Longest pause before a request, in seconds.
 const MAX_REQUEST_PAUSE_SECONDS: f64 = 3.0;
-/// Spreads the numbers of clients over the seeds.
+/// Multiplier of a client's number, which makes the seeds of consecutive clients differ in many bits.
 const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 struct Connection {
--- a/soak/src/client/exchange.rs
+++ b/soak/src/client/exchange.rs
@@ -44,7 +44,8 @@
         recorder.lock().record_request_sent(&request.id);
         connection.used = true;
         if written.is_err() {
-            // The close crossed the request. Whether the balancer read it shows at the upstreams.
+            // The connection was closed while the request was written. Only its attempts at the upstreams show whether the
+            // balancer read it.
             self.record_outcome(&request.id, ClientOutcome::Disconnected);
             self.connection = None;
             return;
@@ -79,7 +80,7 @@
         let status = response.status().unwrap_or(0);
         if status == 200 && response.body != expected_body(request_id).as_bytes() {
             let body = String::from_utf8_lossy(&response.body);
-            let details = format!("the response to {request_id} was {body:?}");
+            let details = format!("request {request_id} got a wrong response body: {body:?}");
             self.recorder()
                 .lock()
                 .record_wrong_response(request_id, source_of(&body), details);
@@ -110,7 +111,7 @@
         if with_reset {
             connection.reader.reset_connection(connection.writer);
         } else {
-            // Dropping the halves one by one would send the end of the stream before the close.
+            // Dropping the halves one by one would shut down the write direction before the connection is closed.
             drop(connection.reader.reunite(connection.writer));
         }
         self.record_outcome(&request.id, outcome);
@@ -132,7 +133,8 @@
         }
         for request in &requests {
             if self.connection.is_none() {
-                // The previous response announced the close. Requests that the balancer did not read may be sent again elsewhere.
+                // An earlier response announced the close of the connection, or did not arrive. Requests that the balancer
+                // did not read may be sent again elsewhere.
                 self.record_outcome(&request.id, ClientOutcome::Disconnected);
                 continue;
             }
--- a/soak/src/client/group.rs
+++ b/soak/src/client/group.rs
@@ -1,4 +1,4 @@
-//! The clients of one balancer and what controls them together.
+//! What the clients of one balancer share, and the controls that apply to all of them.
 use crate::ids::BalancerId;
 use crate::recorder::Recorder;
 use std::net::SocketAddr;
@@ -103,12 +103,12 @@
         self.may_connect.load(Ordering::Relaxed)
     }
 
-    /// Clients open no connections from now on, as their balancer is about to end.
+    /// Tells the clients to open no more connections, as their balancer is about to exit.
     pub fn forbid_connections(&self) {
         self.may_connect.store(false, Ordering::Relaxed);
     }
 
-    /// Clients may open connections again.
+    /// Lets the clients open connections again.
     pub fn allow_connections(&self) {
         self.may_connect.store(true, Ordering::Relaxed);
     }
--- a/soak/src/client/misbehavior.rs
+++ b/soak/src/client/misbehavior.rs
@@ -7,7 +7,7 @@
 
 /// Time for which a client that misbehaves keeps its connection open.
 const MISBEHAVIOR_TIMEOUT: Duration = Duration::from_secs(4);
-/// Length of what a client sends that sends random bytes.
+/// Number of bytes that a client of kind [`ClientKind::RandomBytes`] sends.
 const RANDOM_BYTES: usize = 200;
 
 impl Client {
--- a/soak/src/client/request.rs
+++ b/soak/src/client/request.rs
@@ -7,9 +7,9 @@
 use std::ops::Range;
 use std::time::Duration;
 
-/// Deadlines of requests, in milliseconds.
+/// Range of the deadlines of requests, in milliseconds.
 const DEADLINES_MS: Range<u64> = 250..2000;
-/// The body of a request that has a small one.
+/// A small request body, which a large one repeats.
 const SMALL_BODY: &str = "twelve bytes";
 
 /// A request that is ready to be sent.
--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -1,5 +1,5 @@
-//! A stand-in of discovery: one endpoint list, and agents on ports of their own for each balancer, so that the run knows
-//! which balancer was notified of what and when.
+//! A stand-in for discovery: one endpoint list, and agents that each balancer reaches on ports of its own, so that the
+//! run knows which balancer was notified of which changes, and when.
 mod agent;
 mod condition;
 mod endpoint_list;
@@ -35,7 +35,7 @@
 }
 
 impl Discovery {
-    /// Lists these upstreams, which count as warm.
+    /// Lists these upstreams as active and past their slow start.
     ///
     /// In poll mode, one request that starts a watch or wants a snapshot takes `service_time`.
     pub fn new(
@@ -62,7 +62,7 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Sets the condition of discovery, which also decides about requests that wait.
+    /// Sets the condition of discovery. It also applies to requests that are waiting.
     pub fn set_condition(&self, condition: DiscoveryCondition) {
         self.state().set_condition(condition);
         self.changes.send_modify(|_| ());
@@ -90,18 +90,18 @@
         self.changes.send_replace(version);
     }
 
-    /// A balancer's process starts now.
+    /// Notes that a balancer's process starts now.
     pub fn balancer_started(&self, balancer: BalancerId) {
         self.state().set_notifies_from(balancer, Instant::now());
     }
 
-    /// A balancer is asked to use another address, from which it takes some time to get the list.
+    /// Notes that a balancer is asked to use another address, from which it may take some time to get the list.
     pub fn balancer_reloaded(&self, balancer: BalancerId) {
         let notifies_from = Instant::now() + RELOAD_NOTIFICATION_DEADLINE;
         self.state().set_notifies_from(balancer, notifies_from);
     }
 
-    /// The complete list, which a balancer gets at its start and knows from now on.
+    /// The complete list for the start of a balancer, which is considered notified of it from now on.
     pub fn snapshot(&self, balancer: BalancerId) -> String {
         let state = self.state();
         self.record_notified(&state.list, balancer, NoticeSource::StartupList);
@@ -110,7 +110,8 @@
 
     /// The complete list for a successor process.
     ///
-    /// The process that it replaces does not get this list. Only available endpoints count as known by both.
+    /// The process that it replaces does not get this list. So the balancer is considered notified of the active endpoints
+    /// only, not of those that are unavailable.
     pub fn snapshot_for_successor(&self, balancer: BalancerId) -> String {
         let state = self.state();
         let mut observations = self.recorder.lock();
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Records that a balancer knows the list from now on.
+    /// Records that a balancer is considered notified of the list from now on.
     fn record_notified(&self, list: &EndpointList, balancer: BalancerId, source: NoticeSource) {
         let now = Instant::now();
         let mut observations = self.recorder.lock();
@@ -147,7 +148,8 @@
         }
     }
 
-    /// Records which changes balancers count as notified of by now though they may not have arrived. To be called often.
+    /// Records the changes whose notification is overdue: balancers are considered notified of them even if no list has
+    /// arrived. The run calls this at short intervals.
     pub fn record_overdue_notifications(&self) {
         let state = self.state();
         if !state.condition.is_up() {
--- a/soak/src/discovery/agent.rs
+++ b/soak/src/discovery/agent.rs
@@ -30,7 +30,7 @@
 struct ListRequest {
     /// The version that the balancer has; none if it wants a snapshot.
     since_version: Option<u64>,
-    /// How long discovery may wait for a change.
+    /// How long discovery may wait for a change before it responds.
     long_poll_timeout: Duration,
     /// Whether it continues a watch, which needs no turn in the queue.
     continues_watch: bool,
@@ -74,7 +74,7 @@
 }
 
 impl Discovery {
-    /// Opens an agent for a balancer. It responds for as long as the runtime lasts.
+    /// Opens an agent for a balancer. It accepts connections until the runtime shuts down.
     pub async fn open_agent(
         self: &Arc<Self>,
         balancer: BalancerId,
@@ -192,7 +192,7 @@
         true
     }
 
-    /// Waits until discovery is up: an agent does not respond before that.
+    /// Waits until discovery is up. Until then an agent does not respond.
     async fn wait_until_up(&self) {
         let mut changes = self.discovery.changes.subscribe();
         while !self.discovery.state().condition.is_up() {
@@ -202,7 +202,7 @@
         }
     }
 
-    /// Waits until a request need not wait any more. Returns whether that was before its long-poll timeout.
+    /// Waits until a request can be answered. Returns whether that was before its long-poll timeout.
     async fn wait_for_changes(&self, request: ListRequest) -> bool {
         let Some(since_version) = request.since_version else {
             return true;
--- a/soak/src/discovery/condition.rs
+++ b/soak/src/discovery/condition.rs
@@ -5,7 +5,7 @@
 pub enum DiscoveryCondition {
     /// It responds.
     Up,
-    /// It rejects them after a while.
+    /// It rejects them; those that need a turn in the queue, after a while.
     Rejecting,
     /// It accepts them and does not respond.
     Unresponsive,
@@ -22,7 +22,7 @@
 /// Probabilities of faults in responses, from 0 to 1.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DiscoveryFaults {
-    /// The response is no list.
+    /// The response is not a valid list.
     pub malformed: f64,
     /// The connection closes without a response.
     pub disconnect: f64,
--- a/soak/src/discovery/endpoint_list.rs
+++ b/soak/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list and its versions, and the JSON in which balancers get it.
+//! The endpoint list, its versions and its JSON format.
 use crate::ids::UpstreamId;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -35,7 +35,7 @@
     address: SocketAddr,
     state: EndpointState,
     started_at_unix_ms: u64,
-    /// The version of the list that brought its state.
+    /// The version of the list in which its state last changed.
     version: u64,
     changed_at: Instant,
 }
@@ -72,7 +72,7 @@
 }
 
 impl EndpointList {
-    /// Lists these upstreams as active and warm, in version 1.
+    /// Lists these upstreams as active and past their slow start, in version 1.
     pub(super) fn new(upstreams: &[SocketAddr], now: Instant) -> EndpointList {
         let entries = upstreams
             .iter()
--- a/soak/src/discovery/queue.rs
+++ b/soak/src/discovery/queue.rs
@@ -2,18 +2,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Discovery fails requests that have waited this long.
+/// Discovery rejects a request that has waited this long in the queue.
 pub(super) const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
-/// Discovery rejects requests at once that would wait longer than this.
+/// Discovery immediately rejects a request that would have to wait longer than this.
 const MAX_EXPECTED_WAIT: Duration = Duration::from_millis(2300);
 
 /// How a request waits for its turn.
 pub(super) enum Admission {
     /// Its turn comes at this time.
     ServedAt(Instant),
-    /// It fails after it has waited for [`QUEUE_TIMEOUT`].
+    /// It is rejected after it has waited for [`QUEUE_TIMEOUT`].
     TimesOut,
-    /// The queue is full.
+    /// The queue is full: it is rejected immediately.
     Rejected,
 }
 
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Admits a request. A request that times out is served all the same.
+    /// Admits a request. A request that times out takes its service time all the same.
     pub(super) fn admit(&mut self, now: Instant) -> Admission {
         let turn = self.free_at.max(now);
         let wait = turn - now;
--- a/soak/src/discovery/state.rs
+++ b/soak/src/discovery/state.rs
@@ -1,4 +1,4 @@
-//! What discovery holds under its lock.
+//! The state of discovery, which a lock guards.
 use super::condition::{DiscoveryCondition, DiscoveryFaults};
 use super::endpoint_list::EndpointList;
 use super::queue::RequestQueue;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time after which balancers count as notified of a change, once discovery is reachable.
+/// Time after which balancers are considered notified of a change, once discovery is reachable.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 
 /// The list, discovery's condition and its faults.
@@ -22,7 +22,7 @@
     faults: DiscoveryFaults,
     /// Watches that were open at this time get no updates.
     silent_watches_before: Option<Instant>,
-    /// Balancers count as notified of what silent watches missed from this time on.
+    /// From this time on, balancers are considered notified of the changes that silent watches did not send.
     silent_watches_until: Instant,
     /// For each balancer, when its process started or may first use its new address.
     notifies_from: Vec<Instant>,
@@ -37,7 +37,7 @@
 }
 
 impl State {
-    /// Discovery is up and has had this list since `now`. Balancers count as started `now`.
+    /// Creates the state of a discovery that is up and has had this list since `now`. Balancers count as started `now`.
     pub(super) fn new(
         list: EndpointList,
         queue: RequestQueue,
@@ -79,7 +79,7 @@
         self.silent_watches_until = Instant::now() + NOTIFICATION_DEADLINE;
     }
 
-    /// A balancer gets no list from its process or address before this time.
+    /// Sets the time before which a balancer gets no list at its new process or from its new address.
     pub(super) fn set_notifies_from(&mut self, balancer: BalancerId, from: Instant) {
         self.notifies_from[balancer.0] = from;
     }
@@ -101,7 +101,7 @@
             .is_some_and(|before| opened_at < before)
     }
 
-    /// When a balancer counts as notified of a change at the latest, while discovery is up.
+    /// When a balancer is considered notified of a change at the latest, while discovery is up.
     pub(super) fn notification_due_at(
         &self,
         mode: DiscoveryMode,
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -13,9 +13,9 @@
     Reload,
     /// A balancer's process is repeatedly paused for a moment.
     Stall,
-    /// Upstreams drain, disappear and come back, warming up.
+    /// Upstreams drain, are removed and start again in slow start.
     Release,
-    /// An upstream crashes and comes back at once, warming up.
+    /// An upstream crashes and starts again within a second, in slow start.
     UpstreamCrash,
     /// Upstreams reset connections, truncate responses, do not respond or send malformed responses.
     BadUpstreams,
--- a/soak/src/injector/upstreams.rs
+++ b/soak/src/injector/upstreams.rs
@@ -22,7 +22,7 @@
 const MAX_ADDED_LATENCY_MS: f64 = 200.0;
 
 impl FaultInjector {
-    /// Releases one upstream after the other: it drains, disappears and comes back, warming up.
+    /// Releases one upstream after the other: it drains, is removed and starts again in slow start.
     pub(super) async fn release_upstreams(&mut self) {
         let ends_at = self.ends_at();
         while Instant::now() < ends_at {
@@ -46,7 +46,7 @@
         }
     }
 
-    /// Stops one upstream without notice. It comes back at once, warming up.
+    /// Stops one upstream without notice. It starts again within a second, in slow start.
     pub(super) async fn crash_upstream(&mut self) {
         let upstream = self.draw_upstream();
         let testbed = self.testbed.clone();
--- a/soak/src/limits.rs
+++ b/soak/src/limits.rs
@@ -28,7 +28,7 @@
 /// The limits for an upstream in slow start.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartLimits {
-    /// Requests a second that a warm upstream can serve.
+    /// Requests a second that an upstream can serve after its slow start.
     pub capacity_per_second: f64,
     /// Fraction of the capacity that an upstream has when it starts.
     pub initial_fraction: f64,
--- a/soak/src/loopback.rs
+++ b/soak/src/loopback.rs
@@ -1,5 +1,5 @@
-//! The loopback address of this soak. Soaks and tests that run at the same time use others, so that none of them can take the
-//! port of a stand-in that is stopped for a while.
+//! The loopback address of this process. Soaks and tests that run at the same time use other addresses, so that none of
+//! them can take the port of a stand-in that is stopped for a while.
 use std::net::Ipv4Addr;
 
 /// A loopback address that soaks running at the same time do not use.
--- a/soak/src/request_class.rs
+++ b/soak/src/request_class.rs
@@ -1,13 +1,13 @@
 //! The request classes of a run. Balancers read them from their settings, clients send requests of each class.
 
-/// What repeating a request may do.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// The request may run any number of times.
+    /// The request may be executed any number of times.
     Idempotent,
     /// The request carries an idempotency key: upstreams discard repeats within the repeat window.
     IdempotencyKey,
-    /// The request must not run twice.
+    /// The request must not be executed twice.
     NonIdempotent,
 }
 
@@ -27,7 +27,7 @@
 pub struct RequestClass {
     /// Its name in the settings and in the `Req-Kind` header.
     pub name: &'static str,
-    /// What repeating one of its requests may do.
+    /// Whether one of its requests may be executed more than once.
     pub idempotency: Idempotency,
 }
 
--- a/soak/src/response_body.rs
+++ b/soak/src/response_body.rs
@@ -8,7 +8,8 @@
 /// What each body starts with, before the id of its request.
 const BODY_START: &str = "served ";
 
-/// Builds the body of the response to a request. It names the request, so that a client notices another one's response.
+/// Builds the body of the response to a request. It contains the request's id, so that a client
+/// detects the response to another request.
 pub fn expected_body(request_id: &str) -> String {
     let body = format!("{BODY_START}{request_id}");
     if request_id.ends_with(LARGE_REQUEST_SUFFIX) {
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Stand-ins of upstreams, which misbehave as the protocol page says that real ones may.
+//! Stand-ins for upstreams, which misbehave in the ways that the protocol page allows for real ones.
 mod connection;
 mod profile;
 mod state;
@@ -24,7 +24,7 @@
 }
 
 impl Upstream {
-    /// Starts an upstream on a free port of loopback.
+    /// Starts an upstream on a free port of the loopback address.
     pub async fn start(
         id: UpstreamId,
         seed: u64,
--- a/soak/src/upstream/connection.rs
+++ b/soak/src/upstream/connection.rs
@@ -44,7 +44,7 @@
 /// One attempt that the connection serves.
 struct Attempt {
     request_id: String,
-    /// The number among the request's attempts.
+    /// Its number among the request's attempts.
     number: usize,
 }
 
@@ -135,7 +135,7 @@
         let Some(number) = number else {
             observations.record_violation(
                 Rule::WrongResponse,
-                format!("a request that no client sent: {request_id}"),
+                format!("an upstream got a request that no client sent: {request_id}"),
             );
             return None;
         };
@@ -247,7 +247,7 @@
         ConnectionFate::Keep
     }
 
-    /// Waits until `until`, and sends the surplus response when it is due.
+    /// Waits until `until`, and sends the surplus response if it is due by then.
     async fn wait_until(&mut self, until: Instant) {
         if let Some(surplus) = self.surplus.take_if(|surplus| surplus.due_at <= until) {
             sleep_until(surplus.due_at).await;
@@ -257,7 +257,7 @@
         sleep_until(until).await;
     }
 
-    /// Waits for the next request, and sends the surplus response if it is due before.
+    /// Waits for the first byte of the next request, and sends the surplus response if it is due before that.
     async fn wait_for_request(&mut self, reader: &mut MessageReader) -> Result<Instant, ReadError> {
         if let Some(due_at) = self.surplus.as_ref().map(|surplus| surplus.due_at) {
             tokio::select! {
--- a/soak/src/upstream/profile.rs
+++ b/soak/src/upstream/profile.rs
@@ -10,7 +10,7 @@
     pub mean_latency_ms: f64,
     /// Responds with status 500.
     pub error: f64,
-    /// Rejects the request, with the header that says that nothing ran.
+    /// Rejects the request, with the header that states that it was not executed.
     pub rejection: f64,
     /// Resets the connection after the complete request.
     pub reset: f64,
@@ -28,7 +28,7 @@
     pub response_without_length: f64,
     /// Closes the idle connection after a response, without notice.
     pub idle_close: f64,
-    /// Accepts the connection and reads nothing from it.
+    /// Accepts the connection, but reads nothing from it.
     pub unresponsive_connection: f64,
 }
 
@@ -59,7 +59,7 @@
         status: "500 Internal Server Error",
         outcome: AttemptOutcome::Error,
     };
-    /// Rejects the request. The header says that nothing ran.
+    /// Rejects the request. The header states that it was not executed.
     pub(super) const REJECT: ResponseAction = ResponseAction::Respond {
         status: "503 Service Unavailable\r\nSrv-Declined: 1",
         outcome: AttemptOutcome::Rejected,
--- a/soak/src/upstream/state.rs
+++ b/soak/src/upstream/state.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::{Arc, Mutex, PoisonError};
 
-/// Spreads the connections of an upstream over the seeds.
+/// Multiplier of an upstream's seed, to which the connection's number is added.
 const SEED_MULTIPLIER: u64 = 1_000_003;
 
 /// What the connections of an upstream share, over all of its restarts.
--- a/soak/src/wire/reader.rs
+++ b/soak/src/wire/reader.rs
@@ -24,7 +24,7 @@
     /// The connection failed.
     #[error("the connection failed: {0}")]
     Io(#[from] io::Error),
-    /// The bytes are no HTTP/1.1 message.
+    /// The bytes are not a valid HTTP/1.1 message.
     #[error("malformed HTTP/1.1 message")]
     Malformed,
 }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Joins both directions of the connection again; none if `writer` belongs to another connection.
+    /// Joins both directions of the connection again. Returns none if `writer` belongs to another connection.
     pub fn reunite(self, writer: OwnedWriteHalf) -> Option<TcpStream> {
         self.stream.reunite(writer).ok()
     }
--- a/soak/src/wire/writer.rs
+++ b/soak/src/wire/writer.rs
@@ -5,7 +5,8 @@
 use tokio::net::tcp::OwnedWriteHalf;
 use tokio::time::sleep;
 
-/// Formats a response whose length is stated. `status` is the status line after the version; it may carry more headers.
+/// Formats a response whose length is stated. `status` is the status line after the version; it may include further
+/// header lines.
 pub fn format_response(status: &str, body: &str) -> String {
     format!(
         "HTTP/1.1 {status}\r\nContent-Length: {}\r\n\r\n{body}",
@@ -13,7 +14,7 @@
     )
 }
 
-/// Writes a message in this many pieces, with a pause between each two.
+/// Writes a message in up to this many pieces, with a pause between them.
 pub async fn write_in_pieces(
     writer: &mut OwnedWriteHalf,
     message: &[u8],
