--- a/soak/src/balancer.rs
+++ b/soak/src/balancer.rs
@@ -27,15 +27,15 @@
 use tokio::process::{Child, Command};
 use tokio::time::{sleep, timeout, Instant};
 
-/// Time from SIGTERM to SIGKILL: the longest deadline of the settings and 0.7 s.
+/// Time from SIGTERM to SIGKILL: the longest deadline of the settings plus 0.7 s.
 pub const KILL_DELAY: Duration = Duration::from_millis(2700);
 /// Time within which a balancer must become ready.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for one readiness request.
+/// Timeout of one readiness request.
 const READINESS_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
-/// Pause between two looks at a process that starts.
+/// Pause between two readiness checks of a process that starts.
 const READINESS_INTERVAL: Duration = Duration::from_millis(20);
-/// Time within which a process with a successor must exit: the longest deadline of the settings, 0.65 s and a reserve.
+/// Time within which a process with a successor must exit: the longest deadline of the settings plus 0.65 s and a reserve.
 const HANDOFF_TIMEOUT: Duration = Duration::from_millis(3700);
 
 /// Folder of the balancer's temporary files, where it keeps the overrides.
@@ -97,7 +97,7 @@
             .map_err(|source| self.control_file_error(source))
     }
 
-    /// Ends all system call faults. The offset of the wall clock stays.
+    /// Clears all system call faults. The offset of the wall clock does not change.
     pub fn clear_syscall_faults(&self) -> Result<(), BalancerError> {
         const CLOCK_OFFSET_AT: usize = SyscallFault::ClockOffset as usize * WORD_BYTES;
         const NEXT_WORD_AT: usize = CLOCK_OFFSET_AT + WORD_BYTES;
@@ -168,7 +168,8 @@
         Ok(log)
     }
 
-    /// Replaces its process: starts a successor beside it, ends it once the successor serves, and waits until it has exited.
+    /// Replaces its process: starts a successor beside it, terminates it once the successor serves, and waits until it has
+    /// exited.
     pub async fn upgrade(
         &mut self,
         discovery: SocketAddr,
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Waits until it is ready. Returns whether it was in time.
+    /// Waits until it is ready, up to a time limit. Returns whether it is.
     pub async fn wait_until_ready(&mut self) -> bool {
         let started_at = Instant::now();
         while started_at.elapsed() < READINESS_TIMEOUT {
@@ -233,7 +234,7 @@
 
     /// Sends its process a signal.
     pub fn signal(&self, signal: Signal) {
-        // The process has not been waited for, so that its id cannot belong to another process.
+        // Until the child has been waited for, its process id cannot belong to another process.
         if let Some(process_id) = self.child.as_ref().and_then(Child::id) {
             signal.send(process_id);
         }
@@ -266,7 +267,7 @@
         Some(status.to_string())
     }
 
-    /// The interface for operators.
+    /// The client of its admin endpoint.
     pub fn admin(&self) -> &AdminClient {
         &self.admin
     }
--- a/soak/src/balancer/address.rs
+++ b/soak/src/balancer/address.rs
@@ -5,10 +5,10 @@
 use std::net::{SocketAddr, TcpListener};
 use std::sync::atomic::{AtomicU16, Ordering};
 
-/// The first port. It lies below the ports that outgoing connections take.
+/// The first port. It is below the ephemeral ports, which outgoing connections use.
 const FIRST_PORT: u16 = 20_000;
 
-/// Finds an address that is free and that no other balancer of this process gets.
+/// Finds a free address. Each call returns another one, so that no two balancers of this process share it.
 pub(super) fn free_address() -> Result<SocketAddr, BalancerError> {
     static NEXT_PORT: AtomicU16 = AtomicU16::new(FIRST_PORT);
     loop {
--- a/soak/src/balancer/admin.rs
+++ b/soak/src/balancer/admin.rs
@@ -1,4 +1,4 @@
-//! The admin endpoint of a balancer: a command is one line, its response ends with the connection.
+//! A client of a balancer's admin endpoint. A command is one line; its response ends when the connection is closed.
 use std::io;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Time for one command.
+/// Timeout of one command.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
 /// First word of the response to a command that was carried out.
 const SUCCESS: &str = "YES";
@@ -17,7 +17,7 @@
 #[derive(Debug, thiserror::Error)]
 enum AdminError {
     /// The connection failed.
-    #[error("cannot reach the admin endpoint {address}: {source}")]
+    #[error("connection to the admin endpoint {address} failed: {source}")]
     Io {
         /// The admin endpoint.
         address: SocketAddr,
@@ -26,7 +26,7 @@
         source: io::Error,
     },
     /// The response did not arrive in time.
-    #[error("no response from the admin endpoint {address}")]
+    #[error("no response from the admin endpoint {address} in time")]
     Timeout {
         /// The admin endpoint.
         address: SocketAddr,
@@ -63,7 +63,7 @@
         self.succeeds(&format!("RESTORE {endpoint_id}")).await
     }
 
-    /// The metrics that count violations of the balancer's own invariants, if any is above zero.
+    /// The metrics above zero that count violations of the balancer's own invariants.
     pub async fn violation_metrics(&self) -> Vec<String> {
         let metrics = self.send("METRICS").await.unwrap_or_default();
         metrics
--- a/soak/src/balancer/configuration.rs
+++ b/soak/src/balancer/configuration.rs
@@ -21,7 +21,7 @@
     pub mode: DiscoveryMode,
     /// Number of balancers.
     pub balancers: usize,
-    /// The settings that a run draws or checks.
+    /// The settings that the run draws or checks.
     pub settings: FleetSettings,
 }
 
@@ -43,7 +43,7 @@
     pub(super) discovery: SocketAddr,
 }
 
-/// Formats the configuration of a balancer that knows this endpoint list at its start (JSON, `null` for none).
+/// Formats the configuration of a balancer that starts with this endpoint list (JSON, `null` for none).
 pub(super) fn format_configuration(
     fleet: &Fleet,
     balancer: BalancerId,
--- a/soak/src/balancer/error.rs
+++ b/soak/src/balancer/error.rs
@@ -15,7 +15,7 @@
         source: io::Error,
     },
     /// No loopback address is free for the balancer.
-    #[error("cannot find a free address: {0}")]
+    #[error("cannot find a free loopback address: {0}")]
     Address(#[source] io::Error),
     /// The process cannot be started.
     #[error("cannot start {program}: {source}", program = program.display())]
@@ -41,16 +41,16 @@
     #[error(transparent)]
     Start(#[from] BalancerError),
     /// The successor exited.
-    #[error("the new process ended: {status}")]
+    #[error("the new process exited: {status}")]
     SuccessorExited {
         /// Its exit status.
         status: String,
     },
     /// The successor did not serve in time.
-    #[error("the new process is not ready")]
+    #[error("the new process did not serve in time")]
     SuccessorNotReady,
-    /// The old process did not shut down as it should.
-    #[error("the old process ended with {exit_code:?}")]
+    /// The old process did not exit with code 0 in time.
+    #[error("the old process did not shut down cleanly: exit code {exit_code:?}")]
     OldProcessFailed {
         /// Its exit code; none if it was killed or did not exit in time.
         exit_code: Option<i32>,
--- a/soak/src/balancer/signal.rs
+++ b/soak/src/balancer/signal.rs
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Sends the signal to a process. A process that has exited gets none.
+    /// Sends the signal to a process. A failure is ignored: the process may have exited.
     pub(super) fn send(self, process_id: u32) {
         let _ = Command::new("kill")
             .args([self.option(), &process_id.to_string()])
--- a/soak/src/build_output.rs
+++ b/soak/src/build_output.rs
@@ -1,7 +1,8 @@
-//! Finds what the workspace's build has made.
+//! Finds files in the workspace's build output.
 use std::path::{Path, PathBuf};
 
-/// Finds a file of the build in the folder of this program or in the one above, where tests run.
+/// Finds a file of the build output, in the folder of this program or in its parent: test programs run in a subfolder of
+/// the build output.
 pub fn find_build_output(name: &str) -> Option<PathBuf> {
     let program = std::env::current_exe().ok()?;
     program
--- a/soak/src/lib.rs
+++ b/soak/src/lib.rs
@@ -1,13 +1,14 @@
-//! A randomized fault soak: real balancers on loopback, between stand-ins of clients, upstreams and discovery, while
+//! A randomized fault soak: real balancers on loopback, between stand-ins for clients, upstreams and discovery, while
 //! faults overlap: restarts, reloads, stalls, releases, outages, failing system calls, a stepping clock, failing disks.
 //!
-//! [`run::run`] plays one run, in this order:
+//! [`run::run`] carries out one run, in this order:
 //!
 //! 1. [`plan`] draws the faults from the seed.
 //! 2. [`testbed`] starts the balancers and the stand-ins ([`client`], [`upstream`], [`discovery`]), which record what they
 //!    observe through a [`recorder::Recorder`].
-//! 3. [`injector`] makes the faults happen.
-//! 4. [`checker`] checks the rules against the [`observations`]. It knows nothing of how a balancer decides.
+//! 3. [`injector`] injects the faults.
+//! 4. [`checker`] checks the rules against the [`observations`], without regard to how a balancer makes
+//!    its decisions.
 //!
 //! Modules import one way: each section below imports only from the sections above it.
 //! `docs/incidents/` lists what the soak covers and what it has found.
--- a/soak/src/main.rs
+++ b/soak/src/main.rs
@@ -1,4 +1,4 @@
-//! `soak`: plays randomized fault runs and reports the rules that balancers broke. See the README.
+//! `soak`: runs balancers under randomized faults and reports violations of the rules. See the README.
 use clap::{Parser, ValueEnum};
 use soak::build_output::find_build_output;
 use soak::discovery_mode::DiscoveryMode;
@@ -16,14 +16,14 @@
 /// Threads of the runtime on which the stand-ins run.
 const WORKER_THREADS: usize = 3;
 
-/// Plays randomized fault runs of real balancers on loopback and checks their rules.
+/// Runs real balancers on loopback under randomized faults and checks that they follow the rules.
 #[derive(Debug, Parser)]
 #[command(name = "soak", about)]
 struct Arguments {
     /// The first seed.
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Number of seeds, played one after the other.
+    /// Number of consecutive seeds, run one after the other.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
     /// Length of the run of each seed, in seconds.
@@ -41,22 +41,22 @@
     /// Inject only these kinds of fault, such as `restart,shorttransfers`.
     #[arg(long, value_delimiter = ',')]
     only: Vec<Fault>,
-    /// Leave these kinds of fault out of what a seed draws; the others stay as they are.
+    /// Leave these kinds of fault out of those that a seed draws, without changing the others.
     #[arg(long, value_delimiter = ',')]
     without: Vec<Fault>,
     /// Multiplies the number of faults.
     #[arg(long, default_value_t = 1)]
     intensity: usize,
-    /// The balancer program; by default the one of the workspace's build.
+    /// The balancer program; by default the one in the workspace's build output.
     #[arg(long)]
     program: Option<PathBuf>,
     /// Folder for configurations and logs; by default one in the system's temporary folder.
     #[arg(long)]
     logs: Option<PathBuf>,
-    /// Keep the logs of runs that broke no rule, too.
+    /// Also keep the logs of runs without violations.
     #[arg(long)]
     keep_logs: bool,
-    /// Most violations of each rule to show for a run.
+    /// Maximum number of violations of each rule to show for a run.
     #[arg(long, default_value_t = 12)]
     show: usize,
 }
@@ -80,14 +80,14 @@
     }
 }
 
-/// Why runs could not be played.
+/// Why a run could not be carried out.
 #[derive(Debug, thiserror::Error)]
 enum SoakError {
-    #[error("{file} is not built")]
+    #[error("cannot find {file} in the build output; build the workspace first")]
     NotBuilt { file: &'static str },
-    #[error("cannot start the runtime: {0}")]
+    #[error("cannot start the async runtime: {0}")]
     Runtime(#[source] io::Error),
-    #[error("cannot create {folder}: {source}", folder = folder.display())]
+    #[error("cannot create the log folder {folder}: {source}", folder = folder.display())]
     LogFolder {
         folder: PathBuf,
         #[source]
@@ -131,7 +131,7 @@
     }
 }
 
-/// Plays the runs of all seeds. Returns whether none broke a rule.
+/// Carries out the runs of all seeds. Returns whether none had a violation.
 fn run_seeds(arguments: &Arguments) -> Result<bool, SoakError> {
     let files = BuildFiles::find(arguments)?;
     let folder = arguments
@@ -163,7 +163,8 @@
     Ok(passed)
 }
 
-/// Plays one run and prints its report. Returns whether it broke no rule; its logs are removed then, unless they are to be kept.
+/// Carries out one run and prints its report. Returns whether it had no violation. The logs of a run without violations
+/// are removed unless `--keep-logs` is set.
 fn run_seed(
     runtime: &Runtime,
     options: RunOptions,
--- a/soak/src/report.rs
+++ b/soak/src/report.rs
@@ -14,7 +14,7 @@
     pub mode: DiscoveryMode,
     /// The result of the run.
     pub result: &'a RunResult,
-    /// Most violations of one rule that are shown.
+    /// Maximum number of violations of one rule that are shown.
     pub max_shown: usize,
 }
 
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! Plays one run: builds the testbed, starts clients, injects the planned faults and checks what was observed.
+//! Carries out one run: builds the testbed, starts clients, injects the planned faults and checks what was observed.
 use crate::checker::Checker;
 use crate::client::{Client, ClientKind};
 use crate::injector::FaultInjector;
@@ -12,9 +12,9 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// Time between two records of which changes balancers count as notified of.
+/// Interval between two checks of which changes balancers are considered notified of by now.
 const NOTIFICATION_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time for clients to finish their requests at the end.
+/// Time for which the run waits, at its end, for each client to finish its requests.
 const CLIENT_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
 /// Clients of each balancer by kind.
 const CLIENTS: [(ClientKind, usize); 9] = [
@@ -34,13 +34,13 @@
 pub struct RunResult {
     /// The faults that were injected.
     pub faults: Vec<PlannedFault>,
-    /// The violations in the order of time.
+    /// The violations, ordered by time.
     pub violations: Vec<Violation>,
     /// Number of requests by how they ended.
     pub outcomes: OutcomeCounts,
 }
 
-/// Plays a run.
+/// Carries out a run.
 pub async fn run(options: RunOptions) -> Result<RunResult, SetupError> {
     let clients_per_balancer = CLIENTS.iter().map(|&(_, count)| count).sum();
     let testbed = Arc::new(Testbed::build(&options, clients_per_balancer).await?);
--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -22,7 +22,7 @@
 /// An upstream of a run.
 struct ManagedUpstream {
     upstream: Upstream,
-    /// Held while the upstream is down or about to be.
+    /// Held by a fault that stops the upstream, until the upstream has restarted.
     reservation: Mutex<()>,
 }
 
@@ -32,7 +32,7 @@
     /// Held while operators suspend and restore endpoints at the balancer.
     overrides_reservation: Mutex<()>,
     clients: Arc<ClientGroup>,
-    /// Two addresses of discovery. A reload changes from one to the other.
+    /// Two addresses of discovery. A reload switches from one to the other.
     discovery_addresses: [SocketAddr; 2],
     uses_second_address: AtomicBool,
 }
@@ -62,7 +62,7 @@
 }
 
 impl Testbed {
-    /// The limits that the settings of the run state.
+    /// The limits in the settings of the run.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
@@ -77,7 +77,7 @@
         &self.recorder
     }
 
-    /// The stand-in of discovery.
+    /// The stand-in for discovery.
     pub fn discovery(&self) -> &Discovery {
         &self.discovery
     }
@@ -133,7 +133,7 @@
         &self.balancers[id.0].clients
     }
 
-    /// Clients send no more requests from now on.
+    /// Tells the clients to send no more requests.
     pub fn stop_clients(&self) {
         self.clients_stopped.store(true, Ordering::Relaxed);
     }
--- a/soak/src/testbed/lifecycle.rs
+++ b/soak/src/testbed/lifecycle.rs
@@ -30,14 +30,14 @@
         self.discovery.balancer_started(id);
         self.recorder.lock().record_process_start(id);
         if let Err(error) = started {
-            let details = format!("balancer {id} cannot be started: {error}");
+            let details = format!("balancer {id} could not be started: {error}");
             self.record_violation(Rule::Crash, details);
             return;
         }
         if !balancer.wait_until_ready().await {
             let status = balancer.take_exit_status();
-            let status = status.unwrap_or_else(|| "it runs".to_string());
-            let details = format!("balancer {id} is not ready: {status}");
+            let status = status.unwrap_or_else(|| "still running".to_string());
+            let details = format!("balancer {id} did not become ready in time: {status}");
             self.record_violation(Rule::NotReady, details);
         }
         self.clients(id).allow_connections();
@@ -60,8 +60,9 @@
         self.restart_with(id, &[]).await;
     }
 
-    /// Shuts a balancer down gracefully, with further signals after the first, and starts it again. Clients use their
-    /// open connections until it has ended, or until it is killed at the earliest time that the operators allow.
+    /// Shuts a balancer down gracefully, sends it these signals after SIGTERM, and starts it again. Clients use
+    /// their open connections until it has exited, or until it is killed, [`KILL_DELAY`] after SIGTERM, the earliest time
+    /// that the operators allow.
     pub async fn restart_with(&self, id: BalancerId, further_signals: &[Signal]) {
         let mut balancer = self.lock_balancer(id).await;
         if !balancer.has_process() {
@@ -80,7 +81,7 @@
         let exited_at = Instant::now();
         if exit_code != Some(0) {
             let details = format!(
-                "balancer {id} ended with {exit_code:?} {:?} after SIGTERM",
+                "balancer {id} did not shut down cleanly: exit code {exit_code:?}, {:?} after SIGTERM",
                 signalled_at.elapsed()
             );
             self.record_violation(Rule::Crash, details);
@@ -90,7 +91,7 @@
         self.recorder.lock().record_downtime(id, exited_at);
     }
 
-    /// Replaces a balancer's process by a successor that serves beside it first.
+    /// Replaces a balancer's process with a successor. For a while both serve.
     pub async fn upgrade(&self, id: BalancerId) {
         let mut balancer = self.lock_balancer(id).await;
         if !balancer.has_process() {
@@ -103,7 +104,7 @@
             .upgrade(discovery_address, &known_list, self.seed)
             .await;
         if let Err(error) = upgraded {
-            let details = format!("balancer {id} is not upgraded: {error}");
+            let details = format!("balancer {id} could not be upgraded: {error}");
             self.record_violation(Rule::Crash, details);
         }
     }
@@ -124,7 +125,7 @@
         self.recorder.lock().record_downtime(id, killed_at);
     }
 
-    /// Checks what balancers have counted themselves, then ends them.
+    /// Checks the violations that balancers have counted themselves, then shuts the balancers down.
     pub async fn shut_down_balancers(&self) {
         for id in self.balancer_ids() {
             let mut balancer = self.lock_balancer(id).await;
--- a/soak/src/testbed/setup.rs
+++ b/soak/src/testbed/setup.rs
@@ -18,17 +18,17 @@
 use std::time::Duration;
 use tokio::sync::Mutex;
 
-/// Time in which discovery serves all balancers when they poll it at once.
+/// Time that discovery takes to serve all balancers when they poll it at once.
 const DISCOVERY_SERVICE_TIME: Duration = Duration::from_millis(3500);
 /// Requests a second that the clients of each balancer send.
 const REQUESTS_PER_SECOND: f64 = 30.0;
 /// Quota of the one tenant, in requests a second for each balancer.
 const QUOTA_PER_SECOND: f64 = 60.0;
-/// Repeat windows that a run draws from, in milliseconds.
+/// Range of the repeat window that a run draws, in milliseconds.
 const REPEAT_WINDOW_MS: Range<u64> = 400..3000;
-/// Idle close timeouts that a run draws from, in milliseconds.
+/// Range of the idle close timeout that a run draws, in milliseconds.
 const IDLE_CLOSE_TIMEOUT_MS: Range<u64> = 1500..8000;
-/// Mean latencies of upstreams that a run draws from, in milliseconds.
+/// Range of the mean latency that a run draws for each upstream, in milliseconds.
 const MEAN_LATENCY_MS: Range<f64> = 5.0..60.0;
 const DRAIN_GRACE: Duration = Duration::from_millis(300);
 const SLOW_START_INITIAL_FRACTION: f64 = 0.13;
@@ -37,9 +37,10 @@
 const SLOW_START_OVERLOAD_WINDOW: Duration = Duration::from_secs(1);
 
 impl Testbed {
-    /// Builds the testbed of a run. `clients_per_balancer` share the request rate of their balancer.
+    /// Builds the testbed of a run. The `clients_per_balancer` clients of a balancer share its request rate.
     ///
-    /// Draws the settings, then the upstreams, then the agents of discovery: always in this order.
+    /// Draws the settings, then the upstreams, then the agents of discovery. This order must stay, as it decides what a
+    /// seed draws.
     pub async fn build(
         options: &RunOptions,
         clients_per_balancer: usize,
--- a/soak/tests/smoke.rs
+++ b/soak/tests/smoke.rs
@@ -1,11 +1,11 @@
 //! Short runs of the soak on real balancers of the workspace's build, with the system call faults that once lost requests.
-// A helper that fails ends its test, as an assertion does.
+// A helper function that fails ends its test, as a failed assertion does.
 #![allow(clippy::expect_used)]
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 use std::sync::{Mutex, PoisonError};
 
-/// Held during a run: each needs the processors alone.
+/// Held during a run, as each needs the processors for itself.
 static RUN_LOCK: Mutex<()> = Mutex::new(());
 
 fn workspace_root() -> &'static Path {
@@ -38,10 +38,10 @@
         .arg("--logs")
         .arg(logs)
         .args(arguments);
-    command.output().expect("runs")
+    command.output().expect("soak runs")
 }
 
-/// Plays a run and checks that it broke no rule and served requests.
+/// Carries out a run and checks that it had no violation and served requests.
 fn assert_run_passes(arguments: &[&str]) {
     let _run = RUN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let output = run_soak(arguments);
