--- a/soak/src/testbed.rs
+++ b/soak/src/testbed.rs
@@ -22,17 +22,17 @@
 /// An upstream of a run.
 struct ManagedUpstream {
     upstream: Upstream,
-    /// Held while the upstream is down or about to be.
-    release: Mutex<()>,
+    /// Held by a fault that stops the upstream, until the upstream has restarted.
+    reservation: Mutex<()>,
 }
 
 /// A balancer of a run.
 struct ManagedBalancer {
     balancer: Mutex<Balancer>,
     /// Held while operators suspend and restore endpoints at the balancer.
-    overrides: Mutex<()>,
+    overrides_reservation: Mutex<()>,
     clients: Arc<ClientGroup>,
-    /// Two addresses of discovery. A reload changes from one to the other.
+    /// Two addresses of discovery. A reload switches from one to the other.
     discovery_addresses: [SocketAddr; 2],
     uses_second_address: AtomicBool,
 }
@@ -62,7 +62,7 @@
 }
 
 impl Testbed {
-    /// The limits that the settings of the run state.
+    /// The limits in the settings of the run.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
@@ -77,7 +77,7 @@
         &self.recorder
     }
 
-    /// The stand-in of discovery.
+    /// The stand-in for discovery.
     pub fn discovery(&self) -> &Discovery {
         &self.discovery
     }
@@ -94,7 +94,7 @@
 
     /// Reserves an upstream for a fault that stops it. Fails while another fault has reserved it.
     pub fn try_reserve_upstream(&self, id: UpstreamId) -> Result<MutexGuard<'_, ()>, TryLockError> {
-        self.upstreams[id.0].release.try_lock()
+        self.upstreams[id.0].reservation.try_lock()
     }
 
     /// Number of balancers.
@@ -125,7 +125,7 @@
         &self,
         id: BalancerId,
     ) -> Result<MutexGuard<'_, ()>, TryLockError> {
-        self.balancers[id.0].overrides.try_lock()
+        self.balancers[id.0].overrides_reservation.try_lock()
     }
 
     /// The clients of a balancer.
@@ -133,7 +133,7 @@
         &self.balancers[id.0].clients
     }
 
-    /// Clients send no more requests from now on.
+    /// Tells the clients to send no more requests.
     pub fn stop_clients(&self) {
         self.clients_stopped.store(true, Ordering::Relaxed);
     }
