--- a/balancer/src/admin/disk_worker.rs
+++ b/balancer/src/admin/disk_worker.rs
@@ -19,7 +19,7 @@
 pub enum DiskWorkerError {
     /// The system did not provide the pipe or the thread that the job needs. The job did not run.
     #[error("could not start a disk thread: {0}")]
-    NotStarted(#[from] io::Error),
+    Io(#[from] io::Error),
     /// The job panicked.
     #[error("a job on a disk thread panicked")]
     Panicked,
@@ -28,18 +28,18 @@
 /// Runs one job on a thread of its own, and waits for its result without blocking the event loop. A
 /// job that the disk delays does not delay other jobs.
 pub async fn run_on_disk_thread<T: Send + 'static>(
-    work: impl FnOnce() -> T + Send + 'static,
+    job: impl FnOnce() -> T + Send + 'static,
 ) -> Result<T, DiskWorkerError> {
     let (pipe_reader, pipe_writer) = retry_io(START_RETRY_LIMIT, open_pipe).await?;
     let (result_sender, result_receiver) = sync_channel(1);
-    let mut job = Some(move || {
+    let mut thread_main = Some(move || {
         // Dropped last, and so after the result has been sent, even if the work panics.
         let _pipe_writer = pipe_writer;
         let result_sender = result_sender;
         // Fails if the caller no longer waits for the result.
-        let _ = result_sender.send(work());
+        let _ = result_sender.send(job());
     });
-    retry_io(START_RETRY_LIMIT, || start_thread(&mut job)).await?;
+    retry_io(START_RETRY_LIMIT, || start_thread(&mut thread_main)).await?;
     pipe_reader
         .read(|_| take_result(&result_receiver))
         .await?
@@ -53,14 +53,14 @@
 }
 
 /// Starts a thread and passes it the job. If no thread can be started, the job stays in `job`.
-fn start_thread<J: FnOnce() + Send + 'static>(job: &mut Option<J>) -> io::Result<()> {
-    let (job_sender, job_receiver) = sync_channel(1);
+fn start_thread<M: FnOnce() + Send + 'static>(thread_main: &mut Option<M>) -> io::Result<()> {
+    let (sender, receiver) = sync_channel(1);
     thread::Builder::new()
         .name("disk".to_string())
-        .spawn(move || job_receiver.into_iter().for_each(|job: J| job()))?;
-    if let Some(job) = job.take() {
+        .spawn(move || receiver.into_iter().for_each(|main: M| main()))?;
+    if let Some(thread_main) = thread_main.take() {
         // Cannot fail: the thread waits for the job.
-        let _ = job_sender.send(job);
+        let _ = sender.send(thread_main);
     }
     Ok(())
 }
--- a/balancer/src/admin/override_error.rs
+++ b/balancer/src/admin/override_error.rs
@@ -50,7 +50,7 @@
 
 /// Why a change of the overrides was not stored.
 #[derive(Debug, Error)]
-pub enum OverrideError {
+pub enum OverrideChangeError {
     /// The file could not be written, or could not be read before the change.
     #[error("could not store overrides in {}: {source}", .directory.display())]
     NotStored {
--- a/balancer/src/admin/override_store.rs
+++ b/balancer/src/admin/override_store.rs
@@ -1,5 +1,5 @@
 //! The store of the overrides: a small file that every process of this balancer reads and writes.
-use crate::admin::override_error::{OverrideError, OverrideReadError};
+use crate::admin::override_error::{OverrideChangeError, OverrideReadError};
 use crate::admin::overrides::{Overrides, FORMAT_VERSION};
 use std::fs::{File, TryLockError};
 use std::io::{self, ErrorKind};
@@ -57,14 +57,17 @@
     }
 
     /// Changes the overrides. The change is stored once this returns without an error.
-    pub fn change(&self, change: impl FnOnce(&mut Overrides)) -> Result<Overrides, OverrideError> {
+    pub fn change(
+        &self,
+        change: impl FnOnce(&mut Overrides),
+    ) -> Result<Overrides, OverrideChangeError> {
         let Some(directory) = &self.directory else {
             let mut newest = self.newest();
             change(&mut newest);
             newest.increment_revision();
             return Ok(newest.clone());
         };
-        let not_stored = |source: io::Error| OverrideError::NotStored {
+        let not_stored = |source: io::Error| OverrideChangeError::NotStored {
             directory: directory.clone(),
             source,
         };
--- a/balancer/src/admin/override_sync.rs
+++ b/balancer/src/admin/override_sync.rs
@@ -1,6 +1,6 @@
 //! Applies the stored overrides, whichever process of this balancer received them.
 use crate::admin::disk_worker::{run_on_disk_thread, DiskWorkerError};
-use crate::admin::override_error::{OverrideError, OverrideReadError};
+use crate::admin::override_error::{OverrideChangeError, OverrideReadError};
 use crate::admin::override_store::{OverrideStore, ProcessLock};
 use crate::admin::overrides::Overrides;
 use crate::control::driver::DriverHandle;
@@ -74,7 +74,7 @@
     pub async fn change(
         &self,
         change: impl FnOnce(&mut Overrides) + Send + 'static,
-    ) -> Result<(), OverrideError> {
+    ) -> Result<(), OverrideChangeError> {
         let overrides = self.on_disk(|store| store.change(change)).await??;
         self.apply(overrides);
         Ok(())
@@ -91,10 +91,10 @@
     /// Runs work that may block on the disk, without blocking the event loop.
     async fn on_disk<T: Send + 'static>(
         &self,
-        work: impl FnOnce(OverrideStore) -> T + Send + 'static,
+        job: impl FnOnce(OverrideStore) -> T + Send + 'static,
     ) -> Result<T, DiskWorkerError> {
         let store = self.store.clone();
-        run_on_disk_thread(move || work(store)).await
+        run_on_disk_thread(move || job(store)).await
     }
 
     fn apply(&self, overrides: Overrides) {
--- a/balancer/src/admin/process_coordinator.rs
+++ b/balancer/src/admin/process_coordinator.rs
@@ -1,5 +1,5 @@
 //! Handoff between two processes of one balancer during an upgrade.
-use crate::admin::override_error::OverrideError;
+use crate::admin::override_error::OverrideChangeError;
 use crate::admin::override_store::ProcessLock;
 use crate::admin::override_sync::OverrideSync;
 use crate::control::driver::DriverHandle;
@@ -43,7 +43,7 @@
     /// Whether this process has left half of its descriptors to a successor.
     has_yielded_descriptors: Cell<bool>,
     /// True until this process starts to drain without a successor.
-    accepts_clients: Cell<bool>,
+    may_hold_process_lock: Cell<bool>,
 }
 
 impl ProcessCoordinator {
@@ -64,7 +64,7 @@
             process_number: Cell::new(0),
             process_lock: RefCell::default(),
             has_yielded_descriptors: Cell::new(false),
-            accepts_clients: Cell::new(true),
+            may_hold_process_lock: Cell::new(true),
         })
     }
 
@@ -75,7 +75,7 @@
         while !self.overrides.refresh().await && Instant::now() < deadline {
             sleep(REFRESH_INTERVAL).await;
         }
-        if !self.is_beside_another_process(deadline).await {
+        if !self.lock_or_detect_other_process(deadline).await {
             return;
         }
         log_line!("another process of this balancer is serving");
@@ -90,7 +90,7 @@
 
     /// Takes the process lock, or finds that another process holds it. If the system cannot tell before `deadline`,
     /// another process cannot be detected, and this one starts as if it were alone.
-    async fn is_beside_another_process(&self, deadline: Instant) -> bool {
+    async fn lock_or_detect_other_process(&self, deadline: Instant) -> bool {
         loop {
             match self.try_lock_process().await {
                 Ok(has_lock) => return !has_lock,
@@ -142,7 +142,7 @@
     }
 
     /// Counts this process among those of this balancer that serve.
-    async fn register(&self) -> Result<(), OverrideError> {
+    async fn register(&self) -> Result<(), OverrideChangeError> {
         self.overrides
             .change(|overrides| overrides.register_process())
             .await?;
@@ -169,7 +169,7 @@
                 let _ = self.register().await;
             }
             let holds_process_lock = self.process_lock.borrow().is_some();
-            let may_lock = !holds_process_lock && self.accepts_clients.get();
+            let may_lock = !holds_process_lock && self.may_hold_process_lock.get();
             if may_lock && matches!(self.try_lock_process().await, Ok(true)) {
                 self.descriptors.reclaim();
             }
@@ -185,7 +185,7 @@
     /// system cannot tell.
     async fn try_lock_process(&self) -> io::Result<bool> {
         let lock = self.overrides.try_lock_process().await?;
-        let lock = lock.filter(|_| self.accepts_clients.get());
+        let lock = lock.filter(|_| self.may_hold_process_lock.get());
         let has_lock = lock.is_some();
         *self.process_lock.borrow_mut() = lock;
         Ok(has_lock)
@@ -194,7 +194,7 @@
     /// Releases the process lock when this process accepts no more clients and has no successor: a process that starts
     /// now serves without waiting for this one.
     pub fn release_process_lock(&self) {
-        self.accepts_clients.set(false);
+        self.may_hold_process_lock.set(false);
         self.process_lock.take();
     }
 }
--- a/balancer/src/admin/response.rs
+++ b/balancer/src/admin/response.rs
@@ -1,6 +1,6 @@
 //! The responses of the admin protocol.
 use crate::admin::command::CommandError;
-use crate::admin::override_error::OverrideError;
+use crate::admin::override_error::OverrideChangeError;
 use std::fmt;
 use thiserror::Error;
 
@@ -56,7 +56,7 @@
     UnknownUpstream(String),
     /// The change of the overrides was not stored.
     #[error("{0}")]
-    Override(#[from] OverrideError),
+    Override(#[from] OverrideChangeError),
 }
 
 /// Formats a response as the admin protocol writes it.
--- a/balancer/src/admin/server.rs
+++ b/balancer/src/admin/server.rs
@@ -24,10 +24,10 @@
 pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 1;
 /// Time allowed to send a line, and again to receive the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Input after the command line is read and discarded for at most this long, and up to [`MAX_DRAINED_BYTES`]. Closing a
+/// Input after the command line is read and discarded for at most this long, and up to [`MAX_DISCARDED_BYTES`]. Closing a
 /// connection with unread data could destroy the response in transit.
-const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
-const MAX_DRAINED_BYTES: u64 = 64 << 10;
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_DISCARDED_BYTES: u64 = 64 << 10;
 /// Pause after an accept that failed.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(10);
 
@@ -71,7 +71,7 @@
         let mut connections: VecDeque<AbortHandle> = VecDeque::new();
         loop {
             match listener.accept().await {
-                Ok(stream) => self.accept(stream, &mut connections),
+                Ok(stream) => self.start_connection(stream, &mut connections),
                 Err(_) => sleep(ACCEPT_RETRY_PAUSE).await,
             }
         }
@@ -79,7 +79,11 @@
 
     /// Serves a new connection, and closes the oldest one if there are too many: connections that send nothing must not
     /// keep new ones out.
-    fn accept(self: &Rc<AdminServer>, stream: TcpStream, connections: &mut VecDeque<AbortHandle>) {
+    fn start_connection(
+        self: &Rc<AdminServer>,
+        stream: TcpStream,
+        connections: &mut VecDeque<AbortHandle>,
+    ) {
         connections.retain(|connection| !connection.is_finished());
         if connections.len() >= MAX_CONNECTIONS {
             if let Some(oldest) = connections.pop_front() {
@@ -107,9 +111,9 @@
             stream.shutdown().await
         })
         .await;
-        let mut unread_input = stream.take(MAX_DRAINED_BYTES);
+        let mut unread_input = stream.take(MAX_DISCARDED_BYTES);
         let _ = timeout(
-            DRAIN_TIMEOUT,
+            DISCARD_TIMEOUT,
             tokio::io::copy(&mut unread_input, &mut tokio::io::sink()),
         )
         .await;
@@ -134,7 +138,7 @@
         if phase == Phase::Starting {
             return Err(AdminError::Starting);
         }
-        if !self.driver.has_endpoints() {
+        if !self.driver.has_ever_listed_endpoints() {
             return Err(AdminError::NoUpstreams);
         }
         match phase {
--- a/balancer/src/control/control_plane.rs
+++ b/balancer/src/control/control_plane.rs
@@ -3,7 +3,7 @@
 use crate::clock::{to_millis, Clock};
 use crate::control::driver::{DriverHandle, DriverOptions};
 use crate::discovery::endpoints::EndpointUpdate;
-use crate::discovery::watch::{Discovery, DiscoveryOptions, POLL_ACKNOWLEDGE_TIMEOUT};
+use crate::discovery::watch::{EndpointWatch, EndpointWatchOptions, POLL_ACKNOWLEDGE_TIMEOUT};
 use crate::invariants::Guard;
 use crate::outbound::dispatch::Dispatch;
 use crate::telemetry::log::LogOutput;
@@ -28,7 +28,7 @@
     /// The cached snapshot of the endpoints, if there is one.
     pub cached_snapshot: Option<&'a EndpointUpdate>,
     /// Holds the current address of discovery.
-    pub discovery: watch::Receiver<SocketAddr>,
+    pub discovery_addresses: watch::Receiver<SocketAddr>,
     /// Receives log lines.
     pub log: LogOutput,
 }
@@ -40,7 +40,7 @@
     /// Fires the driver's timers; ends only if it fails.
     pub timers: JoinHandle<()>,
     /// The discovery client.
-    pub discovery: Discovery,
+    pub endpoint_watch: EndpointWatch,
 }
 
 impl ControlPlane {
@@ -50,8 +50,8 @@
         let running_driver = driver.clone();
         let timers = tokio::task::spawn_local(async move { running_driver.run().await });
         driver.apply_cached(options.cached_snapshot);
-        let discovery = Discovery::new(DiscoveryOptions {
-            addresses: options.discovery,
+        let endpoint_watch = EndpointWatch::new(EndpointWatchOptions {
+            addresses: options.discovery_addresses,
             deployment: options.deployment,
             known_version: options.cached_snapshot.map(|update| update.version),
             log: options.log,
@@ -59,14 +59,14 @@
         Ok(ControlPlane {
             driver,
             timers,
-            discovery,
+            endpoint_watch,
         })
     }
 }
 
 fn driver_options(options: &ControlPlaneOptions) -> Result<DriverOptions, SettingsError> {
     let deployment = options.deployment;
-    let settings = socket_settings(&deployment.core);
+    let settings = cap_poll_acknowledge_timeout(&deployment.core);
     let idempotency_by_class = settings
         .classes
         .iter()
@@ -89,7 +89,7 @@
 
 /// The settings of the core for a balancer on sockets. The acknowledge timeout in the settings is that of the
 /// simulator; on sockets discovery counts a change as acknowledged sooner.
-fn socket_settings(core: &Settings) -> Settings {
+fn cap_poll_acknowledge_timeout(core: &Settings) -> Settings {
     let mut settings = core.clone();
     settings.poll_acknowledge_timeout = settings
         .poll_acknowledge_timeout
--- a/balancer/src/control/driver.rs
+++ b/balancer/src/control/driver.rs
@@ -49,8 +49,8 @@
     }
 
     /// Whether any upstream has ever been listed, so that requests can be served.
-    pub fn has_endpoints(&self) -> bool {
-        self.0.state.borrow().has_endpoints()
+    pub fn has_ever_listed_endpoints(&self) -> bool {
+        self.0.state.borrow().has_ever_listed_endpoints()
     }
 
     /// How many requests with a complete body wait for their response or are still receiving it.
@@ -84,14 +84,14 @@
 
     /// Applies the cached snapshot of the endpoints. Without one, the core receives an empty snapshot.
     pub fn apply_cached(&self, snapshot: Option<&EndpointUpdate>) {
-        let members = snapshot
+        let endpoints = snapshot
             .iter()
-            .flat_map(|snapshot| snapshot.members())
+            .flat_map(|snapshot| snapshot.core_endpoints())
             .collect();
         if let Some(snapshot) = snapshot {
             self.0.state.borrow_mut().apply_endpoints(snapshot, true);
         }
-        self.handle_event(Event::Endpoints(EndpointEvent::CachedSnapshot(members)));
+        self.handle_event(Event::Endpoints(EndpointEvent::CachedSnapshot(endpoints)));
     }
 
     /// Whether an upstream with this name is listed, or suspended by an operator.
--- a/balancer/src/control/driver/endpoint_updates.rs
+++ b/balancer/src/control/driver/endpoint_updates.rs
@@ -19,11 +19,11 @@
             full = update.full,
             "endpoints updated"
         );
-        let members = update.members().collect();
+        let endpoints = update.core_endpoints().collect();
         let event = if update.full {
-            EndpointEvent::Snapshot(members)
+            EndpointEvent::Snapshot(endpoints)
         } else {
-            EndpointEvent::Delta(members)
+            EndpointEvent::Delta(endpoints)
         };
         self.handle_event(Event::Endpoints(event));
         self.0.discovery_responded.notify_one();
@@ -38,7 +38,7 @@
         self.handle_event(Event::Endpoints(EndpointEvent::DiscoveryMigrated));
     }
 
-    fn update_failed(&self, failure: CallFailure) {
+    fn call_failed(&self, failure: CallFailure) {
         let event = match failure {
             CallFailure::Rejected => EndpointEvent::DiscoveryRejected,
             CallFailure::Failed => EndpointEvent::DiscoveryFailed,
--- a/balancer/src/control/driver/submission.rs
+++ b/balancer/src/control/driver/submission.rs
@@ -33,12 +33,12 @@
 }
 
 /// Reports the progress of a request's streamed body to the driver.
-struct PendingUpload {
+struct UploadReporter {
     driver: DriverHandle,
     id: RequestId,
 }
 
-impl UploadObserver for PendingUpload {
+impl UploadObserver for UploadReporter {
     fn completed(&self) {
         self.driver.request_body_complete(self.id);
     }
@@ -66,7 +66,7 @@
         })?;
         let id = submitted.id;
         if let RequestBody::Streamed(upload) = &submitted.request.body {
-            upload.observe(Box::new(PendingUpload {
+            upload.observe(Box::new(UploadReporter {
                 driver: self.clone(),
                 id,
             }));
--- a/balancer/src/control/driver/tests.rs
+++ b/balancer/src/control/driver/tests.rs
@@ -56,7 +56,7 @@
 /// A driver that has received a list with this upstream.
 fn driver_with(upstream: SocketAddr) -> DriverHandle {
     let driver = driver();
-    let member = Endpoint {
+    let core_endpoint = Endpoint {
         id: UpstreamId(1),
         ..Endpoint::default()
     };
@@ -64,7 +64,7 @@
         version: 1,
         full: true,
         endpoints: vec![ListedEndpoint {
-            member,
+            core_endpoint,
             address: upstream,
         }],
     });
--- a/balancer/src/control/driver_state/attempt_lifecycle.rs
+++ b/balancer/src/control/driver_state/attempt_lifecycle.rs
@@ -74,8 +74,8 @@
     /// Records the start of an attempt. If the guard denies it, fails the request.
     fn record_attempt_start(&mut self, request: RequestId) -> Option<AttemptId> {
         let pending = self.pending.get_mut(request)?;
-        let number = pending.attempts_started();
-        if pending.attempt_started(&self.guard).is_err() {
+        let number = pending.attempt_count();
+        if pending.record_attempt_start(&self.guard).is_err() {
             // The core's view of this request is wrong. The request ends here.
             self.push_event(Event::ClientDisconnected(request));
             self.respond(request, FinalResponse::Failed);
@@ -90,7 +90,7 @@
         request: RequestId,
         upstream_id: UpstreamId,
     ) -> Option<Rc<Upstream>> {
-        if self.pending.get(request)?.is_answered() {
+        if self.pending.get(request)?.has_ended() {
             return None;
         }
         self.endpoints.upstream(upstream_id).cloned()
@@ -101,8 +101,8 @@
         let Some(pending) = self.pending.get_mut(id.request) else {
             return;
         };
-        let request_completed = pending.is_answered();
-        pending.attempt_ended(started_at, true);
+        let request_completed = pending.has_ended();
+        pending.record_attempt_end(started_at, true);
         self.push_event(Event::AttemptEnded {
             request: id.request,
             attempt: id.number,
@@ -141,7 +141,7 @@
     /// An attempt has a connection to write to.
     pub fn attempt_connected(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(id) {
-            attempt.connected(Instant::now());
+            attempt.record_connected(Instant::now());
         }
     }
 
@@ -150,7 +150,7 @@
         let Some(attempt) = self.attempts.get_mut(id) else {
             return false;
         };
-        if let Some(timeout) = attempt.response_started() {
+        if let Some(timeout) = attempt.record_response_start() {
             self.timers.cancel(timeout);
         }
         if let Some(pending) = self.pending.get_mut(id.request) {
@@ -207,12 +207,12 @@
         let Some(pending) = self.pending.get_mut(request) else {
             return true;
         };
-        pending.attempt_ended(started_at, never_ran);
+        pending.record_attempt_end(started_at, never_ran);
         if let Some(response) = response {
             // A client that disconnected at the same moment gets no response.
             let _ = pending.respond(response);
         }
-        let request_completed = pending.is_answered();
+        let request_completed = pending.has_ended();
         self.remove_if_finished(request);
         request_completed
     }
--- a/balancer/src/control/driver_state/endpoints.rs
+++ b/balancer/src/control/driver_state/endpoints.rs
@@ -5,7 +5,7 @@
 
 impl DriverState {
     /// Whether any endpoint has ever been listed.
-    pub fn has_endpoints(&self) -> bool {
+    pub fn has_ever_listed_endpoints(&self) -> bool {
         self.endpoints.has_ever_listed()
     }
 
--- a/balancer/src/control/driver_state/requests.rs
+++ b/balancer/src/control/driver_state/requests.rs
@@ -47,22 +47,27 @@
             .get(new.class)
             .copied()
             .unwrap_or(Idempotency::NonIdempotent);
-        let client_timeout = (new.client_timeout - RESPONSE_DELIVERY_MARGIN_MS).max(0.0);
+        let response_timeout = (new.client_timeout - RESPONSE_DELIVERY_MARGIN_MS).max(0.0);
         let deadline = if matches!(new.request.body, RequestBody::Buffered(_)) {
-            (self.now() + client_timeout).min(self.latest_deadline)
+            (self.now() + response_timeout).min(self.latest_deadline)
         } else {
             f64::INFINITY
         };
-        let (reply, response) = oneshot::channel();
-        let pending =
-            PendingRequest::new(reply, new.request, client_timeout, deadline, idempotency);
+        let (response_sender, response) = oneshot::channel();
+        let pending = PendingRequest::new(
+            response_sender,
+            new.request,
+            response_timeout,
+            deadline,
+            idempotency,
+        );
         let request = pending.request().clone();
         let id = self.pending.insert(pending)?;
         tracing::debug!(
             request = id.0,
             class = new.class,
             tenant = new.tenant,
-            client_timeout_ms = client_timeout,
+            client_timeout_ms = response_timeout,
             "request accepted"
         );
         Ok(SubmittedRequest {
@@ -98,15 +103,15 @@
     pub fn request_body_complete(&mut self, request: RequestId) -> Option<Millis> {
         let now = self.now();
         let pending = self.pending.get_mut(request)?;
-        let deadline = pending.request_body_complete(now, self.latest_deadline);
-        let number = pending.attempts_started().wrapping_sub(1);
+        let deadline = pending.record_body_complete(now, self.latest_deadline);
+        let number = pending.attempt_count().wrapping_sub(1);
         let id = AttemptId { request, number };
-        let started_at = Instant::now();
+        let completed_at = Instant::now();
         if let Some(attempt) = self.attempts.get_mut(id) {
             if !attempt.has_response_started() {
-                let timeout_at = started_at + from_millis(deadline - now);
+                let timeout_at = completed_at + from_millis(deadline - now);
                 let timeout = self.timers.set(timeout_at, TimerEvent::AttemptTimeout(id));
-                attempt.request_body_complete(started_at, timeout);
+                attempt.record_body_complete(completed_at, timeout);
             }
         }
         Some(deadline)
--- a/balancer/src/control/pending_requests.rs
+++ b/balancer/src/control/pending_requests.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
     /// The request already had its final response.
-    AlreadyAnswered,
+    AlreadyEnded,
     /// The task of the client's connection has received it.
     Delivered,
     /// The client disconnected at the same moment.
@@ -23,10 +23,10 @@
 /// One request. It has at most one final response.
 pub struct PendingRequest {
     /// `None` once the final response is given or the client has disconnected.
-    reply: Option<oneshot::Sender<FinalResponse>>,
+    response_sender: Option<oneshot::Sender<FinalResponse>>,
     request: Rc<OutboundRequest>,
     /// How long the client waits after the end of its request, in milliseconds.
-    client_timeout: Millis,
+    response_timeout: Millis,
     /// When the client stops waiting; infinite while the request's body is incomplete.
     deadline: Millis,
     history: AttemptHistory,
@@ -37,16 +37,16 @@
 impl PendingRequest {
     /// A request without attempts.
     pub fn new(
-        reply: oneshot::Sender<FinalResponse>,
+        response_sender: oneshot::Sender<FinalResponse>,
         request: OutboundRequest,
-        client_timeout: Millis,
+        response_timeout: Millis,
         deadline: Millis,
         idempotency: Idempotency,
     ) -> PendingRequest {
         PendingRequest {
-            reply: Some(reply),
+            response_sender: Some(response_sender),
             request: Rc::new(request),
-            client_timeout,
+            response_timeout,
             deadline,
             history: AttemptHistory::new(idempotency),
             is_relaying_response: false,
@@ -59,8 +59,8 @@
     }
 
     /// Whether it has its final response, or its client has disconnected.
-    pub fn is_answered(&self) -> bool {
-        self.reply.is_none()
+    pub fn has_ended(&self) -> bool {
+        self.response_sender.is_none()
     }
 
     /// Whether its body is complete.
@@ -70,7 +70,7 @@
 
     /// Whether its body is complete and it waits for its response or is still receiving it.
     pub fn is_active(&self) -> bool {
-        self.is_body_complete() && (!self.is_answered() || self.is_relaying_response)
+        self.is_body_complete() && (!self.has_ended() || self.is_relaying_response)
     }
 
     /// How long an attempt may take from now on. A `limit_ms` of zero means no limit besides the client's timeout.
@@ -78,7 +78,7 @@
         let remaining_ms = if self.is_body_complete() {
             (self.deadline - now).max(0.0)
         } else {
-            self.client_timeout
+            self.response_timeout
         };
         if limit_ms > 0.0 {
             limit_ms.min(remaining_ms)
@@ -88,23 +88,23 @@
     }
 
     /// The body is complete. The client's timeout starts; `latest_deadline` limits the deadline, which is returned.
-    pub fn request_body_complete(&mut self, now: Millis, latest_deadline: Millis) -> Millis {
-        self.deadline = (now + self.client_timeout).min(latest_deadline);
+    pub fn record_body_complete(&mut self, now: Millis, latest_deadline: Millis) -> Millis {
+        self.deadline = (now + self.response_timeout).min(latest_deadline);
         self.deadline
     }
 
     /// How many attempts were started.
-    pub fn attempts_started(&self) -> u32 {
+    pub fn attempt_count(&self) -> u32 {
         self.history.started()
     }
 
     /// Records the start of an attempt, unless the guard denies it.
-    pub fn attempt_started(&mut self, guard: &Guard) -> Result<(), Rule> {
+    pub fn record_attempt_start(&mut self, guard: &Guard) -> Result<(), Rule> {
         guard.start_attempt(&mut self.history, &self.request.label())
     }
 
     /// Records the end of an attempt; `never_ran` is proof that the upstream did not run the request.
-    pub fn attempt_ended(&mut self, started_at: Instant, never_ran: bool) {
+    pub fn record_attempt_end(&mut self, started_at: Instant, never_ran: bool) {
         self.history.attempt_ended(started_at, never_ran);
     }
 
@@ -115,7 +115,7 @@
         now: Millis,
         guard: &Guard,
     ) -> FinalResponse {
-        if self.is_answered() {
+        if self.has_ended() {
             return response;
         }
         let label = self.request.label();
@@ -130,10 +130,10 @@
 
     /// Gives the final response, unless the request already has one.
     pub fn respond(&mut self, response: FinalResponse) -> Delivery {
-        let Some(reply) = self.take_reply() else {
-            return Delivery::AlreadyAnswered;
+        let Some(response_sender) = self.end() else {
+            return Delivery::AlreadyEnded;
         };
-        match reply.send(response) {
+        match response_sender.send(response) {
             Ok(()) => Delivery::Delivered,
             Err(_) => Delivery::ClientDisconnected,
         }
@@ -142,24 +142,24 @@
     /// Gives the final response, whose body is being relayed from now on.
     pub fn respond_and_relay(&mut self, response: FinalResponse) {
         match self.respond(response) {
-            Delivery::AlreadyAnswered => {}
+            Delivery::AlreadyEnded => {}
             delivery => self.is_relaying_response = delivery == Delivery::Delivered,
         }
     }
 
     /// The client has disconnected. Returns whether it still waited for a response.
     pub fn client_disconnected(&mut self) -> bool {
-        self.take_reply().is_some()
+        self.end().is_some()
     }
 
     /// Marks the request as ended, so that no attempt writes it any more.
-    fn take_reply(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
+    fn end(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.request.ended.set(true);
-        self.reply.take()
+        self.response_sender.take()
     }
 
     fn is_finished(&self) -> bool {
-        self.is_answered() && self.history.in_flight() == 0
+        self.has_ended() && self.history.in_flight() == 0
     }
 }
 
@@ -230,7 +230,7 @@
     pub fn fail_all(&mut self) -> Vec<RequestId> {
         let mut failed = Vec::new();
         for (&id, pending) in &mut self.by_id {
-            if pending.respond(FinalResponse::Failed) != Delivery::AlreadyAnswered {
+            if pending.respond(FinalResponse::Failed) != Delivery::AlreadyEnded {
                 failed.push(id);
             }
         }
--- a/balancer/src/discovery/client.rs
+++ b/balancer/src/discovery/client.rs
@@ -49,7 +49,7 @@
     List(#[from] EndpointListError),
     /// The list is older than the known one, or is a delta although no list is known.
     #[error("list version {version} does not follow known version {known}")]
-    Stale {
+    DoesNotFollow {
         /// The version of the list.
         version: u64,
         /// The known version; zero if none is known.
@@ -135,7 +135,7 @@
             None => "/api/targets".to_string(),
         };
         let host = self.address.to_string();
-        let connection = self.connect().await?;
+        let connection = self.ready_connection().await?;
         let request = Request::get(path)
             .header(header::HOST, host)
             .body(Empty::new())?;
@@ -145,7 +145,7 @@
 
     /// The connection for the next call. One that discovery closed after its last response is replaced, which does not
     /// count as a failed call.
-    async fn connect(&mut self) -> Result<&mut Connection, CallError> {
+    async fn ready_connection(&mut self) -> Result<&mut Connection, CallError> {
         let connection = match self.connection.take() {
             Some(mut kept) => {
                 if kept.is_ready().await {
--- a/balancer/src/discovery/consumer.rs
+++ b/balancer/src/discovery/consumer.rs
@@ -26,5 +26,5 @@
     fn discovery_migrated(&self);
 
     /// A call failed.
-    fn update_failed(&self, failure: CallFailure);
+    fn call_failed(&self, failure: CallFailure);
 }
--- a/balancer/src/discovery/endpoints.rs
+++ b/balancer/src/discovery/endpoints.rs
@@ -90,7 +90,7 @@
 }
 
 impl RawEndpoint {
-    fn validate(self, names: &TopologyNames) -> Result<ListedEndpoint, EndpointListError> {
+    fn into_listed(self, names: &TopologyNames) -> Result<ListedEndpoint, EndpointListError> {
         let availability = match self.state.as_str() {
             "active" => Availability::Ready,
             "leaving" => Availability::Draining,
@@ -108,7 +108,7 @@
                 started_ms: self.started_ms,
             });
         }
-        let member = Endpoint {
+        let core_endpoint = Endpoint {
             id: upstream_id(&self.id),
             zone: names.zone(&self.zone),
             kind: names.kind(&self.kind),
@@ -117,7 +117,7 @@
             started_at: self.started_ms,
         };
         Ok(ListedEndpoint {
-            member,
+            core_endpoint,
             address: self.addr,
         })
     }
@@ -127,7 +127,7 @@
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
     /// The endpoint as the core knows it.
-    pub member: Endpoint,
+    pub core_endpoint: Endpoint,
     /// The address at which this balancer reaches it.
     pub address: SocketAddr,
 }
@@ -150,7 +150,7 @@
         let endpoints = raw
             .servers
             .into_iter()
-            .map(|endpoint| endpoint.validate(names))
+            .map(|endpoint| endpoint.into_listed(names))
             .collect::<Result<Vec<ListedEndpoint>, EndpointListError>>()?;
         Ok(EndpointUpdate {
             version: raw.version,
@@ -160,10 +160,10 @@
     }
 
     /// The endpoints as the core receives them.
-    pub fn members(&self) -> impl Iterator<Item = Endpoint> + '_ {
+    pub fn core_endpoints(&self) -> impl Iterator<Item = Endpoint> + '_ {
         self.endpoints
             .iter()
-            .map(|endpoint| endpoint.member.clone())
+            .map(|endpoint| endpoint.core_endpoint.clone())
     }
 }
 
--- a/balancer/src/discovery/watch.rs
+++ b/balancer/src/discovery/watch.rs
@@ -20,13 +20,13 @@
 /// [`MAX_MIGRATION_BACKOFF`]. A change counts as notified 4 s after the signal that announced the migration.
 const INITIAL_MIGRATION_BACKOFF: Duration = Duration::from_millis(100);
 const MAX_MIGRATION_BACKOFF: Duration = Duration::from_millis(500);
-/// Limits of the pause before a pushed list is fetched again after a failure. See [`Discovery::new`].
+/// Limits of the pause before a pushed list is fetched again after a failure. See [`EndpointWatch::new`].
 const MIN_PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(20);
 const MAX_PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
 /// How the first call after a migration ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Migration {
+enum MigrationOutcome {
     /// The new address has responded with a list.
     Completed,
     /// The new address has rejected the call. The core decides when to poll again.
@@ -34,7 +34,7 @@
 }
 
 /// What a discovery client is built from.
-pub struct DiscoveryOptions<'a> {
+pub struct EndpointWatchOptions<'a> {
     /// Holds the current address of discovery.
     pub addresses: watch::Receiver<SocketAddr>,
     /// The settings.
@@ -46,7 +46,7 @@
 }
 
 /// Keeps the endpoint list up to date: polls when requested, and then keeps a watch open.
-pub struct Discovery {
+pub struct EndpointWatch {
     client: DiscoveryClient,
     addresses: watch::Receiver<SocketAddr>,
     mode: UpdateMode,
@@ -60,9 +60,9 @@
     log: LogOutput,
 }
 
-impl Discovery {
+impl EndpointWatch {
     /// A client that has not connected yet.
-    pub fn new(options: DiscoveryOptions) -> Discovery {
+    pub fn new(options: EndpointWatchOptions) -> EndpointWatch {
         let deployment = options.deployment;
         let mode = if deployment.core.poll_endpoints {
             UpdateMode::Polled
@@ -73,7 +73,7 @@
         // The agent acknowledges a change even while this watch is broken. The next call has to return the change well
         // before attempts to a draining upstream must end.
         let drain_grace = deployment.drain_grace;
-        Discovery {
+        EndpointWatch {
             client: DiscoveryClient::new(address, TopologyNames::of(deployment)),
             addresses: options.addresses,
             mode,
@@ -118,7 +118,7 @@
     /// list has arrived, the balancer uses the old one.
     async fn poll_and_watch(&mut self, consumer: &impl EndpointConsumer, migrated: bool) {
         let mut is_watching =
-            migrated && self.complete_migration(consumer).await == Migration::Completed;
+            migrated && self.complete_migration(consumer).await == MigrationOutcome::Completed;
         loop {
             if self.mode == UpdateMode::Polled && !is_watching {
                 consumer.poll_requested().await;
@@ -126,7 +126,7 @@
             let error = self.watch_until_failure(consumer, is_watching).await;
             is_watching = false;
             self.handle_call_error(&error);
-            consumer.update_failed(call_failure(&error));
+            consumer.call_failed(call_failure(&error));
             if self.mode == UpdateMode::Pushed {
                 sleep(self.pushed_retry_pause).await;
             }
@@ -165,22 +165,22 @@
 
     /// Calls a new address until it responds. If polled discovery rejects the call, it is busy with a fleet of
     /// balancers that migrated together, and the core decides when to poll again.
-    async fn complete_migration(&mut self, consumer: &impl EndpointConsumer) -> Migration {
+    async fn complete_migration(&mut self, consumer: &impl EndpointConsumer) -> MigrationOutcome {
         consumer.discovery_migrated();
         let mut backoff = INITIAL_MIGRATION_BACKOFF;
         loop {
             let error = match self.call(self.timeouts.migration_limits()).await {
                 Ok(update) => {
                     consumer.apply(&update);
-                    return Migration::Completed;
+                    return MigrationOutcome::Completed;
                 }
                 Err(error) => error,
             };
             self.handle_call_error(&error);
             let failure = call_failure(&error);
             if failure == CallFailure::Rejected && self.mode == UpdateMode::Polled {
-                consumer.update_failed(failure);
-                return Migration::Rejected;
+                consumer.call_failed(failure);
+                return MigrationOutcome::Rejected;
             }
             sleep(backoff).await;
             backoff = (backoff * 2).min(MAX_MIGRATION_BACKOFF);
@@ -212,7 +212,7 @@
         if !self.follows_known_version(&update) {
             // Keeping a version that discovery no longer knows would fail every further call.
             let known = self.version.take().unwrap_or(0);
-            return Err(CallError::Stale {
+            return Err(CallError::DoesNotFollow {
                 version: update.version,
                 known,
             });
--- a/balancer/src/hollow.rs
+++ b/balancer/src/hollow.rs
@@ -80,7 +80,7 @@
             dispatch: Dispatch::Hollow,
             guard: Guard::new(Metrics::new(&options.deployment.classes)),
             cached_snapshot: options.cached_snapshot,
-            discovery: addresses,
+            discovery_addresses: addresses,
             log: options.log,
         })?;
         let driver = control_plane.driver;
@@ -88,7 +88,7 @@
             driver: driver.clone(),
             on_update,
         };
-        let client = tokio::task::spawn_local(control_plane.discovery.run(consumer));
+        let client = tokio::task::spawn_local(control_plane.endpoint_watch.run(consumer));
         let tasks = [control_plane.timers.abort_handle(), client.abort_handle()];
         Ok(HollowBalancer {
             driver,
@@ -166,8 +166,8 @@
         self.driver.discovery_migrated();
     }
 
-    fn update_failed(&self, failure: CallFailure) {
-        self.driver.update_failed(failure);
+    fn call_failed(&self, failure: CallFailure) {
+        self.driver.call_failed(failure);
     }
 }
 
--- a/balancer/src/inbound/request_handler.rs
+++ b/balancer/src/inbound/request_handler.rs
@@ -144,7 +144,7 @@
 /// Whether this process can serve. After a handoff it stays ready on behalf of its successor.
 fn readiness(context: &ServerContext) -> StatusCode {
     let is_serving = matches!(*context.phase.borrow(), Phase::Serving | Phase::HandedOff);
-    if context.driver.has_endpoints() && is_serving {
+    if context.driver.has_ever_listed_endpoints() && is_serving {
         StatusCode::OK
     } else {
         StatusCode::SERVICE_UNAVAILABLE
--- a/balancer/src/outbound/endpoint_table.rs
+++ b/balancer/src/outbound/endpoint_table.rs
@@ -17,7 +17,7 @@
 
 impl EndpointEntry {
     fn new(endpoint: &ListedEndpoint) -> EndpointEntry {
-        let member = &endpoint.member;
+        let member = &endpoint.core_endpoint;
         EndpointEntry {
             upstream: Upstream::new(endpoint.address),
             availability: member.availability,
@@ -28,7 +28,7 @@
     /// Applies the state that discovery reports. No request is written after `write_deadline` to an
     /// upstream that is draining or gone.
     fn update(&mut self, endpoint: &ListedEndpoint, suspended: bool, write_deadline: Instant) {
-        let member = &endpoint.member;
+        let member = &endpoint.core_endpoint;
         let previous_address = self.upstream.replace_address(endpoint.address);
         if previous_address != endpoint.address || self.started_at != member.started_at {
             self.upstream.mark_replaced();
@@ -129,7 +129,7 @@
             self.remove_unlisted(update, write_deadline);
         }
         for endpoint in &update.endpoints {
-            let id = endpoint.member.id;
+            let id = endpoint.core_endpoint.id;
             let entry = self
                 .by_id
                 .entry(id)
@@ -142,7 +142,7 @@
         let listed: HashSet<UpstreamId> = update
             .endpoints
             .iter()
-            .map(|endpoint| endpoint.member.id)
+            .map(|endpoint| endpoint.core_endpoint.id)
             .collect();
         for (id, entry) in &mut self.by_id {
             if !listed.contains(id) {
--- a/balancer/src/process/config/tests.rs
+++ b/balancer/src/process/config/tests.rs
@@ -26,7 +26,7 @@
         .cached_snapshot
         .iter()
         .flatten()
-        .flat_map(EndpointUpdate::members)
+        .flat_map(EndpointUpdate::core_endpoints)
         .collect();
     assert_eq!(
         (endpoints.len(), endpoints[0].kind, endpoints[0].group),
--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -142,11 +142,11 @@
         let ControlPlane {
             driver,
             timers,
-            discovery,
+            endpoint_watch,
         } = start_control_plane(&config, clock, cached_snapshot, addresses, &context)?;
         let reloads = reload_on_signal(reload, discovery_address, context.metrics.clone());
         tokio::task::spawn_local(reloads);
-        tokio::task::spawn_local(discovery.run(driver.clone()));
+        tokio::task::spawn_local(endpoint_watch.run(driver.clone()));
         let coordinator = start_admin(&config, admin_listener, &driver, &context)?;
         if let Some(coordinator) = &coordinator {
             tokio::select! {
@@ -224,7 +224,7 @@
         dispatch: Dispatch::Sockets(transport(&config.deployment, context)),
         guard: context.guard.clone(),
         cached_snapshot,
-        discovery: discovery_addresses,
+        discovery_addresses,
         log: LogOutput::StandardError,
     })
 }
--- a/fault-injection/src/calls/connections.rs
+++ b/fault-injection/src/calls/connections.rs
@@ -1,6 +1,6 @@
 //! Opening and accepting connections.
 use crate::control::{should_inject, Fault};
-use crate::descriptors::{record_accepted, record_connected};
+use crate::descriptors::{record_accepted, record_outgoing};
 use crate::errno::fail_with_one_of;
 use libc::{c_int, sockaddr, socklen_t};
 
@@ -49,7 +49,7 @@
     if should_inject(Fault::Connect) {
         return fail_with_one_of(&CONNECT_ERRORS);
     }
-    record_connected(fd);
+    record_outgoing(fd);
     // SAFETY: the caller guarantees the contract of `connect`; the arguments are unchanged.
     unsafe { libc::syscall(libc::SYS_connect, fd, address, length) as c_int }
 }
--- a/fault-injection/src/calls/reads.rs
+++ b/fault-injection/src/calls/reads.rs
@@ -1,13 +1,13 @@
 //! Reads from sockets, files and event descriptors.
 use crate::control::{should_inject, should_inject_if, Fault};
 use crate::descriptors::{
-    is_connected_here, is_event_descriptor, is_file, is_local_socket, is_socket,
+    is_event_descriptor, is_file, is_local_socket, is_outgoing_connection, is_socket,
 };
 use crate::errno::{fail, fail_with_one_of};
 use libc::{c_int, c_void, iovec, size_t, ssize_t};
 
 /// Decides whether a read from a socket fails; returns the result of the failed read.
-fn injected_failure(fd: c_int) -> Option<ssize_t> {
+fn inject_socket_read_failure(fd: c_int) -> Option<ssize_t> {
     if should_inject(Fault::InterruptedRead) {
         return Some(fail(libc::EINTR));
     }
@@ -16,7 +16,7 @@
     }
     // Only connections that the process opened break, such as those to upstreams: a client whose connection breaks
     // could not see its response, while a test can check the retry after a broken upstream connection.
-    if is_connected_here(fd) && should_inject(Fault::BrokenRead) {
+    if is_outgoing_connection(fd) && should_inject(Fault::BrokenRead) {
         return Some(fail_with_one_of(&[libc::ETIMEDOUT, libc::EHOSTUNREACH]));
     }
     None
@@ -38,7 +38,7 @@
         return fail(libc::EINTR);
     }
     if !is_peek {
-        if let Some(failure) = injected_failure(fd) {
+        if let Some(failure) = inject_socket_read_failure(fd) {
             return failure;
         }
     }
--- a/fault-injection/src/calls/writes.rs
+++ b/fault-injection/src/calls/writes.rs
@@ -8,7 +8,7 @@
 
 /// Decides whether a write to the log, an event descriptor or a socket pair fails; returns the result of the failed
 /// write.
-fn injected_failure(fd: c_int) -> Option<ssize_t> {
+fn inject_write_failure(fd: c_int) -> Option<ssize_t> {
     if should_inject_if(Fault::FailedLogWrite, || fd == libc::STDERR_FILENO) {
         return Some(fail_with_one_of(&LOG_ERRORS));
     }
@@ -31,7 +31,7 @@
     if should_inject(Fault::InterruptedWrite) {
         return fail(libc::EINTR);
     }
-    if let Some(failure) = injected_failure(fd) {
+    if let Some(failure) = inject_write_failure(fd) {
         return failure;
     }
     let is_short = should_inject(Fault::ShortWrite);
@@ -64,7 +64,7 @@
         unsafe { libc::syscall(libc::SYS_write, fd, buffer, length / 2) };
         return fail_with_one_of(&[libc::ENOSPC, libc::EIO]);
     }
-    if let Some(failure) = injected_failure(fd) {
+    if let Some(failure) = inject_write_failure(fd) {
         return failure;
     }
     let is_short = should_inject(Fault::ShortWrite) && is_socket(fd);
@@ -82,7 +82,7 @@
     if should_inject(Fault::InterruptedWrite) && is_socket(fd) {
         return fail(libc::EINTR);
     }
-    if let Some(failure) = injected_failure(fd) {
+    if let Some(failure) = inject_write_failure(fd) {
         return failure;
     }
     if should_inject(Fault::ShortWrite) && is_socket(fd) {
@@ -104,7 +104,7 @@
     if should_inject(Fault::InterruptedWrite) {
         return fail(libc::EINTR);
     }
-    if let Some(failure) = injected_failure(fd) {
+    if let Some(failure) = inject_write_failure(fd) {
         return failure;
     }
     if should_inject(Fault::ShortWrite) {
--- a/fault-injection/src/control.rs
+++ b/fault-injection/src/control.rs
@@ -51,7 +51,7 @@
 static RANDOM_STATE: AtomicU64 = AtomicU64::new(SEED_FACTOR);
 
 /// Reads the seed and maps the control file. Called once, when the library is loaded.
-pub(crate) fn map_control_file() {
+pub(crate) fn initialize() {
     let Some(path) = environment_variable(CONTROL_FILE_VARIABLE_C_STR) else {
         return;
     };
@@ -150,7 +150,7 @@
 /// fault's word is not zero.
 pub(crate) fn should_inject_if(fault: Fault, condition: impl FnOnce() -> bool) -> bool {
     let word = read_word(fault);
-    if word == 0 || !condition() || !is_due(fault, word) {
+    if word == 0 || !condition() || !decide_injection(fault, word) {
         return false;
     }
     count_injection(fault);
@@ -158,7 +158,7 @@
 }
 
 /// Whether this word makes the current call fail.
-fn is_due(fault: Fault, word: u64) -> bool {
+fn decide_injection(fault: Fault, word: u64) -> bool {
     if word & FIRST_CALLS_FLAG != 0 {
         return COUNTED_CALLS[fault as usize].fetch_add(1, Ordering::Relaxed)
             < word ^ FIRST_CALLS_FLAG;
--- a/fault-injection/src/descriptors.rs
+++ b/fault-injection/src/descriptors.rs
@@ -45,11 +45,11 @@
 const BITS_PER_WORD: usize = 64;
 
 /// One bit for each descriptor: whether this process opened its connection.
-static CONNECTED_HERE: [AtomicU64; TRACKED_DESCRIPTORS / BITS_PER_WORD] =
+static OUTGOING_CONNECTIONS: [AtomicU64; TRACKED_DESCRIPTORS / BITS_PER_WORD] =
     [const { AtomicU64::new(0) }; TRACKED_DESCRIPTORS / BITS_PER_WORD];
 
 /// Records that this process opened the connection of a descriptor.
-pub(crate) fn record_connected(fd: c_int) {
+pub(crate) fn record_outgoing(fd: c_int) {
     if let Some((word, bit)) = tracking_bit(fd) {
         word.fetch_or(bit, Ordering::Relaxed);
     }
@@ -63,13 +63,13 @@
 }
 
 /// Whether this process opened the connection of a descriptor.
-pub(crate) fn is_connected_here(fd: c_int) -> bool {
+pub(crate) fn is_outgoing_connection(fd: c_int) -> bool {
     tracking_bit(fd).is_some_and(|(word, bit)| word.load(Ordering::Relaxed) & bit != 0)
 }
 
 /// The word and the bit of a descriptor; `None` if it is not tracked.
 fn tracking_bit(fd: c_int) -> Option<(&'static AtomicU64, u64)> {
     let position = usize::try_from(fd).ok()?;
-    let word = CONNECTED_HERE.get(position / BITS_PER_WORD)?;
+    let word = OUTGOING_CONNECTIONS.get(position / BITS_PER_WORD)?;
     Some((word, 1 << (position % BITS_PER_WORD)))
 }
--- a/fault-injection/src/lib.rs
+++ b/fault-injection/src/lib.rs
@@ -18,7 +18,7 @@
 #[link_section = ".init_array"]
 static INITIALIZER: extern "C" fn() = {
     extern "C" fn initialize() {
-        control::map_control_file();
+        control::initialize();
     }
     initialize
 };
