--- a/balancer/src/admin/command.rs
+++ b/balancer/src/admin/command.rs
@@ -30,10 +30,10 @@
     /// It is empty.
     #[error("the line is empty")]
     Empty,
-    /// The command has no parameter.
+    /// The command takes no parameter, but the line has one.
     #[error("{0} takes nothing")]
     UnexpectedParameter(String),
-    /// The command has exactly one parameter.
+    /// The command takes exactly one parameter, the name of an upstream, and the line has none or several.
     #[error("{0} takes the id of one upstream")]
     NotOneUpstream(String),
     /// There is no such command.
--- a/balancer/src/admin/disk_worker.rs
+++ b/balancer/src/admin/disk_worker.rs
@@ -1,7 +1,7 @@
 //! Runs jobs that may block on the disk, each on a thread of its own.
 //!
-//! The event loop is notified that a job has ended by the end of a pipe that the job holds open:
-//! closing it cannot fail in a way that would lose the notification.
+//! A job holds the writer of a pipe open and closes it when the job ends. The closed pipe notifies
+//! the event loop. Closing the writer cannot fail in a way that would lose the notification.
 use crate::net::retry_io::retry_io;
 use crate::net::watched_descriptor::WatchedDescriptor;
 use std::io::{self, PipeReader, PipeWriter};
@@ -17,8 +17,9 @@
 /// Why a job has no result.
 #[derive(Debug, Error)]
 pub enum DiskWorkerError {
-    /// The system did not provide the pipe or the thread that the job needs. The job did not run.
-    #[error("could not start a disk thread: {0}")]
+    /// The system did not provide the pipe or the thread that the job needs, or reading the pipe
+    /// failed. Only in the last case may the job have run.
+    #[error("a job on a disk thread failed: {0}")]
     Io(#[from] io::Error),
     /// The job panicked.
     #[error("a job on a disk thread panicked")]
@@ -33,7 +34,8 @@
     let (pipe_reader, pipe_writer) = retry_io(START_RETRY_LIMIT, open_pipe).await?;
     let (result_sender, result_receiver) = sync_channel(1);
     let mut thread_main = Some(move || {
-        // Dropped last, and so after the result has been sent, even if the work panics.
+        // Dropped last, even if the job panics: once the pipe is closed, the result has been sent,
+        // or the channel is closed without a result.
         let _pipe_writer = pipe_writer;
         let result_sender = result_sender;
         // Fails if the caller no longer waits for the result.
@@ -52,14 +54,14 @@
     Ok((WatchedDescriptor::new(reader)?, writer))
 }
 
-/// Starts a thread and passes it the job. If no thread can be started, the job stays in `job`.
+/// Starts a thread that runs `thread_main`, which is left in place if no thread can be started.
 fn start_thread<M: FnOnce() + Send + 'static>(thread_main: &mut Option<M>) -> io::Result<()> {
     let (sender, receiver) = sync_channel(1);
     thread::Builder::new()
         .name("disk".to_string())
         .spawn(move || receiver.into_iter().for_each(|main: M| main()))?;
     if let Some(thread_main) = thread_main.take() {
-        // Cannot fail: the thread waits for the job.
+        // Cannot fail: the thread waits for it.
         let _ = sender.send(thread_main);
     }
     Ok(())
--- a/balancer/src/admin/disk_worker/tests.rs
+++ b/balancer/src/admin/disk_worker/tests.rs
@@ -10,7 +10,7 @@
     tokio::pin!(slow);
     tokio::select! {
         biased;
-        _ = &mut slow => panic!("the job has not ended"),
+        _ = &mut slow => panic!("the slow job ended before the other one"),
         other = run_on_disk_thread(|| 5) => assert_eq!(other.expect("a result"), 5),
     }
     assert_eq!(slow.await.expect("a result"), "slow");
--- a/balancer/src/admin/mod.rs
+++ b/balancer/src/admin/mod.rs
@@ -1,7 +1,8 @@
 //! The admin endpoint, and the administrative overrides that operators set through it.
 //!
 //! An override applies to every process of this balancer, so that it outlasts an upgrade. [`override_store`] stores the
-//! overrides in a file, [`override_sync`] applies them, and [`process_coordinator`] hands over between processes.
+//! overrides in a file, [`override_sync`] applies them, and [`process_coordinator`] coordinates the
+//! handoff of clients from one process to the next.
 
 pub(crate) mod override_store;
 pub(crate) mod override_sync;
--- a/balancer/src/admin/override_error.rs
+++ b/balancer/src/admin/override_error.rs
@@ -21,7 +21,7 @@
         /// The file.
         path: PathBuf,
     },
-    /// The content of the file is not valid overrides.
+    /// The content of the file is not in the format of stored overrides.
     #[error("{}: invalid content: {source}", .path.display())]
     Malformed {
         /// The file.
@@ -51,7 +51,8 @@
 /// Why a change of the overrides was not stored.
 #[derive(Debug, Error)]
 pub enum OverrideChangeError {
-    /// The file could not be written, or could not be read before the change.
+    /// The lock file could not be created or locked, or the overrides could not be read before the change or written
+    /// after it.
     #[error("could not store overrides in {}: {source}", .directory.display())]
     NotStored {
         /// The directory of the file.
@@ -59,7 +60,7 @@
         /// The system's error.
         source: io::Error,
     },
-    /// The job that stores the change did not run, or panicked.
+    /// The job that stores the change failed; see [`DiskWorkerError`].
     #[error("could not store overrides: {0}")]
     Worker(#[from] DiskWorkerError),
 }
--- a/balancer/src/admin/override_store.rs
+++ b/balancer/src/admin/override_store.rs
@@ -98,7 +98,7 @@
         let file = File::create(directory.join(PROCESS_LOCK_FILE))?;
         match file.try_lock() {
             Err(TryLockError::WouldBlock) => Ok(None),
-            // Where files cannot be locked, another process cannot be detected.
+            // On a file system that cannot lock files, other processes are not detected: the lock counts as taken.
             Ok(()) | Err(TryLockError::Error(_)) => Ok(Some(ProcessLock { _file: Some(file) })),
         }
     }
--- a/balancer/src/admin/override_store/tests.rs
+++ b/balancer/src/admin/override_store/tests.rs
@@ -11,7 +11,7 @@
 
 #[test]
 fn shares_overrides_with_other_and_later_processes() {
-    let directory = empty_directory("hold");
+    let directory = empty_directory("shared");
     let first = OverrideStore::new(Some(directory.clone()));
     let second = OverrideStore::new(Some(directory.clone()));
     first.change(|o| o.suspend("s-1")).expect("stored");
@@ -33,7 +33,7 @@
 
 #[test]
 fn reports_invalid_file_and_replaces_it_on_next_change() {
-    let directory = empty_directory("torn");
+    let directory = empty_directory("invalid");
     for text in ["", "{\"version\":1,\"rev", "{}", "\u{0}"] {
         std::fs::write(directory.join(OVERRIDES_FILE), text).expect("writes");
         let store = OverrideStore::new(Some(directory.clone()));
@@ -48,7 +48,7 @@
     }
     let later = std::fs::read_to_string(directory.join(OVERRIDES_FILE))
         .expect("reads")
-        .replace("n\":1", "n\":2");
+        .replace("\"version\":1", "\"version\":2");
     std::fs::write(directory.join(OVERRIDES_FILE), later).expect("writes");
     let error = OverrideStore::new(Some(directory.clone()))
         .read()
@@ -59,7 +59,7 @@
 
 #[test]
 fn reports_change_that_cannot_be_stored() {
-    let directory = empty_directory("gone");
+    let directory = empty_directory("missing");
     std::fs::remove_dir_all(&directory).expect("removes");
     let error = OverrideStore::new(Some(directory))
         .change(|o| o.set_paused(true))
@@ -75,7 +75,7 @@
 /// A file that is temporarily unreadable may be valid. Overwriting it would lose all overrides.
 #[test]
 fn does_not_overwrite_file_that_is_temporarily_unreadable() {
-    let directory = empty_directory("moment");
+    let directory = empty_directory("unreadable");
     OverrideStore::new(Some(directory.clone()))
         .change(|o| o.suspend("s-1"))
         .expect("stored");
@@ -94,7 +94,7 @@
 
 #[test]
 fn only_one_process_at_a_time_has_the_process_lock() {
-    let directory = empty_directory("alone");
+    let directory = empty_directory("process-lock");
     let first = OverrideStore::new(Some(directory.clone()));
     let second = OverrideStore::new(Some(directory.clone()));
     let try_lock = |store: &OverrideStore| store.try_lock_process().expect("a directory");
--- a/balancer/src/admin/override_sync.rs
+++ b/balancer/src/admin/override_sync.rs
@@ -18,7 +18,7 @@
     store: OverrideStore,
     /// The overrides in force.
     applied: RefCell<Overrides>,
-    /// Whether the last read failed. An error is logged only once.
+    /// Whether the last read failed. Only the first of several failures in a row is logged.
     last_read_failed: Cell<bool>,
 }
 
@@ -81,14 +81,14 @@
     }
 
     /// Takes the process lock; `None` while another process of this balancer holds it. Fails if the system cannot tell
-    /// whether one does, perhaps only temporarily.
+    /// whether another process holds it; that may be temporary.
     pub async fn try_lock_process(&self) -> io::Result<Option<ProcessLock>> {
         self.on_disk(|store| store.try_lock_process())
             .await
             .map_err(io::Error::other)?
     }
 
-    /// Runs work that may block on the disk, without blocking the event loop.
+    /// Runs a job that may block on the disk, without blocking the event loop.
     async fn on_disk<T: Send + 'static>(
         &self,
         job: impl FnOnce(OverrideStore) -> T + Send + 'static,
@@ -119,7 +119,8 @@
             let next = match *phase {
                 Phase::Serving | Phase::Paused if paused => Phase::Paused,
                 Phase::Serving | Phase::Paused => Phase::Serving,
-                // Clients of a process that has handed off are sent away too.
+                // A pause also closes the connections that clients still have to a process that has handed its clients
+                // off to a successor.
                 Phase::HandedOff if paused => Phase::Closing,
                 other => other,
             };
--- a/balancer/src/admin/process_coordinator.rs
+++ b/balancer/src/admin/process_coordinator.rs
@@ -23,9 +23,10 @@
 /// How long a process that starts beside another one waits for its first endpoint list if lists are pushed. Its agent
 /// responds immediately, or not until discovery is available again.
 pub const PUSHED_LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The same if lists are polled. Discovery may reject a call after 2 s in its queue, and a balancer has its list at the
-/// latest 6 s after discovery can serve it. Changes that the old process was notified of in the meantime count as
-/// notified to this one too. This process must be ready within 10 s.
+/// The same if lists are polled: 2 s, after which discovery may reject a call that waits in its queue, and 6 s, within
+/// which a balancer receives its list once discovery can serve it. Without a new list this process would start on the
+/// cached one, although changes that the old process was notified of in the meantime count as notified to this one too.
+/// It must be ready within 10 s.
 pub const POLLED_LIST_TIMEOUT: Duration = Duration::from_secs(8);
 
 /// Coordinates this process with a predecessor and a successor.
@@ -42,7 +43,7 @@
     process_lock: RefCell<Option<ProcessLock>>,
     /// Whether this process has left half of its descriptors to a successor.
     has_yielded_descriptors: Cell<bool>,
-    /// True until this process starts to drain without a successor.
+    /// Whether this process may hold the process lock: true until it starts to drain without a successor.
     may_hold_process_lock: Cell<bool>,
 }
 
@@ -80,7 +81,7 @@
         }
         log_line!("another process of this balancer is serving");
         self.descriptors.yield_half().await;
-        // If no list has arrived by then, the cached one is used.
+        // If no list arrives within `endpoint_list_timeout`, the cached one is used.
         let _ = timeout(
             self.endpoint_list_timeout,
             self.wait_for_endpoints_or_lock(),
@@ -88,8 +89,8 @@
         .await;
     }
 
-    /// Takes the process lock, or finds that another process holds it. If the system cannot tell before `deadline`,
-    /// another process cannot be detected, and this one starts as if it were alone.
+    /// Takes the process lock. Returns whether another process holds it. If the system cannot tell before `deadline`,
+    /// returns false: other processes are not detected, and this one starts as if it were alone.
     async fn lock_or_detect_other_process(&self, deadline: Instant) -> bool {
         loop {
             match self.try_lock_process().await {
@@ -105,8 +106,8 @@
         }
     }
 
-    /// Waits until discovery has confirmed or updated the endpoint list, or no other process holds the process lock any
-    /// more.
+    /// Waits until discovery has confirmed or updated the endpoint list. If the other process ends earlier, takes the
+    /// process lock and the whole descriptor budget, and returns.
     async fn wait_for_endpoints_or_lock(&self) {
         while timeout(REFRESH_INTERVAL, self.driver.discovery_responded())
             .await
@@ -123,7 +124,7 @@
     /// now on.
     pub async fn serve(self: &Rc<ProcessCoordinator>) {
         if let Err(error) = self.register().await {
-            log_line!("{error}: will be retried");
+            log_line!("cannot register this process: {error}: will be retried");
         }
         let phase = if self.overrides.is_paused() {
             Phase::Paused
@@ -164,8 +165,8 @@
             sleep(REFRESH_INTERVAL).await;
             self.overrides.refresh().await;
             if !self.is_registered() {
-                // The directory could not be written when this process started to serve. Until it is registered, its
-                // predecessor does not hand its clients off.
+                // The directory could not be written when this process started to serve. Until this process is
+                // registered, the predecessor does not know of it and keeps its own clients.
                 let _ = self.register().await;
             }
             let holds_process_lock = self.process_lock.borrow().is_some();
@@ -191,8 +192,8 @@
         Ok(has_lock)
     }
 
-    /// Releases the process lock when this process accepts no more clients and has no successor: a process that starts
-    /// now serves without waiting for this one.
+    /// Releases the process lock for good. To be called once this process accepts no more clients, if it has no
+    /// successor: a process that starts from then on serves without waiting for this one.
     pub fn release_process_lock(&self) {
         self.may_hold_process_lock.set(false);
         self.process_lock.take();
--- a/balancer/src/admin/server.rs
+++ b/balancer/src/admin/server.rs
@@ -22,10 +22,10 @@
 const MAX_CONNECTIONS: usize = 16;
 /// Maximum number of descriptors that the admin server uses.
 pub const MAX_DESCRIPTORS: usize = MAX_CONNECTIONS + 1;
-/// Time allowed to send a line, and again to receive the response.
+/// How long the peer may take to send a line, and then again to read the response.
 const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Input after the command line is read and discarded for at most this long, and up to [`MAX_DISCARDED_BYTES`]. Closing a
-/// connection with unread data could destroy the response in transit.
+/// Input after the command line is read and discarded for at most this long, and up to [`MAX_DISCARDED_BYTES`]. Closing
+/// a connection with unread data could destroy the response in transit.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
 const MAX_DISCARDED_BYTES: u64 = 64 << 10;
 /// Pause after an accept that failed.
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Serves a new connection, and closes the oldest one if there are too many: connections that send nothing must not
-    /// keep new ones out.
+    /// Starts to serve a new connection, and closes the oldest one if there are too many: connections that send nothing
+    /// must not keep new ones out.
     fn start_connection(
         self: &Rc<AdminServer>,
         stream: TcpStream,
--- a/balancer/src/control/attempts.rs
+++ b/balancer/src/control/attempts.rs
@@ -66,19 +66,19 @@
         self.response_started_after.is_some()
     }
 
-    /// The body of the request is complete: the attempt has a timeout from now on.
+    /// Records that the body of the request is complete: the attempt has a timeout from now on.
     pub fn record_body_complete(&mut self, now: Instant, timeout: TimerId) {
         self.sent_at = Some(now);
         self.timeout = Some(timeout);
     }
 
-    /// The connection is ready. Time to connect must not count as the upstream's response time: on a network that is
-    /// slow to connect, upstreams would look overloaded.
+    /// Records that the connection is ready. Time to connect must not count as the upstream's response time: on a
+    /// network that is slow to connect, upstreams would look overloaded.
     pub fn record_connected(&mut self, now: Instant) {
         self.sent_at = self.sent_at.map(|sent_at| sent_at.max(now));
     }
 
-    /// A streamed response has started. Returns the timer of its timeout, which no longer applies.
+    /// Records that a streamed response has started. Returns the timer of its timeout, which no longer applies.
     pub fn record_response_start(&mut self) -> Option<TimerId> {
         self.response_started_after = Some(self.response_time());
         self.timeout.take()
--- a/balancer/src/control/control_plane.rs
+++ b/balancer/src/control/control_plane.rs
@@ -1,4 +1,4 @@
-//! The control plane of a balancer: the driver of the core, and the discovery client that feeds it. It is the same in
+//! The control plane of a balancer: the driver of the core, and the endpoint watch that feeds it. It is the same in
 //! the process and in hollow balancers.
 use crate::clock::{to_millis, Clock};
 use crate::control::driver::{DriverHandle, DriverOptions};
@@ -15,7 +15,7 @@
 
 /// What a control plane is built from.
 pub struct ControlPlaneOptions<'a> {
-    /// The settings.
+    /// The settings of the deployment.
     pub deployment: &'a Deployment,
     /// Seeds the core's random choices.
     pub seed: u64,
@@ -33,13 +33,13 @@
     pub log: LogOutput,
 }
 
-/// A control plane whose timers run. Its discovery client is not started yet.
+/// A control plane whose timers run. Its endpoint watch is not started yet.
 pub struct ControlPlane {
     /// The driver of the core.
     pub driver: DriverHandle,
-    /// Fires the driver's timers; ends only if it fails.
+    /// The task that fires the driver's timers. It ends only if it panics or is aborted.
     pub timers: JoinHandle<()>,
-    /// The discovery client.
+    /// Keeps the endpoint list up to date.
     pub endpoint_watch: EndpointWatch,
 }
 
@@ -87,8 +87,9 @@
     })
 }
 
-/// The settings of the core for a balancer on sockets. The acknowledge timeout in the settings is that of the
-/// simulator; on sockets discovery counts a change as acknowledged sooner.
+/// The core's settings for a balancer that talks to real discovery. `poll_acknowledge_timeout` of the deployment is
+/// that of the simulator. Real discovery counts a change as acknowledged sooner, so [`POLL_ACKNOWLEDGE_TIMEOUT`] limits
+/// it.
 fn cap_poll_acknowledge_timeout(core: &Settings) -> Settings {
     let mut settings = core.clone();
     settings.poll_acknowledge_timeout = settings
--- a/balancer/src/control/driver.rs
+++ b/balancer/src/control/driver.rs
@@ -48,22 +48,24 @@
         self.0.state.borrow().now()
     }
 
-    /// Whether any upstream has ever been listed, so that requests can be served.
+    /// Whether any endpoint has ever been listed, so that requests can be served.
     pub fn has_ever_listed_endpoints(&self) -> bool {
         self.0.state.borrow().has_ever_listed_endpoints()
     }
 
-    /// How many requests with a complete body wait for their response or are still receiving it.
+    /// How many requests are active: their body is complete, and their clients wait for the response or are still
+    /// receiving it.
     pub fn active_requests(&self) -> usize {
         self.0.state.borrow().active_requests()
     }
 
-    /// Limits the deadline of each request whose body is completed from now on: it is at most `within` from now.
+    /// Limits the deadlines of all requests whose body is completed from now on. None is later than `within` from now.
     pub fn limit_deadlines(&self, within: Duration) {
         self.0.state.borrow_mut().limit_deadlines(within);
     }
 
-    /// Fails each request that waits for its response, because it would not arrive in time. The request may have run.
+    /// Fails each request that waits for its response, because the response would not arrive in time. The
+    /// request may have run.
     pub fn fail_pending(&self) {
         let failed = self.0.state.borrow_mut().fail_pending();
         for id in failed {
@@ -99,15 +101,16 @@
         self.0.state.borrow().is_known_upstream(upstream_id(name))
     }
 
-    /// Suspends an upstream on behalf of an operator. Attempts in flight may end; nothing more is written to it.
+    /// Suspends an upstream on behalf of an operator. Attempts in flight are not cancelled, but nothing more is written
+    /// to the upstream.
     pub fn suspend(&self, name: &str) {
         let id = upstream_id(name);
         self.0.state.borrow().suspend(id);
         self.handle_event(Event::Suspend(id));
     }
 
-    /// Restores an upstream on behalf of an operator, as of `restored_at`. The upstream was restarted while
-    /// it was suspended.
+    /// Restores an upstream on behalf of an operator, as of `restored_at`. The balancer assumes that the
+    /// upstream was restarted while it was suspended.
     pub fn restore(&self, name: &str, restored_at: Millis) {
         let upstream = upstream_id(name);
         self.0.state.borrow().restore(upstream);
@@ -126,7 +129,7 @@
         }
     }
 
-    /// How many upstreams are listed, and how many of them requests currently avoid.
+    /// How many endpoints are listed, and how many of these get no requests at present.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         self.0.state.borrow().endpoint_counts()
     }
--- a/balancer/src/control/driver/endpoint_updates.rs
+++ b/balancer/src/control/driver/endpoint_updates.rs
@@ -1,4 +1,4 @@
-//! Passes what the discovery client reports to the core.
+//! Passes on to the core what the endpoint watch reports.
 use super::DriverHandle;
 use crate::discovery::consumer::{CallFailure, EndpointConsumer};
 use crate::discovery::endpoints::EndpointUpdate;
--- a/balancer/src/control/driver/event_loop.rs
+++ b/balancer/src/control/driver/event_loop.rs
@@ -44,7 +44,8 @@
         }
     }
 
-    /// Passes an event to the core, then carries out its actions and those of the events that they cause.
+    /// Passes an event to the core and carries out the actions that the core requests. Does the same for each event
+    /// that these actions cause.
     pub(super) fn handle_event(&self, event: Event) {
         let mut state = self.0.state.borrow_mut();
         state.push_event(event);
--- a/balancer/src/control/driver/submission.rs
+++ b/balancer/src/control/driver/submission.rs
@@ -1,4 +1,4 @@
-//! Submission of requests, and what their clients do afterwards.
+//! Submission of requests, and what may follow: the request's body is completed, or its client disconnects.
 use super::DriverHandle;
 use crate::body::request_body::RequestBody;
 use crate::body::upload::UploadObserver;
@@ -49,8 +49,9 @@
 }
 
 impl DriverHandle {
-    /// Submits a request of a class and tenant, given by their positions in the settings. It receives one final
-    /// response. The client waits `client_timeout` milliseconds after the end of its request.
+    /// Submits a request of a class and tenant, given by their positions in the settings. The request receives at most
+    /// one final response: none if its client disconnects first. The client waits `client_timeout` milliseconds after
+    /// the end of its request.
     pub fn submit(
         &self,
         class: usize,
--- a/balancer/src/control/driver/tests.rs
+++ b/balancer/src/control/driver/tests.rs
@@ -18,7 +18,7 @@
 /// Longer than the test runs.
 const LONG_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Settings of one class whose times are longer than the test runs.
+/// Settings of one class whose times, 20 s in milliseconds, are longer than the test runs.
 fn settings() -> Settings {
     let class = Class {
         objective: 20_000.0,
@@ -88,9 +88,11 @@
             .await
             .expect("connects");
         let connected_after = start.elapsed();
+        // The listener's queue was full, so the first attempt to connect was dropped. The connection opens with its
+        // retransmission, about 1 s later.
         assert!(
             connected_after >= Duration::from_millis(500),
-            "the connection came up late"
+            "connecting took only {connected_after:?}"
         );
         // The attempt is written, and the upstream has not responded yet.
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -100,7 +102,7 @@
         };
         assert!(
             response_time < connected_after / 2,
-            "{response_time:?} of {connected_after:?} counted"
+            "the response time {response_time:?} includes time to connect ({connected_after:?})"
         );
         drop(connection);
     };
--- a/balancer/src/control/driver_state/attempt_lifecycle.rs
+++ b/balancer/src/control/driver_state/attempt_lifecycle.rs
@@ -26,15 +26,16 @@
     pub request: Rc<OutboundRequest>,
     /// When it starts.
     pub started_at: Instant,
-    /// When it times out.
+    /// When it times out. No timer is set for this time while the request's body is incomplete.
     pub deadline: Instant,
     /// Whether the request's body is complete.
     pub is_body_complete: bool,
 }
 
 impl DriverState {
-    /// Prepares an attempt that the core wants started. A `timeout_ms` of zero means that the attempt has no limit of
-    /// its own. If it cannot start, this queues the events that report it, and returns `None`.
+    /// Prepares an attempt that the core wants started. A `timeout_ms` of zero means that the attempt has no limit
+    /// besides the client's timeout. If the attempt cannot start, queues the events that report this to the core, and
+    /// returns `None`. For an unknown request no event is queued.
     pub fn prepare_attempt(
         &mut self,
         request: RequestId,
@@ -102,7 +103,8 @@
             return;
         };
         let request_completed = pending.has_ended();
-        pending.record_attempt_end(started_at, true);
+        let never_ran = true;
+        pending.record_attempt_end(started_at, never_ran);
         self.push_event(Event::AttemptEnded {
             request: id.request,
             attempt: id.number,
@@ -195,8 +197,8 @@
         true
     }
 
-    /// Records the end of an attempt in its request, with the response if there is one. Returns whether the request is
-    /// over.
+    /// Records the end of an attempt in its request, with the response if there is one. Returns whether the request
+    /// has ended: it is answered, or its client has disconnected.
     fn record_attempt_end(
         &mut self,
         request: RequestId,
--- a/balancer/src/control/driver_state/endpoints.rs
+++ b/balancer/src/control/driver_state/endpoints.rs
@@ -9,7 +9,7 @@
         self.endpoints.has_ever_listed()
     }
 
-    /// How many endpoints are listed, and how many of them requests currently avoid.
+    /// How many endpoints are listed, and how many of these get no requests at present.
     pub fn endpoint_counts(&self) -> EndpointCounts {
         self.balancer.endpoint_counts(self.now())
     }
@@ -29,7 +29,8 @@
         self.endpoints.restore(id);
     }
 
-    /// Applies an update to the table of endpoints, either as the complete list or as changes.
+    /// Applies an update to the table of endpoints. `full`, not `update.full`, states whether it is the complete list:
+    /// a cached snapshot always is.
     pub fn apply_endpoints(&mut self, update: &EndpointUpdate, full: bool) {
         self.endpoints
             .apply(update, full, |id| self.balancer.is_suspended(id));
--- a/balancer/src/control/driver_state/requests.rs
+++ b/balancer/src/control/driver_state/requests.rs
@@ -15,7 +15,7 @@
 /// Milliseconds subtracted from a client's timeout, so that the final response arrives before the client stops waiting.
 const RESPONSE_DELIVERY_MARGIN_MS: Millis = 5.0;
 
-/// A request as the connection's task hands it over.
+/// A request as the task of its client's connection submits it.
 pub struct NewRequest {
     /// Position of its class in the settings.
     pub class: usize,
@@ -31,7 +31,7 @@
 pub struct SubmittedRequest {
     /// Its id.
     pub id: RequestId,
-    /// When its client stops waiting; infinite while its body is incomplete.
+    /// When the final response must be given; infinite while the request's body is incomplete.
     pub deadline: Millis,
     /// The request as attempts send it.
     pub request: Rc<OutboundRequest>,
@@ -78,32 +78,33 @@
         })
     }
 
-    /// How many complete requests wait for their response or are still receiving it.
+    /// How many requests are active; see [`PendingRequest::is_active`].
     pub fn active_requests(&self) -> usize {
         self.pending.active()
     }
 
-    /// Limits the deadline of each request whose body is completed from now on: it is at most `within` from now.
+    /// Limits the deadlines of all requests whose body is completed from now on. None is later than `within` from now.
     pub fn limit_deadlines(&mut self, within: Duration) {
         self.latest_deadline = self.now() + to_millis(within);
     }
 
-    /// Fails each request without a final response. Returns their ids.
+    /// Fails each request without a final response. Returns the ids of the failed requests.
     pub fn fail_pending(&mut self) -> Vec<RequestId> {
         self.pending.fail_all()
     }
 
-    /// Removes a request that is answered and has no attempt in flight.
+    /// Removes a request that has ended and has no attempt in flight.
     pub fn remove_if_finished(&mut self, id: RequestId) {
         self.pending.remove_if_finished(id);
     }
 
     /// The body of a request is complete. Sets its deadline and the timeout of its attempt in flight. Returns the
-    /// deadline; `None` if the request is over.
+    /// deadline; `None` if the request is no longer pending.
     pub fn request_body_complete(&mut self, request: RequestId) -> Option<Millis> {
         let now = self.now();
         let pending = self.pending.get_mut(request)?;
         let deadline = pending.record_body_complete(now, self.latest_deadline);
+        // The latest attempt. If none was started, no attempt has the number that results.
         let number = pending.attempt_count().wrapping_sub(1);
         let id = AttemptId { request, number };
         let completed_at = Instant::now();
--- a/balancer/src/control/driver_state/timers.rs
+++ b/balancer/src/control/driver_state/timers.rs
@@ -28,7 +28,8 @@
             .set(Instant::now() + after, TimerEvent::CoreTimer(token));
     }
 
-    /// Sets the timer for the next check of idle connections, if there can be connections.
+    /// Sets the timer for the next check of idle connections. Does nothing in a hollow balancer, which has no
+    /// connections.
     pub fn schedule_idle_connection_check(&mut self) {
         if self.dispatch.idle_limit().is_some() {
             self.timers.set(
--- a/balancer/src/control/pending_requests.rs
+++ b/balancer/src/control/pending_requests.rs
@@ -12,7 +12,7 @@
 /// The result of delivering a final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// The request already had its final response.
+    /// The request had already ended.
     AlreadyEnded,
     /// The task of the client's connection has received it.
     Delivered,
@@ -25,9 +25,10 @@
     /// `None` once the final response is given or the client has disconnected.
     response_sender: Option<oneshot::Sender<FinalResponse>>,
     request: Rc<OutboundRequest>,
-    /// How long the client waits after the end of its request, in milliseconds.
+    /// How long the final response may take after the end of the request, in milliseconds: the client's timeout less
+    /// the time to deliver the response.
     response_timeout: Millis,
-    /// When the client stops waiting; infinite while the request's body is incomplete.
+    /// When the final response must be given; infinite while the request's body is incomplete.
     deadline: Millis,
     history: AttemptHistory,
     /// Whether a response is being relayed to the client.
@@ -68,7 +69,7 @@
         self.deadline.is_finite()
     }
 
-    /// Whether its body is complete and it waits for its response or is still receiving it.
+    /// Whether its body is complete, and its client waits for the response or is still receiving it.
     pub fn is_active(&self) -> bool {
         self.is_body_complete() && (!self.has_ended() || self.is_relaying_response)
     }
@@ -87,7 +88,8 @@
         }
     }
 
-    /// The body is complete. The client's timeout starts; `latest_deadline` limits the deadline, which is returned.
+    /// Records that the body is complete. The response timeout starts; `latest_deadline` limits the deadline, which is
+    /// returned.
     pub fn record_body_complete(&mut self, now: Millis, latest_deadline: Millis) -> Millis {
         self.deadline = (now + self.response_timeout).min(latest_deadline);
         self.deadline
@@ -108,7 +110,8 @@
         self.history.attempt_ended(started_at, never_ran);
     }
 
-    /// Checks a response that the core requests now. Returns the response to give, another one if the guard denies it.
+    /// Checks a response that the core requests at `now`. Returns the response to give: this one, or a failure if the
+    /// guard denies a rejection.
     pub fn check_response(
         &self,
         response: FinalResponse,
@@ -128,7 +131,7 @@
         }
     }
 
-    /// Gives the final response, unless the request already has one.
+    /// Gives the final response, unless the request has already ended.
     pub fn respond(&mut self, response: FinalResponse) -> Delivery {
         let Some(response_sender) = self.end() else {
             return Delivery::AlreadyEnded;
@@ -152,7 +155,8 @@
         self.end().is_some()
     }
 
-    /// Marks the request as ended, so that no attempt writes it any more.
+    /// Marks the request as ended, so that no attempt writes it any more. Returns the sender of its final response if
+    /// the request had not ended before.
     fn end(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.request.ended.set(true);
         self.response_sender.take()
@@ -163,7 +167,7 @@
     }
 }
 
-/// All pending requests by internal id, and the request ids in use that clients chose.
+/// All pending requests by internal id, and the ids that clients chose for them.
 pub struct PendingRequests {
     max_requests: usize,
     next_id: u32,
@@ -182,13 +186,14 @@
         }
     }
 
-    /// Adds a request. Fails if the table is full or the client's id for the request is already in use.
+    /// Adds a request. Fails if the table is full, or the id that the client chose for the request is already
+    /// in use.
     pub fn insert(&mut self, pending: PendingRequest) -> Result<RequestId, SubmitError> {
         if self.by_id.len() >= self.max_requests {
             return Err(SubmitError::AtCapacity);
         }
-        // Upstreams recognize repeats of a request by the client's id. No other request may use the id while an
-        // attempt with it may be in flight.
+        // Upstreams recognize repeats of a request by the id that the client chose for it. No other request may use
+        // this id while an attempt with it may be in flight.
         if let Some(client_request_id) = &pending.request.request_id {
             if !self.client_request_ids.insert(client_request_id.clone()) {
                 return Err(SubmitError::DuplicateRequestId);
@@ -226,7 +231,7 @@
             .count()
     }
 
-    /// Fails each request without a final response. Returns their ids.
+    /// Fails each request without a final response. Returns the ids of the failed requests.
     pub fn fail_all(&mut self) -> Vec<RequestId> {
         let mut failed = Vec::new();
         for (&id, pending) in &mut self.by_id {
@@ -237,7 +242,7 @@
         failed
     }
 
-    /// Removes a request that is answered and has no attempt in flight. Its client's id may be used again.
+    /// Removes a request that has ended and has no attempt in flight. The id that its client chose may be used again.
     pub fn remove_if_finished(&mut self, id: RequestId) {
         if !self.by_id.get(&id).is_some_and(PendingRequest::is_finished) {
             return;
--- a/balancer/src/discovery/call_timeouts.rs
+++ b/balancer/src/discovery/call_timeouts.rs
@@ -1,11 +1,11 @@
 //! How long calls to discovery may take.
 use std::time::Duration;
 
-/// A change at discovery counts as notified this long after discovery could be reached. Whatever precedes it (a call
-/// without response, a malformed response, a pause), the next complete call has to end within this time.
+/// Discovery counts a balancer as notified of a change this long after discovery could be reached. A call of the
+/// balancer has to succeed within this time, even after a call without response, a malformed response or a pause.
 pub const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// The core lets up to a third of this pass between two failed calls, so that both calls and the next one fit into
-/// [`NOTIFICATION_DEADLINE`].
+/// Upper limit of the core's `poll_acknowledge_timeout` at real discovery. The core pauses for up to a third of that
+/// setting between two calls of which the first failed, so that both calls fit into [`NOTIFICATION_DEADLINE`].
 pub const POLL_ACKNOWLEDGE_TIMEOUT: Duration = Duration::from_secs(3);
 const _: () = assert!(
     NOTIFICATION_DEADLINE.as_millis() == 2 * POLL_ACKNOWLEDGE_TIMEOUT.as_millis(),
@@ -41,8 +41,8 @@
     pub call_timeout: Duration,
 }
 
-/// Time limits of the calls. Discovery holds a call of a watch until something changes. Until the time for which it may
-/// hold the call is over, nothing distinguishes a broken watch from one without changes.
+/// Time limits of the calls. Discovery holds a call of a watch until something changes. As long as discovery may hold
+/// the call, a broken watch looks the same as one without changes.
 #[derive(Clone, Copy, Debug)]
 pub struct CallTimeouts {
     /// How long discovery may hold a call of a watch.
@@ -60,7 +60,7 @@
 }
 
 impl CallTimeouts {
-    /// The agent that receives pushed updates is on this machine and responds at no cost.
+    /// The agent that receives pushed updates is on this machine: calls to it are fast and put no load on discovery.
     const PUSHED: CallTimeouts = CallTimeouts {
         long_poll_timeout: Duration::from_secs(1),
         initial_long_poll_timeout: Duration::from_secs(1),
--- a/balancer/src/discovery/client.rs
+++ b/balancer/src/discovery/client.rs
@@ -15,7 +15,7 @@
 use thiserror::Error;
 use tokio::task::AbortHandle;
 
-/// Longest time to connect. It is short, so that a failed attempt to connect leaves time for the call.
+/// Longest time to connect. It is short, so that time is left for another call after connecting has failed.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 /// Largest list that is accepted, in bytes.
 const MAX_LIST_SIZE: usize = 4 << 20;
@@ -48,7 +48,7 @@
     #[error("invalid endpoint list: {0}")]
     List(#[from] EndpointListError),
     /// The list is older than the known one, or is a delta although no list is known.
-    #[error("list version {version} does not follow known version {known}")]
+    #[error("list version {version} does not follow known version {known} (0 if none is known)")]
     DoesNotFollow {
         /// The version of the list.
         version: u64,
@@ -143,8 +143,8 @@
         self.read_list(response).await
     }
 
-    /// The connection for the next call. One that discovery closed after its last response is replaced, which does not
-    /// count as a failed call.
+    /// Returns an open connection for the next call: the kept one or a new one. One that discovery closed after its
+    /// last response is replaced, which does not count as a failed call.
     async fn ready_connection(&mut self) -> Result<&mut Connection, CallError> {
         let connection = match self.connection.take() {
             Some(mut kept) => {
--- a/balancer/src/discovery/consumer.rs
+++ b/balancer/src/discovery/consumer.rs
@@ -1,4 +1,4 @@
-//! The interface through which the discovery client reports updates and failures.
+//! The interface through which the endpoint watch reports updates and failures.
 use crate::discovery::endpoints::EndpointUpdate;
 use std::future::Future;
 
@@ -11,7 +11,7 @@
     Failed,
 }
 
-/// Receives endpoint updates from the discovery client.
+/// Receives endpoint updates from the endpoint watch.
 pub trait EndpointConsumer {
     /// Waits until a poll of the endpoints is requested.
     fn poll_requested(&self) -> impl Future<Output = ()>;
@@ -22,7 +22,7 @@
     /// Discovery responded that nothing has changed.
     fn endpoints_unchanged(&self);
 
-    /// The discovery client has switched to another address.
+    /// The endpoint watch has switched to another address.
     fn discovery_migrated(&self);
 
     /// A call failed.
--- a/balancer/src/discovery/endpoints.rs
+++ b/balancer/src/discovery/endpoints.rs
@@ -23,7 +23,10 @@
         state: String,
     },
     /// An endpoint has no name, or its start time is out of range.
-    #[error("upstream {upstream:?}: empty id, or started_ms {started_ms} out of range")]
+    #[error(
+        "upstream {upstream:?}: the id is empty, or started_ms {started_ms} is not in the range \
+         from 0 to below {STARTED_AT_LIMIT_MS:e}"
+    )]
     Malformed {
         /// The endpoint's name.
         upstream: String,
@@ -48,7 +51,8 @@
         }
     }
 
-    /// Position of a zone. A zone that the settings do not list gets a position that no class is restricted to.
+    /// Position of a zone. A zone that the settings do not list gets the position `u16::MAX`, which no class allows:
+    /// classes that are restricted to zones do not use its endpoints.
     fn zone(&self, name: &str) -> u16 {
         self.zones
             .iter()
@@ -56,7 +60,8 @@
             .map_or(u16::MAX, |index| index as u16)
     }
 
-    /// Position of a machine kind. One that the settings do not list gets a position that no class is restricted to.
+    /// Position of a machine kind. A kind that the settings do not list gets the position `u8::MAX`, which no class
+    /// allows: classes that are restricted to kinds do not use its endpoints.
     fn kind(&self, name: &str) -> u8 {
         self.kinds
             .iter()
--- a/balancer/src/discovery/mod.rs
+++ b/balancer/src/discovery/mod.rs
@@ -1,4 +1,4 @@
-//! The discovery client, and the endpoint lists it receives.
+//! The discovery client with its endpoint watch, and the endpoint lists that it receives.
 
 pub(crate) mod consumer;
 pub mod endpoints;
--- a/balancer/src/discovery/watch.rs
+++ b/balancer/src/discovery/watch.rs
@@ -1,7 +1,8 @@
 //! The watch that keeps the endpoint list up to date.
 //!
-//! The core decides when to poll ([`balancer_core::Action::PollEndpoints`]); the consumer of the updates passes the
-//! request on. An established watch is kept open here without further requests.
+//! The core decides when to poll ([`balancer_core::Action::PollEndpoints`]); the consumer of the updates tells
+//! this module ([`EndpointConsumer::poll_requested`]). An established watch is kept open here without being asked for
+//! again.
 use crate::discovery::call_timeouts::{CallKind, CallLimits, CallTimeouts, UpdateMode};
 use crate::discovery::client::{CallError, DiscoveryClient};
 use crate::discovery::consumer::{CallFailure, EndpointConsumer};
@@ -17,14 +18,16 @@
 pub use crate::discovery::call_timeouts::POLL_ACKNOWLEDGE_TIMEOUT;
 
 /// First pause before a failed call to a new address is repeated. It doubles with each failure, up to
-/// [`MAX_MIGRATION_BACKOFF`]. A change counts as notified 4 s after the signal that announced the migration.
+/// [`MAX_MIGRATION_BACKOFF`]. Both are short, because 4 s after the signal that announced the migration discovery
+/// counts this balancer as notified of the changes at the new address.
 const INITIAL_MIGRATION_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest pause before a failed call to a new address is repeated.
 const MAX_MIGRATION_BACKOFF: Duration = Duration::from_millis(500);
 /// Limits of the pause before a pushed list is fetched again after a failure. See [`EndpointWatch::new`].
 const MIN_PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(20);
 const MAX_PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// How the first call after a migration ended.
+/// How the calls after a migration ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum MigrationOutcome {
     /// The new address has responded with a list.
@@ -33,11 +36,11 @@
     Rejected,
 }
 
-/// What a discovery client is built from.
+/// What an endpoint watch is built from.
 pub struct EndpointWatchOptions<'a> {
     /// Holds the current address of discovery.
     pub addresses: watch::Receiver<SocketAddr>,
-    /// The settings.
+    /// The settings of the deployment.
     pub deployment: &'a Deployment,
     /// The version of the list that the balancer already has, if any.
     pub known_version: Option<u64>,
@@ -61,7 +64,7 @@
 }
 
 impl EndpointWatch {
-    /// A client that has not connected yet.
+    /// A watch that has not connected yet.
     pub fn new(options: EndpointWatchOptions) -> EndpointWatch {
         let deployment = options.deployment;
         let mode = if deployment.core.poll_endpoints {
@@ -70,8 +73,9 @@
             UpdateMode::Pushed
         };
         let address = *options.addresses.borrow();
-        // The agent acknowledges a change even while this watch is broken. The next call has to return the change well
-        // before attempts to a draining upstream must end.
+        // If updates are pushed, the agent on this machine acknowledges a change even while this watch is broken. The
+        // next call has to return the change well before attempts to a draining upstream must end, hence a third of the
+        // grace.
         let drain_grace = deployment.drain_grace;
         EndpointWatch {
             client: DiscoveryClient::new(address, TopologyNames::of(deployment)),
@@ -114,8 +118,8 @@
         self.version = None;
     }
 
-    /// Polls and watches; never returns. After a migration the first call is made without a request: until the complete
-    /// list has arrived, the balancer uses the old one.
+    /// Polls and watches; never returns. After a migration the first call does not wait for the core to request a poll:
+    /// until the complete list has arrived, the balancer uses the old one.
     async fn poll_and_watch(&mut self, consumer: &impl EndpointConsumer, migrated: bool) {
         let mut is_watching =
             migrated && self.complete_migration(consumer).await == MigrationOutcome::Completed;
--- a/fault-injection/src/calls/eventfd.rs
+++ b/fault-injection/src/calls/eventfd.rs
@@ -1,4 +1,4 @@
-//! Creating event counters.
+//! Creating eventfd descriptors.
 use crate::control::{should_inject, Fault};
 use crate::errno::{fail_with_one_of, DESCRIPTOR_CREATION_ERRORS};
 use libc::{c_int, c_uint};
--- a/fault-injection/src/calls/reads.rs
+++ b/fault-injection/src/calls/reads.rs
@@ -6,7 +6,7 @@
 use crate::errno::{fail, fail_with_one_of};
 use libc::{c_int, c_void, iovec, size_t, ssize_t};
 
-/// Decides whether a read from a socket fails; returns the result of the failed read.
+/// Decides whether a read from a socket fails. If so, sets `errno` and returns the result of the failed read.
 fn inject_socket_read_failure(fd: c_int) -> Option<ssize_t> {
     if should_inject(Fault::InterruptedRead) {
         return Some(fail(libc::EINTR));
--- a/fault-injection/src/calls/writes.rs
+++ b/fault-injection/src/calls/writes.rs
@@ -6,8 +6,8 @@
 
 const LOG_ERRORS: [c_int; 2] = [libc::EIO, libc::EPIPE];
 
-/// Decides whether a write to the log, an event descriptor or a socket pair fails; returns the result of the failed
-/// write.
+/// Decides whether a write to the log, an event descriptor or a socket pair fails. If so, sets `errno` and returns the
+/// result of the failed write.
 fn inject_write_failure(fd: c_int) -> Option<ssize_t> {
     if should_inject_if(Fault::FailedLogWrite, || fd == libc::STDERR_FILENO) {
         return Some(fail_with_one_of(&LOG_ERRORS));
--- a/fault-injection/src/control.rs
+++ b/fault-injection/src/control.rs
@@ -37,8 +37,8 @@
     }
 }
 
-/// The word that makes the first `calls` calls fail. Calls count from the process's start, but only those made while
-/// a word of this kind is set.
+/// The word that makes the first `calls` calls fail. Only calls made while a word of this kind is set are counted. The
+/// count is never reset while the process runs, so setting the word again continues it.
 pub const fn fail_first_calls(calls: u32) -> u64 {
     FIRST_CALLS_FLAG | calls as u64
 }
@@ -157,7 +157,7 @@
     true
 }
 
-/// Whether this word makes the current call fail.
+/// Decides whether this word makes the current call fail. Counts the call, or draws a random number.
 fn decide_injection(fault: Fault, word: u64) -> bool {
     if word & FIRST_CALLS_FLAG != 0 {
         return COUNTED_CALLS[fault as usize].fetch_add(1, Ordering::Relaxed)
--- a/fault-injection/src/descriptors.rs
+++ b/fault-injection/src/descriptors.rs
@@ -5,6 +5,7 @@
 /// The file type that Linux reports for an eventfd, timerfd, signalfd or epoll descriptor.
 const ANONYMOUS_INODE: mode_t = 0;
 
+/// Whether a descriptor is a regular file, other than the process's standard streams.
 pub(crate) fn is_file(fd: c_int) -> bool {
     fd > libc::STDERR_FILENO && has_file_type(fd, libc::S_IFREG)
 }
@@ -13,7 +14,8 @@
     has_file_type(fd, libc::S_IFSOCK)
 }
 
-/// Whether a descriptor is an eventfd, timerfd, signalfd or pipe of the process, other than its standard streams.
+/// Whether a descriptor is an eventfd, timerfd, signalfd, epoll descriptor or pipe of the process, other than its
+/// standard streams.
 pub(crate) fn is_event_descriptor(fd: c_int) -> bool {
     fd > libc::STDERR_FILENO
         && (has_file_type(fd, ANONYMOUS_INODE) || has_file_type(fd, libc::S_IFIFO))
