--- a/balancer/src/admin/override_store/tests.rs
+++ b/balancer/src/admin/override_store/tests.rs
@@ -46,10 +46,10 @@
         assert!(store.change(|o| o.suspend("s-1")).is_ok());
         assert!(store.read().is_ok_and(|o| o.suspended().contains("s-1")));
     }
-    let later = std::fs::read_to_string(directory.join(OVERRIDES_FILE))
+    let other_version = std::fs::read_to_string(directory.join(OVERRIDES_FILE))
         .expect("reads")
         .replace("\"version\":1", "\"version\":2");
-    std::fs::write(directory.join(OVERRIDES_FILE), later).expect("writes");
+    std::fs::write(directory.join(OVERRIDES_FILE), other_version).expect("writes");
     let error = OverrideStore::new(Some(directory.clone()))
         .read()
         .expect_err("another version");
