--- a/balancer/src/admin/override_sync.rs
+++ b/balancer/src/admin/override_sync.rs
@@ -1,6 +1,6 @@
 //! Applies the stored overrides, whichever process of this balancer received them.
 use crate::admin::disk_worker::{run_on_disk_thread, DiskWorkerError};
-use crate::admin::override_error::{OverrideError, OverrideReadError};
+use crate::admin::override_error::{OverrideChangeError, OverrideReadError};
 use crate::admin::override_store::{OverrideStore, ProcessLock};
 use crate::admin::overrides::Overrides;
 use crate::control::driver::DriverHandle;
@@ -18,7 +18,7 @@
     store: OverrideStore,
     /// The overrides in force.
     applied: RefCell<Overrides>,
-    /// Whether the last read failed. An error is logged only once.
+    /// Whether the last read failed. Only the first of several failures in a row is logged.
     last_read_failed: Cell<bool>,
 }
 
@@ -74,27 +74,27 @@
     pub async fn change(
         &self,
         change: impl FnOnce(&mut Overrides) + Send + 'static,
-    ) -> Result<(), OverrideError> {
+    ) -> Result<(), OverrideChangeError> {
         let overrides = self.on_disk(|store| store.change(change)).await??;
         self.apply(overrides);
         Ok(())
     }
 
     /// Takes the process lock; `None` while another process of this balancer holds it. Fails if the system cannot tell
-    /// whether one does, perhaps only temporarily.
+    /// whether another process holds it; that may be temporary.
     pub async fn try_lock_process(&self) -> io::Result<Option<ProcessLock>> {
         self.on_disk(|store| store.try_lock_process())
             .await
             .map_err(io::Error::other)?
     }
 
-    /// Runs work that may block on the disk, without blocking the event loop.
+    /// Runs a job that may block on the disk, without blocking the event loop.
     async fn on_disk<T: Send + 'static>(
         &self,
-        work: impl FnOnce(OverrideStore) -> T + Send + 'static,
+        job: impl FnOnce(OverrideStore) -> T + Send + 'static,
     ) -> Result<T, DiskWorkerError> {
         let store = self.store.clone();
-        run_on_disk_thread(move || work(store)).await
+        run_on_disk_thread(move || job(store)).await
     }
 
     fn apply(&self, overrides: Overrides) {
@@ -119,7 +119,8 @@
             let next = match *phase {
                 Phase::Serving | Phase::Paused if paused => Phase::Paused,
                 Phase::Serving | Phase::Paused => Phase::Serving,
-                // Clients of a process that has handed off are sent away too.
+                // A pause also closes the connections that clients still have to a process that has handed its clients
+                // off to a successor.
                 Phase::HandedOff if paused => Phase::Closing,
                 other => other,
             };
--- a/balancer/src/control/driver/submission.rs
+++ b/balancer/src/control/driver/submission.rs
@@ -1,4 +1,4 @@
-//! Submission of requests, and what their clients do afterwards.
+//! Submission of requests, and what may follow: the request's body is completed, or its client disconnects.
 use super::DriverHandle;
 use crate::body::request_body::RequestBody;
 use crate::body::upload::UploadObserver;
@@ -33,12 +33,12 @@
 }
 
 /// Reports the progress of a request's streamed body to the driver.
-struct PendingUpload {
+struct UploadReporter {
     driver: DriverHandle,
     id: RequestId,
 }
 
-impl UploadObserver for PendingUpload {
+impl UploadObserver for UploadReporter {
     fn completed(&self) {
         self.driver.request_body_complete(self.id);
     }
@@ -49,8 +49,9 @@
 }
 
 impl DriverHandle {
-    /// Submits a request of a class and tenant, given by their positions in the settings. It receives one final
-    /// response. The client waits `client_timeout` milliseconds after the end of its request.
+    /// Submits a request of a class and tenant, given by their positions in the settings. The request receives at most
+    /// one final response: none if its client disconnects first. The client waits `client_timeout` milliseconds after
+    /// the end of its request.
     pub fn submit(
         &self,
         class: usize,
@@ -66,7 +67,7 @@
         })?;
         let id = submitted.id;
         if let RequestBody::Streamed(upload) = &submitted.request.body {
-            upload.observe(Box::new(PendingUpload {
+            upload.observe(Box::new(UploadReporter {
                 driver: self.clone(),
                 id,
             }));
--- a/balancer/src/control/driver_state/attempt_lifecycle.rs
+++ b/balancer/src/control/driver_state/attempt_lifecycle.rs
@@ -26,15 +26,16 @@
     pub request: Rc<OutboundRequest>,
     /// When it starts.
     pub started_at: Instant,
-    /// When it times out.
+    /// When it times out. No timer is set for this time while the request's body is incomplete.
     pub deadline: Instant,
     /// Whether the request's body is complete.
     pub is_body_complete: bool,
 }
 
 impl DriverState {
-    /// Prepares an attempt that the core wants started. A `timeout_ms` of zero means that the attempt has no limit of
-    /// its own. If it cannot start, this queues the events that report it, and returns `None`.
+    /// Prepares an attempt that the core wants started. A `timeout_ms` of zero means that the attempt has no limit
+    /// besides the client's timeout. If the attempt cannot start, queues the events that report this to the core, and
+    /// returns `None`. For an unknown request no event is queued.
     pub fn prepare_attempt(
         &mut self,
         request: RequestId,
@@ -74,8 +75,8 @@
     /// Records the start of an attempt. If the guard denies it, fails the request.
     fn record_attempt_start(&mut self, request: RequestId) -> Option<AttemptId> {
         let pending = self.pending.get_mut(request)?;
-        let number = pending.attempts_started();
-        if pending.attempt_started(&self.guard).is_err() {
+        let number = pending.attempt_count();
+        if pending.record_attempt_start(&self.guard).is_err() {
             // The core's view of this request is wrong. The request ends here.
             self.push_event(Event::ClientDisconnected(request));
             self.respond(request, FinalResponse::Failed);
@@ -90,7 +91,7 @@
         request: RequestId,
         upstream_id: UpstreamId,
     ) -> Option<Rc<Upstream>> {
-        if self.pending.get(request)?.is_answered() {
+        if self.pending.get(request)?.has_ended() {
             return None;
         }
         self.endpoints.upstream(upstream_id).cloned()
@@ -101,8 +102,9 @@
         let Some(pending) = self.pending.get_mut(id.request) else {
             return;
         };
-        let request_completed = pending.is_answered();
-        pending.attempt_ended(started_at, true);
+        let request_completed = pending.has_ended();
+        let never_ran = true;
+        pending.record_attempt_end(started_at, never_ran);
         self.push_event(Event::AttemptEnded {
             request: id.request,
             attempt: id.number,
@@ -141,7 +143,7 @@
     /// An attempt has a connection to write to.
     pub fn attempt_connected(&mut self, id: AttemptId) {
         if let Some(attempt) = self.attempts.get_mut(id) {
-            attempt.connected(Instant::now());
+            attempt.record_connected(Instant::now());
         }
     }
 
@@ -150,7 +152,7 @@
         let Some(attempt) = self.attempts.get_mut(id) else {
             return false;
         };
-        if let Some(timeout) = attempt.response_started() {
+        if let Some(timeout) = attempt.record_response_start() {
             self.timers.cancel(timeout);
         }
         if let Some(pending) = self.pending.get_mut(id.request) {
@@ -195,8 +197,8 @@
         true
     }
 
-    /// Records the end of an attempt in its request, with the response if there is one. Returns whether the request is
-    /// over.
+    /// Records the end of an attempt in its request, with the response if there is one. Returns whether the request
+    /// has ended: it is answered, or its client has disconnected.
     fn record_attempt_end(
         &mut self,
         request: RequestId,
@@ -207,12 +209,12 @@
         let Some(pending) = self.pending.get_mut(request) else {
             return true;
         };
-        pending.attempt_ended(started_at, never_ran);
+        pending.record_attempt_end(started_at, never_ran);
         if let Some(response) = response {
             // A client that disconnected at the same moment gets no response.
             let _ = pending.respond(response);
         }
-        let request_completed = pending.is_answered();
+        let request_completed = pending.has_ended();
         self.remove_if_finished(request);
         request_completed
     }
--- a/balancer/src/control/pending_requests.rs
+++ b/balancer/src/control/pending_requests.rs
@@ -12,8 +12,8 @@
 /// The result of delivering a final response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Delivery {
-    /// The request already had its final response.
-    AlreadyAnswered,
+    /// The request had already ended.
+    AlreadyEnded,
     /// The task of the client's connection has received it.
     Delivered,
     /// The client disconnected at the same moment.
@@ -23,11 +23,12 @@
 /// One request. It has at most one final response.
 pub struct PendingRequest {
     /// `None` once the final response is given or the client has disconnected.
-    reply: Option<oneshot::Sender<FinalResponse>>,
+    response_sender: Option<oneshot::Sender<FinalResponse>>,
     request: Rc<OutboundRequest>,
-    /// How long the client waits after the end of its request, in milliseconds.
-    client_timeout: Millis,
-    /// When the client stops waiting; infinite while the request's body is incomplete.
+    /// How long the final response may take after the end of the request, in milliseconds: the client's timeout less
+    /// the time to deliver the response.
+    response_timeout: Millis,
+    /// When the final response must be given; infinite while the request's body is incomplete.
     deadline: Millis,
     history: AttemptHistory,
     /// Whether a response is being relayed to the client.
@@ -37,16 +38,16 @@
 impl PendingRequest {
     /// A request without attempts.
     pub fn new(
-        reply: oneshot::Sender<FinalResponse>,
+        response_sender: oneshot::Sender<FinalResponse>,
         request: OutboundRequest,
-        client_timeout: Millis,
+        response_timeout: Millis,
         deadline: Millis,
         idempotency: Idempotency,
     ) -> PendingRequest {
         PendingRequest {
-            reply: Some(reply),
+            response_sender: Some(response_sender),
             request: Rc::new(request),
-            client_timeout,
+            response_timeout,
             deadline,
             history: AttemptHistory::new(idempotency),
             is_relaying_response: false,
@@ -59,8 +60,8 @@
     }
 
     /// Whether it has its final response, or its client has disconnected.
-    pub fn is_answered(&self) -> bool {
-        self.reply.is_none()
+    pub fn has_ended(&self) -> bool {
+        self.response_sender.is_none()
     }
 
     /// Whether its body is complete.
@@ -68,9 +69,9 @@
         self.deadline.is_finite()
     }
 
-    /// Whether its body is complete and it waits for its response or is still receiving it.
+    /// Whether its body is complete, and its client waits for the response or is still receiving it.
     pub fn is_active(&self) -> bool {
-        self.is_body_complete() && (!self.is_answered() || self.is_relaying_response)
+        self.is_body_complete() && (!self.has_ended() || self.is_relaying_response)
     }
 
     /// How long an attempt may take from now on. A `limit_ms` of zero means no limit besides the client's timeout.
@@ -78,7 +79,7 @@
         let remaining_ms = if self.is_body_complete() {
             (self.deadline - now).max(0.0)
         } else {
-            self.client_timeout
+            self.response_timeout
         };
         if limit_ms > 0.0 {
             limit_ms.min(remaining_ms)
@@ -87,35 +88,37 @@
         }
     }
 
-    /// The body is complete. The client's timeout starts; `latest_deadline` limits the deadline, which is returned.
-    pub fn request_body_complete(&mut self, now: Millis, latest_deadline: Millis) -> Millis {
-        self.deadline = (now + self.client_timeout).min(latest_deadline);
+    /// Records that the body is complete. The response timeout starts; `latest_deadline` limits the deadline, which is
+    /// returned.
+    pub fn record_body_complete(&mut self, now: Millis, latest_deadline: Millis) -> Millis {
+        self.deadline = (now + self.response_timeout).min(latest_deadline);
         self.deadline
     }
 
     /// How many attempts were started.
-    pub fn attempts_started(&self) -> u32 {
+    pub fn attempt_count(&self) -> u32 {
         self.history.started()
     }
 
     /// Records the start of an attempt, unless the guard denies it.
-    pub fn attempt_started(&mut self, guard: &Guard) -> Result<(), Rule> {
+    pub fn record_attempt_start(&mut self, guard: &Guard) -> Result<(), Rule> {
         guard.start_attempt(&mut self.history, &self.request.label())
     }
 
     /// Records the end of an attempt; `never_ran` is proof that the upstream did not run the request.
-    pub fn attempt_ended(&mut self, started_at: Instant, never_ran: bool) {
+    pub fn record_attempt_end(&mut self, started_at: Instant, never_ran: bool) {
         self.history.attempt_ended(started_at, never_ran);
     }
 
-    /// Checks a response that the core requests now. Returns the response to give, another one if the guard denies it.
+    /// Checks a response that the core requests at `now`. Returns the response to give: this one, or a failure if the
+    /// guard denies a rejection.
     pub fn check_response(
         &self,
         response: FinalResponse,
         now: Millis,
         guard: &Guard,
     ) -> FinalResponse {
-        if self.is_answered() {
+        if self.has_ended() {
             return response;
         }
         let label = self.request.label();
@@ -128,12 +131,12 @@
         }
     }
 
-    /// Gives the final response, unless the request already has one.
+    /// Gives the final response, unless the request has already ended.
     pub fn respond(&mut self, response: FinalResponse) -> Delivery {
-        let Some(reply) = self.take_reply() else {
-            return Delivery::AlreadyAnswered;
+        let Some(response_sender) = self.end() else {
+            return Delivery::AlreadyEnded;
         };
-        match reply.send(response) {
+        match response_sender.send(response) {
             Ok(()) => Delivery::Delivered,
             Err(_) => Delivery::ClientDisconnected,
         }
@@ -142,28 +145,29 @@
     /// Gives the final response, whose body is being relayed from now on.
     pub fn respond_and_relay(&mut self, response: FinalResponse) {
         match self.respond(response) {
-            Delivery::AlreadyAnswered => {}
+            Delivery::AlreadyEnded => {}
             delivery => self.is_relaying_response = delivery == Delivery::Delivered,
         }
     }
 
     /// The client has disconnected. Returns whether it still waited for a response.
     pub fn client_disconnected(&mut self) -> bool {
-        self.take_reply().is_some()
+        self.end().is_some()
     }
 
-    /// Marks the request as ended, so that no attempt writes it any more.
-    fn take_reply(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
+    /// Marks the request as ended, so that no attempt writes it any more. Returns the sender of its final response if
+    /// the request had not ended before.
+    fn end(&mut self) -> Option<oneshot::Sender<FinalResponse>> {
         self.request.ended.set(true);
-        self.reply.take()
+        self.response_sender.take()
     }
 
     fn is_finished(&self) -> bool {
-        self.is_answered() && self.history.in_flight() == 0
+        self.has_ended() && self.history.in_flight() == 0
     }
 }
 
-/// All pending requests by internal id, and the request ids in use that clients chose.
+/// All pending requests by internal id, and the ids that clients chose for them.
 pub struct PendingRequests {
     max_requests: usize,
     next_id: u32,
@@ -182,13 +186,14 @@
         }
     }
 
-    /// Adds a request. Fails if the table is full or the client's id for the request is already in use.
+    /// Adds a request. Fails if the table is full, or the id that the client chose for the request is already
+    /// in use.
     pub fn insert(&mut self, pending: PendingRequest) -> Result<RequestId, SubmitError> {
         if self.by_id.len() >= self.max_requests {
             return Err(SubmitError::AtCapacity);
         }
-        // Upstreams recognize repeats of a request by the client's id. No other request may use the id while an
-        // attempt with it may be in flight.
+        // Upstreams recognize repeats of a request by the id that the client chose for it. No other request may use
+        // this id while an attempt with it may be in flight.
         if let Some(client_request_id) = &pending.request.request_id {
             if !self.client_request_ids.insert(client_request_id.clone()) {
                 return Err(SubmitError::DuplicateRequestId);
@@ -226,18 +231,18 @@
             .count()
     }
 
-    /// Fails each request without a final response. Returns their ids.
+    /// Fails each request without a final response. Returns the ids of the failed requests.
     pub fn fail_all(&mut self) -> Vec<RequestId> {
         let mut failed = Vec::new();
         for (&id, pending) in &mut self.by_id {
-            if pending.respond(FinalResponse::Failed) != Delivery::AlreadyAnswered {
+            if pending.respond(FinalResponse::Failed) != Delivery::AlreadyEnded {
                 failed.push(id);
             }
         }
         failed
     }
 
-    /// Removes a request that is answered and has no attempt in flight. Its client's id may be used again.
+    /// Removes a request that has ended and has no attempt in flight. The id that its client chose may be used again.
     pub fn remove_if_finished(&mut self, id: RequestId) {
         if !self.by_id.get(&id).is_some_and(PendingRequest::is_finished) {
             return;
--- a/balancer/src/discovery/endpoints.rs
+++ b/balancer/src/discovery/endpoints.rs
@@ -23,7 +23,10 @@
         state: String,
     },
     /// An endpoint has no name, or its start time is out of range.
-    #[error("upstream {upstream:?}: empty id, or started_ms {started_ms} out of range")]
+    #[error(
+        "upstream {upstream:?}: the id is empty, or started_ms {started_ms} is not in the range \
+         from 0 to below {STARTED_AT_LIMIT_MS:e}"
+    )]
     Malformed {
         /// The endpoint's name.
         upstream: String,
@@ -48,7 +51,8 @@
         }
     }
 
-    /// Position of a zone. A zone that the settings do not list gets a position that no class is restricted to.
+    /// Position of a zone. A zone that the settings do not list gets the position `u16::MAX`, which no class allows:
+    /// classes that are restricted to zones do not use its endpoints.
     fn zone(&self, name: &str) -> u16 {
         self.zones
             .iter()
@@ -56,7 +60,8 @@
             .map_or(u16::MAX, |index| index as u16)
     }
 
-    /// Position of a machine kind. One that the settings do not list gets a position that no class is restricted to.
+    /// Position of a machine kind. A kind that the settings do not list gets the position `u8::MAX`, which no class
+    /// allows: classes that are restricted to kinds do not use its endpoints.
     fn kind(&self, name: &str) -> u8 {
         self.kinds
             .iter()
@@ -90,7 +95,7 @@
 }
 
 impl RawEndpoint {
-    fn validate(self, names: &TopologyNames) -> Result<ListedEndpoint, EndpointListError> {
+    fn into_listed(self, names: &TopologyNames) -> Result<ListedEndpoint, EndpointListError> {
         let availability = match self.state.as_str() {
             "active" => Availability::Ready,
             "leaving" => Availability::Draining,
@@ -108,7 +113,7 @@
                 started_ms: self.started_ms,
             });
         }
-        let member = Endpoint {
+        let core_endpoint = Endpoint {
             id: upstream_id(&self.id),
             zone: names.zone(&self.zone),
             kind: names.kind(&self.kind),
@@ -117,7 +122,7 @@
             started_at: self.started_ms,
         };
         Ok(ListedEndpoint {
-            member,
+            core_endpoint,
             address: self.addr,
         })
     }
@@ -127,7 +132,7 @@
 #[derive(Clone, Debug)]
 pub struct ListedEndpoint {
     /// The endpoint as the core knows it.
-    pub member: Endpoint,
+    pub core_endpoint: Endpoint,
     /// The address at which this balancer reaches it.
     pub address: SocketAddr,
 }
@@ -150,7 +155,7 @@
         let endpoints = raw
             .servers
             .into_iter()
-            .map(|endpoint| endpoint.validate(names))
+            .map(|endpoint| endpoint.into_listed(names))
             .collect::<Result<Vec<ListedEndpoint>, EndpointListError>>()?;
         Ok(EndpointUpdate {
             version: raw.version,
@@ -160,10 +165,10 @@
     }
 
     /// The endpoints as the core receives them.
-    pub fn members(&self) -> impl Iterator<Item = Endpoint> + '_ {
+    pub fn core_endpoints(&self) -> impl Iterator<Item = Endpoint> + '_ {
         self.endpoints
             .iter()
-            .map(|endpoint| endpoint.member.clone())
+            .map(|endpoint| endpoint.core_endpoint.clone())
     }
 }
 
--- a/balancer/src/discovery/watch.rs
+++ b/balancer/src/discovery/watch.rs
@@ -1,7 +1,8 @@
 //! The watch that keeps the endpoint list up to date.
 //!
-//! The core decides when to poll ([`balancer_core::Action::PollEndpoints`]); the consumer of the updates passes the
-//! request on. An established watch is kept open here without further requests.
+//! The core decides when to poll ([`balancer_core::Action::PollEndpoints`]); the consumer of the updates tells
+//! this module ([`EndpointConsumer::poll_requested`]). An established watch is kept open here without being asked for
+//! again.
 use crate::discovery::call_timeouts::{CallKind, CallLimits, CallTimeouts, UpdateMode};
 use crate::discovery::client::{CallError, DiscoveryClient};
 use crate::discovery::consumer::{CallFailure, EndpointConsumer};
@@ -17,27 +18,29 @@
 pub use crate::discovery::call_timeouts::POLL_ACKNOWLEDGE_TIMEOUT;
 
 /// First pause before a failed call to a new address is repeated. It doubles with each failure, up to
-/// [`MAX_MIGRATION_BACKOFF`]. A change counts as notified 4 s after the signal that announced the migration.
+/// [`MAX_MIGRATION_BACKOFF`]. Both are short, because 4 s after the signal that announced the migration discovery
+/// counts this balancer as notified of the changes at the new address.
 const INITIAL_MIGRATION_BACKOFF: Duration = Duration::from_millis(100);
+/// Longest pause before a failed call to a new address is repeated.
 const MAX_MIGRATION_BACKOFF: Duration = Duration::from_millis(500);
-/// Limits of the pause before a pushed list is fetched again after a failure. See [`Discovery::new`].
+/// Limits of the pause before a pushed list is fetched again after a failure. See [`EndpointWatch::new`].
 const MIN_PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(20);
 const MAX_PUSHED_RETRY_PAUSE: Duration = Duration::from_millis(500);
 
-/// How the first call after a migration ended.
+/// How the calls after a migration ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Migration {
+enum MigrationOutcome {
     /// The new address has responded with a list.
     Completed,
     /// The new address has rejected the call. The core decides when to poll again.
     Rejected,
 }
 
-/// What a discovery client is built from.
-pub struct DiscoveryOptions<'a> {
+/// What an endpoint watch is built from.
+pub struct EndpointWatchOptions<'a> {
     /// Holds the current address of discovery.
     pub addresses: watch::Receiver<SocketAddr>,
-    /// The settings.
+    /// The settings of the deployment.
     pub deployment: &'a Deployment,
     /// The version of the list that the balancer already has, if any.
     pub known_version: Option<u64>,
@@ -46,7 +49,7 @@
 }
 
 /// Keeps the endpoint list up to date: polls when requested, and then keeps a watch open.
-pub struct Discovery {
+pub struct EndpointWatch {
     client: DiscoveryClient,
     addresses: watch::Receiver<SocketAddr>,
     mode: UpdateMode,
@@ -60,9 +63,9 @@
     log: LogOutput,
 }
 
-impl Discovery {
-    /// A client that has not connected yet.
-    pub fn new(options: DiscoveryOptions) -> Discovery {
+impl EndpointWatch {
+    /// A watch that has not connected yet.
+    pub fn new(options: EndpointWatchOptions) -> EndpointWatch {
         let deployment = options.deployment;
         let mode = if deployment.core.poll_endpoints {
             UpdateMode::Polled
@@ -70,10 +73,11 @@
             UpdateMode::Pushed
         };
         let address = *options.addresses.borrow();
-        // The agent acknowledges a change even while this watch is broken. The next call has to return the change well
-        // before attempts to a draining upstream must end.
+        // If updates are pushed, the agent on this machine acknowledges a change even while this watch is broken. The
+        // next call has to return the change well before attempts to a draining upstream must end, hence a third of the
+        // grace.
         let drain_grace = deployment.drain_grace;
-        Discovery {
+        EndpointWatch {
             client: DiscoveryClient::new(address, TopologyNames::of(deployment)),
             addresses: options.addresses,
             mode,
@@ -114,11 +118,11 @@
         self.version = None;
     }
 
-    /// Polls and watches; never returns. After a migration the first call is made without a request: until the complete
-    /// list has arrived, the balancer uses the old one.
+    /// Polls and watches; never returns. After a migration the first call does not wait for the core to request a poll:
+    /// until the complete list has arrived, the balancer uses the old one.
     async fn poll_and_watch(&mut self, consumer: &impl EndpointConsumer, migrated: bool) {
         let mut is_watching =
-            migrated && self.complete_migration(consumer).await == Migration::Completed;
+            migrated && self.complete_migration(consumer).await == MigrationOutcome::Completed;
         loop {
             if self.mode == UpdateMode::Polled && !is_watching {
                 consumer.poll_requested().await;
@@ -126,7 +130,7 @@
             let error = self.watch_until_failure(consumer, is_watching).await;
             is_watching = false;
             self.handle_call_error(&error);
-            consumer.update_failed(call_failure(&error));
+            consumer.call_failed(call_failure(&error));
             if self.mode == UpdateMode::Pushed {
                 sleep(self.pushed_retry_pause).await;
             }
@@ -165,22 +169,22 @@
 
     /// Calls a new address until it responds. If polled discovery rejects the call, it is busy with a fleet of
     /// balancers that migrated together, and the core decides when to poll again.
-    async fn complete_migration(&mut self, consumer: &impl EndpointConsumer) -> Migration {
+    async fn complete_migration(&mut self, consumer: &impl EndpointConsumer) -> MigrationOutcome {
         consumer.discovery_migrated();
         let mut backoff = INITIAL_MIGRATION_BACKOFF;
         loop {
             let error = match self.call(self.timeouts.migration_limits()).await {
                 Ok(update) => {
                     consumer.apply(&update);
-                    return Migration::Completed;
+                    return MigrationOutcome::Completed;
                 }
                 Err(error) => error,
             };
             self.handle_call_error(&error);
             let failure = call_failure(&error);
             if failure == CallFailure::Rejected && self.mode == UpdateMode::Polled {
-                consumer.update_failed(failure);
-                return Migration::Rejected;
+                consumer.call_failed(failure);
+                return MigrationOutcome::Rejected;
             }
             sleep(backoff).await;
             backoff = (backoff * 2).min(MAX_MIGRATION_BACKOFF);
@@ -212,7 +216,7 @@
         if !self.follows_known_version(&update) {
             // Keeping a version that discovery no longer knows would fail every further call.
             let known = self.version.take().unwrap_or(0);
-            return Err(CallError::Stale {
+            return Err(CallError::DoesNotFollow {
                 version: update.version,
                 known,
             });
--- a/fault-injection/src/descriptors.rs
+++ b/fault-injection/src/descriptors.rs
@@ -5,6 +5,7 @@
 /// The file type that Linux reports for an eventfd, timerfd, signalfd or epoll descriptor.
 const ANONYMOUS_INODE: mode_t = 0;
 
+/// Whether a descriptor is a regular file, other than the process's standard streams.
 pub(crate) fn is_file(fd: c_int) -> bool {
     fd > libc::STDERR_FILENO && has_file_type(fd, libc::S_IFREG)
 }
@@ -13,7 +14,8 @@
     has_file_type(fd, libc::S_IFSOCK)
 }
 
-/// Whether a descriptor is an eventfd, timerfd, signalfd or pipe of the process, other than its standard streams.
+/// Whether a descriptor is an eventfd, timerfd, signalfd, epoll descriptor or pipe of the process, other than its
+/// standard streams.
 pub(crate) fn is_event_descriptor(fd: c_int) -> bool {
     fd > libc::STDERR_FILENO
         && (has_file_type(fd, ANONYMOUS_INODE) || has_file_type(fd, libc::S_IFIFO))
@@ -45,11 +47,11 @@
 const BITS_PER_WORD: usize = 64;
 
 /// One bit for each descriptor: whether this process opened its connection.
-static CONNECTED_HERE: [AtomicU64; TRACKED_DESCRIPTORS / BITS_PER_WORD] =
+static OUTGOING_CONNECTIONS: [AtomicU64; TRACKED_DESCRIPTORS / BITS_PER_WORD] =
     [const { AtomicU64::new(0) }; TRACKED_DESCRIPTORS / BITS_PER_WORD];
 
 /// Records that this process opened the connection of a descriptor.
-pub(crate) fn record_connected(fd: c_int) {
+pub(crate) fn record_outgoing(fd: c_int) {
     if let Some((word, bit)) = tracking_bit(fd) {
         word.fetch_or(bit, Ordering::Relaxed);
     }
@@ -63,13 +65,13 @@
 }
 
 /// Whether this process opened the connection of a descriptor.
-pub(crate) fn is_connected_here(fd: c_int) -> bool {
+pub(crate) fn is_outgoing_connection(fd: c_int) -> bool {
     tracking_bit(fd).is_some_and(|(word, bit)| word.load(Ordering::Relaxed) & bit != 0)
 }
 
 /// The word and the bit of a descriptor; `None` if it is not tracked.
 fn tracking_bit(fd: c_int) -> Option<(&'static AtomicU64, u64)> {
     let position = usize::try_from(fd).ok()?;
-    let word = CONNECTED_HERE.get(position / BITS_PER_WORD)?;
+    let word = OUTGOING_CONNECTIONS.get(position / BITS_PER_WORD)?;
     Some((word, 1 << (position % BITS_PER_WORD)))
 }
