--- a/balancer-settings/tests/parsing.rs
+++ b/balancer-settings/tests/parsing.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn error_names_missing_required_key_or_bad_value() {
+fn error_names_missing_required_key_or_invalid_value() {
     let error = |from: &str, to: &str| {
         parse_settings(MINIMAL.replace(from, to).as_bytes())
             .unwrap_err()
--- a/balancer/src/body/response_body.rs
+++ b/balancer/src/body/response_body.rs
@@ -35,14 +35,14 @@
 /// The client has disconnected, or has read nothing for [`BODY_STALL_TIMEOUT`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 #[error("the client does not read the response")]
-pub struct ClientNotReading;
+pub struct ClientNotReceiving;
 
 impl UpstreamBodySender {
     /// Passes a chunk on once there is space in the queue.
-    pub async fn send(&self, chunk: Bytes) -> Result<(), ClientNotReading> {
+    pub async fn send(&self, chunk: Bytes) -> Result<(), ClientNotReceiving> {
         match timeout(BODY_STALL_TIMEOUT, self.chunks.send(chunk)).await {
             Ok(Ok(())) => Ok(()),
-            Ok(Err(_)) | Err(_) => Err(ClientNotReading),
+            Ok(Err(_)) | Err(_) => Err(ClientNotReceiving),
         }
     }
 
--- a/balancer/src/body/time_limited_body/tests.rs
+++ b/balancer/src/body/time_limited_body/tests.rs
@@ -48,7 +48,7 @@
 
 /// The body arrives at 64 kB/s, after a head that took 2 s.
 #[tokio::test(flavor = "local", start_paused = true)]
-async fn reads_a_body_that_arrives_at_the_promised_minimum_rate() {
+async fn reads_a_body_that_arrives_at_64_kb_per_second() {
     let end = read_body(640_000, Duration::from_secs(2), async |client| {
         for _ in 0..40 {
             sleep(Duration::from_millis(250)).await;
--- a/balancer/src/control/driver/tests.rs
+++ b/balancer/src/control/driver/tests.rs
@@ -83,7 +83,7 @@
             .submit(0, 0, 20_000.0, get_request())
             .expect("is submitted");
         tokio::time::sleep(Duration::from_millis(100)).await;
-        listener.admit();
+        listener.empty_queue();
         let connection = tokio::task::spawn_blocking(move || listener.accept())
             .await
             .expect("connects");
--- a/balancer/src/control/driver_state/attempt_lifecycle.rs
+++ b/balancer/src/control/driver_state/attempt_lifecycle.rs
@@ -4,7 +4,7 @@
 use crate::control::attempt_id::AttemptId;
 use crate::control::attempts::Attempt;
 use crate::control::timers::TimerEvent;
-use crate::invariants::never_ran;
+use crate::invariants::is_proven_not_run;
 use crate::outbound::connection_pool::Upstream;
 use crate::outbound::message::{FinalResponse, OutboundRequest};
 use balancer_core::{AttemptOutcome, Event, Millis, RequestId, UpstreamId};
@@ -182,7 +182,7 @@
             duration_ms = duration,
             "attempt ended"
         );
-        let never_ran = never_ran(outcome, self.rejects_after_start);
+        let never_ran = is_proven_not_run(outcome, self.rejects_after_start);
         let request_completed =
             self.record_attempt_end(id.request, attempt.started_at(), never_ran, response);
         self.push_event(Event::AttemptEnded {
--- a/balancer/src/hollow.rs
+++ b/balancer/src/hollow.rs
@@ -109,10 +109,15 @@
 
     /// Submits a request of a class and tenant, given by their positions in the settings. The endpoint that the core
     /// selects serves it at once.
-    pub async fn request(&self, class: usize, tenant: usize, deadline: Duration) -> RequestOutcome {
-        let submitted = self
-            .driver
-            .submit(class, tenant, to_millis(deadline), empty_request());
+    pub async fn request(
+        &self,
+        class: usize,
+        tenant: usize,
+        client_timeout: Duration,
+    ) -> RequestOutcome {
+        let submitted =
+            self.driver
+                .submit(class, tenant, to_millis(client_timeout), empty_request());
         let response = match submitted {
             Ok(response) => response.response().await,
             Err(SubmitError::AtCapacity | SubmitError::DuplicateRequestId) => {
--- a/balancer/src/inbound/client_connection.rs
+++ b/balancer/src/inbound/client_connection.rs
@@ -26,12 +26,12 @@
     /// Notified when the connection is evicted.
     evict: Rc<Notify>,
     /// Whether the client may still be sending a request that had an early response.
-    drains_before_close: Cell<bool>,
+    discards_input_before_close: Cell<bool>,
 }
 
 impl ClientConnection {
     /// Registers a new connection as idle.
-    pub fn register(
+    pub fn new_idle(
         stream: TcpStream,
         idle_connections: &Rc<IdleConnections>,
     ) -> Rc<ClientConnection> {
@@ -41,7 +41,7 @@
             idle_connections: idle_connections.clone(),
             idle_key: Cell::new(None),
             evict: Rc::new(Notify::new()),
-            drains_before_close: Cell::new(false),
+            discards_input_before_close: Cell::new(false),
         });
         connection.mark_idle(ConnectionKind::New);
         connection
@@ -80,13 +80,13 @@
     }
 
     /// Whether the rest of the client's input is read before the connection is closed.
-    pub fn drains_before_close(&self) -> bool {
-        self.drains_before_close.get()
+    pub fn discards_input_before_close(&self) -> bool {
+        self.discards_input_before_close.get()
     }
 
     /// Sets whether the rest of the client's input is read before the connection is closed.
-    pub fn set_drains_before_close(&self, drains: bool) {
-        self.drains_before_close.set(drains);
+    pub fn set_discards_input_before_close(&self, discards: bool) {
+        self.discards_input_before_close.set(discards);
     }
 
     /// Returns once the time limit for the client's next request has passed.
@@ -110,7 +110,7 @@
     }
 
     fn read_timeout(&self) -> Duration {
-        if self.tracker.has_dispatched() && !self.tracker.is_mid_head() {
+        if self.tracker.has_dispatched() && !self.tracker.has_partial_head() {
             CLIENT_IDLE_TIMEOUT
         } else {
             REQUEST_READ_TIMEOUT
--- a/balancer/src/inbound/connection_task.rs
+++ b/balancer/src/inbound/connection_task.rs
@@ -30,8 +30,8 @@
 const RESPONSE_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
 /// After an early response, the rest of the request is read for this long, and up to this size:
 /// closing a socket with unread bytes resets the connection, and the client may lose the response.
-const DRAIN_TIMEOUT: Duration = Duration::from_millis(500);
-const MAX_DRAIN_BYTES: usize = 64 << 20;
+const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
+const MAX_DISCARDED_BYTES: usize = 64 << 20;
 
 type HttpConnection<S> = http1::Connection<TokioIo<TrackedStream>, S>;
 
@@ -43,9 +43,9 @@
 ) {
     serve_requests(&context, &connection).await;
     connection.unmark_idle();
-    if connection.drains_before_close() {
+    if connection.discards_input_before_close() {
         let mut stream = connection.stream().clone();
-        let _ = timeout(DRAIN_TIMEOUT, drain(&mut stream)).await;
+        let _ = timeout(DISCARD_TIMEOUT, discard_input(&mut stream)).await;
     }
 }
 
@@ -89,7 +89,7 @@
             },
             () = sleep(IDLE_BEFORE_CLOSE), if closes_connections => {}
         }
-        if is_evicted && is_within_first_head(connection) {
+        if is_evicted && has_only_partial_first_head(connection) {
             return CloseReason::Evicted;
         }
         if (is_evicted || is_due_to_close(context, connection)) && is_closable(connection) {
@@ -114,9 +114,9 @@
 }
 
 /// Whether only part of the first head has arrived, so that no request is accepted yet.
-fn is_within_first_head(connection: &ClientConnection) -> bool {
+fn has_only_partial_first_head(connection: &ClientConnection) -> bool {
     let tracker = connection.tracker();
-    tracker.is_mid_head() && !tracker.has_dispatched()
+    tracker.has_partial_head() && !tracker.has_dispatched()
 }
 
 /// Whether the connection has been idle for long enough to be closed during shutdown.
@@ -134,7 +134,7 @@
 /// counts as accepted, even if it is unread.
 fn is_closable(connection: &ClientConnection) -> bool {
     connection.is_idle()
-        && !connection.tracker().is_mid_head()
+        && !connection.tracker().has_partial_head()
         && connection.stream().is_open_and_drained()
 }
 
@@ -156,8 +156,8 @@
 }
 
 /// Reads and discards the rest of the client's input.
-async fn drain(stream: &mut SharedStream) {
-    let mut remaining = MAX_DRAIN_BYTES;
+async fn discard_input(stream: &mut SharedStream) {
+    let mut remaining = MAX_DISCARDED_BYTES;
     let mut buffer = vec![0; MAX_HEAD_BYTES];
     while remaining > 0 {
         match stream.read(&mut buffer).await {
--- a/balancer/src/inbound/idle_connections.rs
+++ b/balancer/src/inbound/idle_connections.rs
@@ -14,7 +14,7 @@
 const MIN_NEW_CONNECTION_GRACE: Duration = Duration::from_millis(5);
 /// A used connection that has been idle for this long is evicted before new ones that are still in
 /// their grace period.
-const IDLE_EVICTION_AGE: Duration = Duration::from_secs(2);
+const USED_CONNECTION_EVICTION_AGE: Duration = Duration::from_secs(2);
 
 /// Whether a connection has carried a request. New connections sort first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -135,7 +135,7 @@
     }
     let is_used_evictable = used
         .oldest_age
-        .is_some_and(|age| age >= IDLE_EVICTION_AGE || used.count > new.count);
+        .is_some_and(|age| age >= USED_CONNECTION_EVICTION_AGE || used.count > new.count);
     if is_used_evictable {
         return Some(ConnectionKind::Used);
     }
--- a/balancer/src/inbound/idle_connections/tests.rs
+++ b/balancer/src/inbound/idle_connections/tests.rs
@@ -4,7 +4,7 @@
 /// Guards against a growing accept queue: while used connections are the larger group, one of them
 /// is evicted at once, without waiting for the grace period of a new connection to end.
 #[test]
-fn evicts_from_the_larger_group_while_new_connections_are_in_their_grace() {
+fn selects_kind_to_evict_by_idle_times_and_group_sizes() {
     const NEW: Option<ConnectionKind> = Some(ConnectionKind::New);
     const USED: Option<ConnectionKind> = Some(ConnectionKind::Used);
     let ms = |ms| Some(Duration::from_millis(ms));
--- a/balancer/src/inbound/request_handler.rs
+++ b/balancer/src/inbound/request_handler.rs
@@ -82,7 +82,7 @@
 }
 
 /// A response, and what it means for its connection.
-struct Reply {
+struct RoutedResponse {
     response: Response,
     /// Whether the connection closes with the response.
     closes_connection: bool,
@@ -90,9 +90,9 @@
     has_unread_body: bool,
 }
 
-impl From<Response> for Reply {
-    fn from(response: Response) -> Reply {
-        Reply {
+impl From<Response> for RoutedResponse {
+    fn from(response: Response) -> RoutedResponse {
+        RoutedResponse {
             response,
             closes_connection: false,
             has_unread_body: false,
@@ -109,8 +109,8 @@
     let connection = active.connection().clone();
     // The request may have waited behind another one on its connection, or in the listener's queue.
     let queued_for = connection.tracker().record_dispatch().elapsed();
-    let reply = route(context, request, active, queued_for).await;
-    finish_reply(context, &connection, reply)
+    let routed = route(context, request, active, queued_for).await;
+    finish_response(context, &connection, routed)
 }
 
 async fn route(
@@ -118,31 +118,31 @@
     request: Request<Incoming>,
     active: ActiveRequestGuard,
     queued_for: Duration,
-) -> Reply {
+) -> RoutedResponse {
     // Guards against request smuggling: no further request is read from the connection after a head
     // with ambiguous framing, nor after a chunked body, whose end the tracker does not determine.
     if active.connection().tracker().is_framing_ambiguous() {
         let text = AmbiguousFraming.to_string();
-        return Reply {
+        return RoutedResponse {
             response: input_error_response(StatusCode::BAD_REQUEST, &text),
             closes_connection: true,
             has_unread_body: false,
         };
     }
     let is_chunked = request.headers().contains_key(header::TRANSFER_ENCODING);
-    let mut reply = match request.uri().path() {
-        READY_PATH => empty_response(readiness(context)).into(),
+    let mut routed = match request.uri().path() {
+        READY_PATH => empty_response(readiness_status(context)).into(),
         path if path == SERVICE_PATH || path.starts_with(SERVICE_PREFIX) => {
             serve(context, request, active, queued_for).await
         }
         _ => empty_response(StatusCode::NOT_FOUND).into(),
     };
-    reply.closes_connection |= is_chunked;
-    reply
+    routed.closes_connection |= is_chunked;
+    routed
 }
 
 /// Whether this process can serve. After a handoff it stays ready on behalf of its successor.
-fn readiness(context: &ServerContext) -> StatusCode {
+fn readiness_status(context: &ServerContext) -> StatusCode {
     let is_serving = matches!(*context.phase.borrow(), Phase::Serving | Phase::HandedOff);
     if context.driver.has_endpoints() && is_serving {
         StatusCode::OK
@@ -157,7 +157,7 @@
     request: Request<Incoming>,
     active: ActiveRequestGuard,
     queued_for: Duration,
-) -> Reply {
+) -> RoutedResponse {
     let connection = active.connection().clone();
     let submitted = match submit(context, request, &connection, queued_for).await {
         Ok(submitted) => submitted,
@@ -169,7 +169,7 @@
         response = submitted.response.response() => Some(response),
         () = connection.stream().wait_for_disconnect() => None,
     };
-    Reply {
+    RoutedResponse {
         has_unread_body: submitted.upload.is_some_and(|upload| !upload.is_complete()),
         closes_connection: final_response.is_none(),
         response: response_to_client(final_response, submitted.in_flight, active),
@@ -190,17 +190,21 @@
 }
 
 /// Adds `Connection: close` if the connection ends with this response.
-fn finish_reply(context: &ServerContext, connection: &ClientConnection, reply: Reply) -> Response {
-    let mut response = reply.response;
-    let drains_before_close = response.status().is_client_error() || reply.has_unread_body;
-    connection.set_drains_before_close(drains_before_close);
+fn finish_response(
+    context: &ServerContext,
+    connection: &ClientConnection,
+    routed: RoutedResponse,
+) -> Response {
+    let mut response = routed.response;
+    let discards_input_before_close = response.status().is_client_error() || routed.has_unread_body;
+    connection.set_discards_input_before_close(discards_input_before_close);
     // During shutdown, requests that are pipelined behind this one are still served.
     let stream = connection.stream();
     let ends_now = context.closes_connections()
         && !connection.tracker().has_pending_input()
         && stream.is_open_and_drained();
     let ends_connection = ends_now || stream.peer_disconnected();
-    if drains_before_close || reply.closes_connection || ends_connection {
+    if discards_input_before_close || routed.closes_connection || ends_connection {
         response
             .headers_mut()
             .insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/balancer/src/inbound/request_head.rs
+++ b/balancer/src/inbound/request_head.rs
@@ -32,7 +32,7 @@
 pub enum HeadError {
     /// A header is absent, occurs more than once, or is not text.
     #[error("the {0} header is missing, repeated or not text")]
-    Missing(&'static str),
+    NotSingleValue(&'static str),
     /// A header's value is malformed.
     #[error("the {0} header has an invalid value")]
     Malformed(&'static str),
@@ -99,9 +99,9 @@
 fn single_value<'a>(headers: &'a HeaderMap, name: &'static str) -> Result<&'a str, HeadError> {
     let mut values = headers.get_all(name).iter();
     let (Some(value), None) = (values.next(), values.next()) else {
-        return Err(HeadError::Missing(name));
+        return Err(HeadError::NotSingleValue(name));
     };
-    value.to_str().map_err(|_| HeadError::Missing(name))
+    value.to_str().map_err(|_| HeadError::NotSingleValue(name))
 }
 
 /// The position of a header's value in a list of the settings.
--- a/balancer/src/inbound/request_tracker.rs
+++ b/balancer/src/inbound/request_tracker.rs
@@ -18,7 +18,7 @@
     /// How many of these requests hyper has dispatched to the service.
     requests_dispatched: Cell<u64>,
     /// Whether part of a head has been read.
-    mid_head: Cell<bool>,
+    has_partial_head: Cell<bool>,
     /// When the heads arrived that are not yet dispatched.
     arrivals: RefCell<VecDeque<Instant>>,
     /// Since when the balancer has waited for the client: the start of the connection, the first
@@ -34,7 +34,7 @@
         Rc::new(RequestTracker {
             requests_read: Cell::new(0),
             requests_dispatched: Cell::new(0),
-            mid_head: Cell::new(false),
+            has_partial_head: Cell::new(false),
             arrivals: RefCell::default(),
             waiting_since: Cell::new(Instant::now()),
             ambiguous_request: Cell::new(None),
@@ -58,8 +58,8 @@
     }
 
     /// Whether part of a head has been read.
-    pub fn is_mid_head(&self) -> bool {
-        self.mid_head.get()
+    pub fn has_partial_head(&self) -> bool {
+        self.has_partial_head.get()
     }
 
     /// Whether complete requests have been read that are not yet dispatched.
@@ -69,7 +69,7 @@
 
     /// Whether input has been read that is not yet dispatched.
     pub fn has_pending_input(&self) -> bool {
-        self.is_mid_head() || self.has_undispatched_request()
+        self.has_partial_head() || self.has_undispatched_request()
     }
 
     /// Whether the framing of the last dispatched request is ambiguous.
@@ -152,7 +152,7 @@
                 Position::Head => bytes = self.track_head(bytes, arrival),
             }
         }
-        self.tracker.mid_head.set(!self.head.is_empty());
+        self.tracker.has_partial_head.set(!self.head.is_empty());
     }
 
     /// Skips the body's bytes and returns the rest.
--- a/balancer/src/inbound/server.rs
+++ b/balancer/src/inbound/server.rs
@@ -141,7 +141,7 @@
         let Some(permit) = acquire_permit(self.context).await else {
             return ControlFlow::Break(());
         };
-        let arrived_at = arrival_time(accepted_at, self.queue_delay);
+        let arrived_at = earliest_arrival_time(accepted_at, self.queue_delay);
         self.queue_delay += accepted_at.elapsed();
         spawn_connection(self.context, stream, permit, arrived_at);
         ControlFlow::Continue(())
@@ -167,7 +167,7 @@
         let Some(permit) = acquire_permit(context).await else {
             continue;
         };
-        let arrived_at = arrival_time(Instant::now(), queue_delay);
+        let arrived_at = earliest_arrival_time(Instant::now(), queue_delay);
         spawn_connection(context, stream, permit, arrived_at);
     }
 }
@@ -187,7 +187,7 @@
 }
 
 /// Earliest time at which a connection may have arrived in the listener's queue.
-fn arrival_time(accepted_at: Instant, queue_delay: Duration) -> Instant {
+fn earliest_arrival_time(accepted_at: Instant, queue_delay: Duration) -> Instant {
     accepted_at.checked_sub(queue_delay).unwrap_or(accepted_at)
 }
 
@@ -248,7 +248,7 @@
     permit: ConnectionPermit,
     arrived_at: Instant,
 ) {
-    let connection = ClientConnection::register(stream, &context.idle_connections);
+    let connection = ClientConnection::new_idle(stream, &context.idle_connections);
     connection.stream().record_unread(arrived_at);
     tokio::task::spawn_local(serve_connection(context, connection, permit));
 }
--- a/balancer/src/invariants.rs
+++ b/balancer/src/invariants.rs
@@ -94,7 +94,7 @@
 }
 
 /// Whether the end of an attempt proves that it has not run.
-pub fn never_ran(outcome: AttemptOutcome, rejects_after_start: bool) -> bool {
+pub fn is_proven_not_run(outcome: AttemptOutcome, rejects_after_start: bool) -> bool {
     outcome.never_ran() && !(outcome == AttemptOutcome::Rejected && rejects_after_start)
 }
 
@@ -177,8 +177,8 @@
     }
 
     /// Records that the balancer closed a client's connection before responding to a request on it.
-    pub fn closed_unanswered(&self, request: &str) {
-        self.record_violation(Rule::ClosedUnanswered, request);
+    pub fn closed_unanswered(&self, close_reason: &str) {
+        self.record_violation(Rule::ClosedUnanswered, close_reason);
     }
 
     fn record_violation(&self, rule: Rule, request: &str) {
--- a/balancer/src/invariants/tests.rs
+++ b/balancer/src/invariants/tests.rs
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn only_rejection_before_start_proves_that_request_did_not_run() {
+fn determines_whether_outcome_proves_that_request_did_not_run() {
     for (outcome, rejects_after_start, never_ran_expected) in [
         (AttemptOutcome::Rejected, false, true),
         (AttemptOutcome::Rejected, true, false),
@@ -83,7 +83,7 @@
         (AttemptOutcome::Cancelled, false, false),
     ] {
         assert_eq!(
-            never_ran(outcome, rejects_after_start),
+            is_proven_not_run(outcome, rejects_after_start),
             never_ran_expected,
             "{outcome:?}"
         );
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -13,7 +13,7 @@
 //! | `outbound` | endpoints, connections to upstreams, attempts |
 //! | `discovery` | the discovery client and endpoint lists |
 //! | `invariants` | the guard that checks what must always hold, before an attempt starts, is written or is answered |
-//! | `phase`, `clock`, `time`, `contained_panic` | the phase of the process; time; waiting; panics of the runtime |
+//! | `phase`, `clock`, `time`, `harmless_panic` | the phase of the process; time; waiting; panics of the runtime |
 //! | `body`, `net`, `telemetry` | bodies; sockets and descriptors; metrics and log events |
 //!
 //! Imports go one way: `process`, `inbound` and `admin` use `control`, which uses `outbound` and `discovery`; all of them
@@ -36,8 +36,8 @@
 mod admin;
 mod body;
 mod clock;
-mod contained_panic;
 mod control;
+mod harmless_panic;
 mod inbound;
 mod invariants;
 mod net;
--- a/balancer/src/net/watched_descriptor.rs
+++ b/balancer/src/net/watched_descriptor.rs
@@ -1,5 +1,5 @@
 //! A file descriptor that the event loop watches for readiness.
-use crate::contained_panic::contain;
+use crate::harmless_panic::catch_harmless_panic;
 use crate::net::socket_io::retry_interrupted;
 use std::future::{poll_fn, Future};
 use std::io;
@@ -22,7 +22,7 @@
     /// not be woken, as it runs on this thread.
     fn drop(&mut self) {
         let watched = self.watched.take();
-        let _ = contain(|| drop(watched));
+        let _ = catch_harmless_panic(|| drop(watched));
     }
 }
 
--- a/balancer/src/outbound/connector/tests.rs
+++ b/balancer/src/outbound/connector/tests.rs
@@ -39,7 +39,7 @@
             matches!(first, Err(AttemptOutcome::ConnectFailed)),
             "it does not open in time"
         );
-        listener.admit();
+        listener.empty_queue();
         sleep(RETRANSMISSION_TIME).await;
         let second = connector.connect(&upstream, far_deadline()).await;
         assert!(
@@ -65,7 +65,7 @@
             )
         };
         sleep(Duration::from_millis(100)).await;
-        listener.admit();
+        listener.empty_queue();
         let Ok(busy) = connector.connect(&upstream, far_deadline()).await else {
             panic!("another attempt connects at once");
         };
@@ -93,7 +93,7 @@
         let upstream = Upstream::new(listener.address());
         assert!(connector.connect(&upstream, far_deadline()).await.is_err());
         upstream.mark_replaced();
-        listener.admit();
+        listener.empty_queue();
         sleep(RETRANSMISSION_TIME).await;
         assert!(matches!(
             upstream.take_idle(LONG_TIMEOUT),
@@ -116,7 +116,7 @@
                 async move { connector.connect(&upstream, far_deadline()).await },
             );
         sleep(Duration::from_millis(50)).await;
-        listener.admit();
+        listener.empty_queue();
         let connected = dialling.await.expect("runs");
         assert!(matches!(origin_of(connected), Ok(ConnectionOrigin::New)));
     };
--- a/balancer/src/process/config/tests.rs
+++ b/balancer/src/process/config/tests.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn names_field_that_is_wrong() {
+fn error_names_the_field_that_is_wrong() {
     let error = |from: &str, to: &str| {
         Config::parse(VALID_CONFIG.replace(from, to).as_bytes())
             .err()
--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -6,10 +6,10 @@
 };
 use crate::admin::server::{self, AdminOptions, AdminServer};
 use crate::clock::{from_millis, Clock};
-use crate::contained_panic;
 use crate::control::control_plane::{ControlPlane, ControlPlaneOptions};
 use crate::control::driver::DriverHandle;
 use crate::discovery::endpoints::EndpointUpdate;
+use crate::harmless_panic;
 use crate::inbound::server::Server;
 use crate::invariants::Guard;
 use crate::net::descriptor_budget::DescriptorBudget;
@@ -50,7 +50,7 @@
 
 /// Runs the balancer until a signal shuts it down.
 pub fn main() -> ExitCode {
-    contained_panic::install_hook();
+    harmless_panic::install_hook();
     let Err(error) = run_on_one_thread() else {
         return ExitCode::SUCCESS;
     };
@@ -182,7 +182,7 @@
         self.driver
             .limit_deadlines(shutdown.schedule.fail_pending_after);
         shutdown
-            .close_connections(self.coordinator.as_deref(), &self.context.phase)
+            .advance_to_closing(self.coordinator.as_deref(), &self.context.phase)
             .await;
         shutdown.wait_for_clients(&self.driver, self.server).await;
     }
--- a/balancer/src/process/runtime.rs
+++ b/balancer/src/process/runtime.rs
@@ -3,7 +3,7 @@
 //! It has one thread, and nothing wakes its event loop from outside: the write that would do so
 //! ends the process if it fails. Instead, timers and signals have descriptors of their own, which
 //! the event loop watches.
-use crate::contained_panic::contain;
+use crate::harmless_panic::catch_harmless_panic;
 use crate::net::retry_io::retry_io_blocking;
 use crate::time::timer_service::TimerService;
 use std::io;
@@ -26,5 +26,5 @@
             .enable_io()
             .build_local(LocalOptions::default())
     };
-    contain(build).unwrap_or_else(|| Err(io::Error::other("its builder panicked")))
+    catch_harmless_panic(build).unwrap_or_else(|| Err(io::Error::other("its builder panicked")))
 }
--- a/balancer/src/process/shutdown.rs
+++ b/balancer/src/process/shutdown.rs
@@ -28,7 +28,7 @@
 impl Shutdown<'_> {
     /// Takes the process through the phases of its shutdown, until it closes connections. If another process of this
     /// balancer has started to serve, hands off to it at once.
-    pub async fn close_connections(
+    pub async fn advance_to_closing(
         &self,
         coordinator: Option<&ProcessCoordinator>,
         phase: &watch::Sender<Phase>,
--- a/balancer/src/test_support.rs
+++ b/balancer/src/test_support.rs
@@ -54,7 +54,7 @@
 
     /// Empties the queue: from now on connections open, and those whose attempts were dropped open
     /// with the retransmission.
-    pub fn admit(&mut self) {
+    pub fn empty_queue(&mut self) {
         for _ in 0..std::mem::take(&mut self.queued) {
             self.listener.accept().expect("accepts");
         }
--- a/balancer/src/time/timer_service.rs
+++ b/balancer/src/time/timer_service.rs
@@ -25,7 +25,7 @@
     queue: RefCell<TimerQueue>,
     descriptor: WatchedDescriptor<TimerFd>,
     /// When the descriptor expires next.
-    armed_at: Cell<Option<Instant>>,
+    expires_at: Cell<Option<Instant>>,
     /// Notified when arming the descriptor failed.
     arming_failed: Notify,
 }
@@ -45,7 +45,7 @@
         let service = Rc::new(TimerService {
             queue: RefCell::default(),
             descriptor,
-            armed_at: Cell::new(None),
+            expires_at: Cell::new(None),
             arming_failed: Notify::new(),
         });
         INSTALLED.set(Some(service.clone()));
@@ -57,9 +57,9 @@
     pub fn insert(&self, deadline: Instant, waker: Waker) -> TimerKey {
         let key = self.queue.borrow_mut().insert(deadline, waker);
         if self
-            .armed_at
+            .expires_at
             .get()
-            .is_none_or(|armed_at| deadline < armed_at)
+            .is_none_or(|expires_at| deadline < expires_at)
         {
             self.arm(deadline);
         }
@@ -91,7 +91,7 @@
     }
 
     fn fire_due(&self) {
-        self.armed_at.set(None);
+        self.expires_at.set(None);
         let now = Instant::now();
         loop {
             let due = self.queue.borrow_mut().pop_due(now);
@@ -116,9 +116,9 @@
             Ok(timer.set(expiration, TimerSetTimeFlags::empty())?)
         });
         match armed {
-            Ok(()) => self.armed_at.set(Some(deadline)),
+            Ok(()) => self.expires_at.set(Some(deadline)),
             Err(_) => {
-                self.armed_at.set(None);
+                self.expires_at.set(None);
                 self.arming_failed.notify_one();
             }
         }
--- a/simulator-adapter/src/host.rs
+++ b/simulator-adapter/src/host.rs
@@ -86,8 +86,8 @@
             Record::EndpointTable { number, endpoints } => {
                 self.tables.insert(number, endpoints);
             }
-            Record::EndpointUpdate { kind, table } => {
-                let event = wire::endpoint_event(kind, self.tables.get(&table))
+            Record::EndpointUpdate { update_code, table } => {
+                let event = wire::endpoint_event(update_code, self.tables.get(&table))
                     .map_err(|source| HostError::EndpointUpdate { table, source })?;
                 self.handle_event(instance?, now, Event::Endpoints(event));
             }
--- a/simulator-adapter/src/wire/endpoints.rs
+++ b/simulator-adapter/src/wire/endpoints.rs
@@ -21,7 +21,7 @@
 }
 
 /// Codes for the kinds of endpoint update.
-mod update_kind {
+mod update_code {
     pub(super) const SNAPSHOT: u8 = 0;
     pub(super) const DISCOVERY_FAILED: u8 = 1;
     pub(super) const DELTA: u8 = 2;
@@ -33,7 +33,7 @@
 pub enum EndpointUpdateError {
     /// No kind of update has this code.
     #[error("unknown kind of update {0}")]
-    UnknownKind(u8),
+    UnknownUpdate(u8),
     /// The update refers to a table that the simulator has not sent.
     #[error("no table with this number was received")]
     UnknownTable,
@@ -71,15 +71,15 @@
 /// Returns the event for an endpoint update of this kind, with the endpoints of `table`. The report of a failed call to
 /// discovery needs no table.
 pub fn endpoint_event(
-    kind: u8,
+    code: u8,
     table: Option<&EndpointTable>,
 ) -> Result<EndpointEvent, EndpointUpdateError> {
     let endpoints = || table.cloned().ok_or(EndpointUpdateError::UnknownTable);
-    match kind {
-        update_kind::SNAPSHOT => Ok(EndpointEvent::Snapshot(endpoints()?)),
-        update_kind::DISCOVERY_FAILED => Ok(EndpointEvent::DiscoveryFailed),
-        update_kind::DELTA => Ok(EndpointEvent::Delta(endpoints()?)),
-        update_kind::CACHED_SNAPSHOT => Ok(EndpointEvent::CachedSnapshot(endpoints()?)),
-        other => Err(EndpointUpdateError::UnknownKind(other)),
+    match code {
+        update_code::SNAPSHOT => Ok(EndpointEvent::Snapshot(endpoints()?)),
+        update_code::DISCOVERY_FAILED => Ok(EndpointEvent::DiscoveryFailed),
+        update_code::DELTA => Ok(EndpointEvent::Delta(endpoints()?)),
+        update_code::CACHED_SNAPSHOT => Ok(EndpointEvent::CachedSnapshot(endpoints()?)),
+        other => Err(EndpointUpdateError::UnknownUpdate(other)),
     }
 }
--- a/simulator-adapter/src/wire/error.rs
+++ b/simulator-adapter/src/wire/error.rs
@@ -66,7 +66,7 @@
     },
     /// The time of the batch is infinite or not a number.
     #[error("the time of the batch is not a finite number: {0}")]
-    ClockNotFinite(f64),
+    TimeNotFinite(f64),
 }
 
 /// Why a record is rejected.
--- a/simulator-adapter/src/wire/frame.rs
+++ b/simulator-adapter/src/wire/frame.rs
@@ -118,7 +118,7 @@
         }
         let now = fields.f64();
         if !now.is_finite() {
-            return Err(HeaderError::ClockNotFinite(now));
+            return Err(HeaderError::TimeNotFinite(now));
         }
         Ok(Header {
             record_count: count,
--- a/simulator-adapter/src/wire/record.rs
+++ b/simulator-adapter/src/wire/record.rs
@@ -64,7 +64,7 @@
     /// An instance's endpoint list changed, or a call to discovery failed.
     EndpointUpdate {
         /// Code of what happened, see [`crate::wire::endpoint_event`].
-        kind: u8,
+        update_code: u8,
         /// The number of the table with the endpoints.
         table: u32,
     },
@@ -97,10 +97,10 @@
 }
 
 fn decode_endpoint_update(mut fields: FieldReader<'_>) -> Record {
-    let kind = fields.u8();
+    let update_code = fields.u8();
     fields.skip(LIST_VERSION_BYTES);
     let table = fields.u32();
-    Record::EndpointUpdate { kind, table }
+    Record::EndpointUpdate { update_code, table }
 }
 
 fn decode_start_instance(mut fields: FieldReader<'_>, tail: &[u8]) -> Result<Record, RecordError> {
--- a/simulator-adapter/src/wire/tests.rs
+++ b/simulator-adapter/src/wire/tests.rs
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn encodes_every_other_action_at_its_documented_bytes() {
+fn encodes_every_other_action_as_documented() {
     let request = RequestId(0x5d3a_91c4);
     let cases = [
         (
@@ -213,7 +213,7 @@
 }
 
 #[test]
-fn undocumented_outcome_counts_as_possibly_executed() {
+fn undocumented_outcome_does_not_prove_that_request_did_not_run() {
     assert_eq!(decode_outcome(777), AttemptOutcome::Unknown);
     assert!(!decode_outcome(777).never_ran());
 }
