--- a/balancer-settings/src/document.rs
+++ b/balancer-settings/src/document.rs
@@ -9,7 +9,7 @@
 //!   `over_share_worth`;
 //! - in `classes[]`: `aim_stretch`, `importance`, `streaming`;
 //! - in `charges`: everything except `cross_zone`;
-//! - in `invariants`: `grace_to_answer`; the core ends a request and responds well within it;
+//! - in `invariants`: `grace_to_answer`; the core ends each request well within that time;
 //! - in `permissions`: the keys for health checks, gossip and hedged requests, and the limits on CPU and connections.
 use crate::error::SettingsParseError;
 use balancer_core::Settings;
--- a/balancer-settings/src/error.rs
+++ b/balancer-settings/src/error.rs
@@ -33,7 +33,7 @@
         key: &'static str,
     },
     /// The core rejected a setting.
-    #[error("setting {} must be {}", documented_name(.0.field), .0.requirement)]
+    #[error("{} must be {}", documented_name(.0.field), .0.requirement)]
     Rejected(#[source] SettingsError),
 }
 
--- a/balancer-settings/src/lib.rs
+++ b/balancer-settings/src/lib.rs
@@ -29,7 +29,7 @@
     pub kinds: Vec<String>,
     /// An attempt to connect that takes longer than this counts as refused.
     pub connect_timeout: Duration,
-    /// Nothing may be sent to a draining endpoint later than this after the update that reported it.
+    /// Nothing may be sent to a draining endpoint later than this after the update that reported that it drains.
     pub drain_grace: Duration,
     /// Maximum number of requests in flight at one instance.
     pub max_requests_in_flight: u64,
--- a/balancer-settings/tests/parsing.rs
+++ b/balancer-settings/tests/parsing.rs
@@ -87,7 +87,7 @@
         (
             "\"cold_from\": 0.2",
             "\"cold_from\": 2",
-            "setting cold_from must be between 0 and 1",
+            "cold_from must be between 0 and 1",
         ),
     ];
     for (from, to, text) in cases {
--- a/balancer/src/body/body_error.rs
+++ b/balancer/src/body/body_error.rs
@@ -5,13 +5,13 @@
 /// What is wrong with a client's request body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum BodyError {
-    /// The client sent it too slowly.
+    /// The client sent the body too slowly.
     #[error("the request body did not arrive in time")]
     TimedOut,
-    /// It ended early, or is malformed.
+    /// The body ended early, or is malformed.
     #[error("the request body is incomplete or malformed")]
     Malformed,
-    /// It exceeds the largest body size.
+    /// The body exceeds [`MAX_BODY_BYTES`](crate::body::limits::MAX_BODY_BYTES).
     #[error("the request body is too large")]
     TooLarge,
 }
--- a/balancer/src/body/request_body.rs
+++ b/balancer/src/body/request_body.rs
@@ -22,7 +22,8 @@
 }
 
 impl RequestBody {
-    /// Returns once no attempt has read available data for [`BODY_STALL_TIMEOUT`].
+    /// Waits until no attempt has read available data for [`BODY_STALL_TIMEOUT`]. A buffered body
+    /// never stalls.
     ///
     /// [`BODY_STALL_TIMEOUT`]: crate::body::limits::BODY_STALL_TIMEOUT
     pub async fn stalled(&self) {
@@ -44,7 +45,8 @@
 /// A request's body as one attempt writes it.
 pub struct AttemptBody {
     unsent: UnsentBody,
-    /// Delays the body until its connection is known to be open.
+    /// Delays the body on a reused connection: if the upstream has closed the connection, that is
+    /// noticed within the delay, before any of the body is sent.
     delay: Option<Pin<Box<Sleep>>>,
     write_progress: Rc<Cell<WriteProgress>>,
 }
--- a/balancer/src/body/response_body.rs
+++ b/balancer/src/body/response_body.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 use tokio::sync::mpsc;
 
-/// Most chunks of a response that are queued between its upstream and its client.
+/// Largest number of chunks of a response that are queued between its upstream and its client.
 const MAX_QUEUED_CHUNKS: usize = 2;
 
 /// The large body of a response, as it arrives from the upstream.
@@ -25,8 +25,8 @@
     is_complete: Rc<Cell<bool>>,
 }
 
-/// Passes the chunks of a response on to its [`UpstreamBodyStream`]. The response is truncated if this
-/// is dropped before [`UpstreamBodySender::finish`].
+/// Passes the chunks of a response on to its [`UpstreamBodyStream`]. The response is truncated if
+/// this is dropped before [`UpstreamBodySender::finish`].
 pub struct UpstreamBodySender {
     chunks: mpsc::Sender<Bytes>,
     is_complete: Rc<Cell<bool>>,
@@ -34,7 +34,7 @@
 
 /// The client has disconnected, or has read nothing for [`BODY_STALL_TIMEOUT`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("the client does not read the response")]
+#[error("the client has disconnected or does not read the response")]
 pub struct ClientNotReceiving;
 
 impl UpstreamBodySender {
@@ -105,7 +105,7 @@
         match self {
             UpstreamResponseBody::Buffered(body) => write!(f, "{} bytes", body.len()),
             UpstreamResponseBody::Streamed(stream) => {
-                write!(f, "{:?} bytes to come", stream.remaining)
+                write!(f, "streamed body, remaining bytes: {:?}", stream.remaining)
             }
         }
     }
@@ -115,11 +115,12 @@
 pub enum ClientResponseBody<G> {
     /// The complete body.
     Buffered(Full<Bytes>),
-    /// A body that is still arriving. Its request ends with it.
+    /// A body that is still arriving. The request ends when the body ends.
     Streamed(StreamedClientBody<G>),
 }
 
-/// A response body that is relayed, and what is released at its end.
+/// A response body that is relayed to the client, with the request and the guard that are dropped
+/// together with it.
 pub struct StreamedClientBody<G> {
     stream: UpstreamBodyStream,
     request: InFlightRequest,
--- a/balancer/src/body/time_limited_body.rs
+++ b/balancer/src/body/time_limited_body.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Longest time spent waiting for the client in one request, without the allowance for its body's
-/// size.
+/// Longest time spent waiting for the client to send one request, not counting the time that
+/// [`MIN_BODY_BYTES_PER_SECOND`] allows for its body.
 pub const REQUEST_READ_TIMEOUT: Duration = Duration::from_millis(2500);
-/// Bytes received extend the time limit at this rate: half of the rate that clients are promised,
-/// 64 kB/s.
+/// Each byte received extends the time limit by the time that it takes at this rate, which is half
+/// of the 64 kB/s at which clients are promised not to time out.
 const MIN_BODY_BYTES_PER_SECOND: f64 = 32_000.0;
 
 /// A client's request body that counts the time spent waiting for the client.
--- a/balancer/src/body/time_limited_body/tests.rs
+++ b/balancer/src/body/time_limited_body/tests.rs
@@ -70,7 +70,8 @@
         "{:?}",
         start.elapsed()
     );
-    // Bytes that arrive at once extend the limit only by the time for their size.
+    // 640 bytes extend the limit by only 20 ms, at 32 000 bytes per second, even though they arrive
+    // at once.
     let start = Instant::now();
     let end = read_body(1000, Duration::from_secs(1), async |client| {
         client.write_all(&[0; 640]).await.expect("is sent");
--- a/balancer/src/body/upload.rs
+++ b/balancer/src/body/upload.rs
@@ -22,8 +22,8 @@
     fn buffer_released(&self);
 }
 
-/// A large request body. Its start stays buffered for further attempts until more has arrived than
-/// is buffered.
+/// A large request body. All that has arrived stays buffered for further attempts, until that is
+/// more than [`MAX_BUFFERED_BODY_BYTES`]; then the buffer is released.
 pub struct Upload {
     state: RefCell<UploadState>,
     /// Total length, if the client stated it.
--- a/balancer/src/harmless_panic.rs
+++ b/balancer/src/harmless_panic.rs
@@ -1,13 +1,14 @@
-//! Contains panics of the runtime that do no harm.
+//! Catches panics of the runtime that do no harm, and keeps them out of the log.
 use std::cell::Cell;
 use std::panic::{catch_unwind, set_hook, take_hook, AssertUnwindSafe};
 
 thread_local! {
-    /// Whether a panic on this thread is contained.
+    /// Whether panics on this thread are caught and not reported.
     static CATCHES_PANICS: Cell<bool> = const { Cell::new(false) };
 }
 
-/// Installs a panic hook that reports no panic within [`catch_harmless_panic`], and all others as before.
+/// Installs a panic hook that reports no panic within [`catch_harmless_panic`], and all others as
+/// before.
 pub fn install_hook() {
     let report = take_hook();
     set_hook(Box::new(move |panic| {
@@ -17,7 +18,8 @@
     }));
 }
 
-/// Calls a function whose panic does no harm. Returns `None` if it panicked.
+/// Calls a function and catches its panic, which is not reported. Only for functions whose panic
+/// does no harm. Returns `None` if the function panicked.
 pub fn catch_harmless_panic<T>(call: impl FnOnce() -> T) -> Option<T> {
     let caught_before = CATCHES_PANICS.replace(true);
     let result = catch_unwind(AssertUnwindSafe(call));
--- a/balancer/src/harmless_panic/tests.rs
+++ b/balancer/src/harmless_panic/tests.rs
@@ -1,4 +1,4 @@
-//! Results and panics of contained calls.
+//! Results and panics of calls whose panics are caught.
 use super::*;
 
 #[test]
--- a/balancer/src/hollow.rs
+++ b/balancer/src/hollow.rs
@@ -40,7 +40,7 @@
     pub log: LogOutput,
 }
 
-/// An endpoint update that a balancer has put in force.
+/// An endpoint update that a balancer has applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AppliedUpdate {
     /// The version that discovery gave it.
@@ -49,7 +49,7 @@
     pub full: bool,
     /// How many endpoints it held.
     pub endpoints: usize,
-    /// When it was in force, that is, the core and the endpoint state had applied it.
+    /// When the core and the endpoint state had applied the update.
     pub applied_at: SystemTime,
 }
 
@@ -62,8 +62,8 @@
 }
 
 impl HollowBalancer {
-    /// Starts a balancer, which connects to discovery at once. It calls `on_update` for each update once the update is in
-    /// force, but not for the cached snapshot. Fails if the settings are invalid.
+    /// Starts a balancer, which connects to discovery at once. It calls `on_update` for each update once the update is
+    /// applied, but not for the cached snapshot. Fails if the settings are invalid.
     ///
     /// # Panics
     ///
@@ -142,7 +142,7 @@
     }
 }
 
-/// Passes updates to the driver and reports those that are in force.
+/// Passes updates to the driver and reports each after it is applied.
 struct ObservedConsumer<F> {
     driver: DriverHandle,
     on_update: F,
--- a/balancer/src/inbound/client_connection.rs
+++ b/balancer/src/inbound/client_connection.rs
@@ -25,12 +25,14 @@
     idle_key: Cell<Option<IdleKey>>,
     /// Notified when the connection is evicted.
     evict: Rc<Notify>,
-    /// Whether the client may still be sending a request that had an early response.
+    /// Whether the rest of the client's input is read and discarded before the connection is
+    /// closed: the client may still be sending a request that was answered before all of it was
+    /// read.
     discards_input_before_close: Cell<bool>,
 }
 
 impl ClientConnection {
-    /// Registers a new connection as idle.
+    /// A new connection. It counts as idle until its first request.
     pub fn new_idle(
         stream: TcpStream,
         idle_connections: &Rc<IdleConnections>,
@@ -79,12 +81,14 @@
         self.evict.notified().await;
     }
 
-    /// Whether the rest of the client's input is read before the connection is closed.
+    /// Whether the rest of the client's input is read and discarded before the connection is
+    /// closed.
     pub fn discards_input_before_close(&self) -> bool {
         self.discards_input_before_close.get()
     }
 
-    /// Sets whether the rest of the client's input is read before the connection is closed.
+    /// Sets whether the rest of the client's input is read and discarded before the connection is
+    /// closed.
     pub fn set_discards_input_before_close(&self, discards: bool) {
         self.discards_input_before_close.set(discards);
     }
--- a/balancer/src/inbound/connection_task.rs
+++ b/balancer/src/inbound/connection_task.rs
@@ -19,18 +19,22 @@
 use std::time::Duration;
 use tokio::io::AsyncReadExt;
 
-/// During shutdown, a connection that has been idle for this long is closed. This is also the
-/// interval between two checks. If it has been idle for less, the next request may be on its way;
-/// then the connection closes with the response to that request.
+/// While connections are being closed (see [`Phase::closes_connections`]), one that has been idle
+/// for this long is closed. If it has been idle for less, its next request may be on the way; then
+/// the connection closes with the response to that request. This is also the interval between two
+/// checks.
+///
+/// [`Phase::closes_connections`]: crate::phase::Phase::closes_connections
 const IDLE_BEFORE_CLOSE: Duration = Duration::from_millis(100);
-/// The same for a connection that has carried no request yet: its client may write its first
-/// request slowly.
+/// [`IDLE_BEFORE_CLOSE`] of a connection that has carried no request yet: its client may write its
+/// first request slowly.
 const NEW_CONNECTION_IDLE_BEFORE_CLOSE: Duration = Duration::from_secs(2);
 /// Time allowed to flush responses before an idle connection is closed.
 const RESPONSE_FLUSH_TIMEOUT: Duration = Duration::from_secs(2);
-/// After an early response, the rest of the request is read for this long, and up to this size:
+/// How long the rest of a request is read and discarded after a response that did not wait for it:
 /// closing a socket with unread bytes resets the connection, and the client may lose the response.
 const DISCARD_TIMEOUT: Duration = Duration::from_millis(500);
+/// Largest number of bytes that are discarded in that time.
 const MAX_DISCARDED_BYTES: usize = 64 << 20;
 
 type HttpConnection<S> = http1::Connection<TokioIo<TrackedStream>, S>;
@@ -105,7 +109,8 @@
     }
 }
 
-/// hyper itself responds to a request that it cannot parse.
+/// Why a connection was closed, by the result of hyper's connection future. hyper itself has
+/// responded to a request that it cannot parse.
 fn close_reason(result: hyper::Result<()>) -> CloseReason {
     match result {
         Err(error) if error.is_parse() => CloseReason::Malformed,
@@ -119,7 +124,7 @@
     tracker.has_partial_head() && !tracker.has_dispatched()
 }
 
-/// Whether the connection has been idle for long enough to be closed during shutdown.
+/// Whether connections are being closed, and this one has been idle for long enough.
 fn is_due_to_close(context: &ServerContext, connection: &ClientConnection) -> bool {
     let tracker = connection.tracker();
     let idle_before_close = if tracker.has_dispatched() {
--- a/balancer/src/inbound/context.rs
+++ b/balancer/src/inbound/context.rs
@@ -31,9 +31,9 @@
 }
 
 impl ServerContext {
-    /// Whether connections close with their next response. After a handoff this begins when the
-    /// listener is closed: clients whose connection closes earlier would connect again and wait in
-    /// the queue of that listener.
+    /// Whether connections close with their next response. After a handoff they do so only once the
+    /// listener is closed: a client whose connection closed earlier could connect to the same
+    /// listener again and wait in its queue.
     pub fn closes_connections(&self) -> bool {
         let phase = *self.phase.borrow();
         let awaits_listener = phase == Phase::HandedOff && self.is_listening.get();
--- a/balancer/src/inbound/idle_connections.rs
+++ b/balancer/src/inbound/idle_connections.rs
@@ -10,7 +10,7 @@
 
 /// A connection that has carried no request yet may be evicted after this long.
 const NEW_CONNECTION_GRACE: Duration = Duration::from_millis(30);
-/// The shorter grace period while no used connection may be evicted instead.
+/// Grace period of a new connection while no used connection may be evicted instead of it.
 const MIN_NEW_CONNECTION_GRACE: Duration = Duration::from_millis(5);
 /// A used connection that has been idle for this long is evicted before new ones that are still in
 /// their grace period.
@@ -122,12 +122,14 @@
     }
 }
 
-/// The kind of connection whose oldest member is evicted for a new connection.
+/// The kind of connection whose oldest member is evicted, so that a connection that has just
+/// arrived gets its descriptor.
 ///
-/// New connections are evicted first, after a grace period in which their requests can be read:
-/// otherwise hundreds of clients that send nothing would block those that send requests. Used
-/// connections are evicted without that delay if the oldest has been idle for long, or if they are
-/// the larger group.
+/// New connections are evicted first, after [`NEW_CONNECTION_GRACE`], in which their requests can
+/// be read: otherwise hundreds of clients that send nothing would block those that send requests.
+/// Used connections are evicted without that delay if the oldest has been idle for
+/// [`USED_CONNECTION_EVICTION_AGE`], or if they are the larger group. If no used connection may be
+/// evicted, a new one is evicted after [`MIN_NEW_CONNECTION_GRACE`].
 fn select_eviction_candidate(new: IdleGroup, used: IdleGroup) -> Option<ConnectionKind> {
     let new_is_older_than = |grace| new.oldest_age.is_some_and(|age| age >= grace);
     if new_is_older_than(NEW_CONNECTION_GRACE) {
--- a/balancer/src/inbound/request_framing.rs
+++ b/balancer/src/inbound/request_framing.rs
@@ -7,13 +7,13 @@
 pub enum BodyFraming {
     /// The body has this many bytes.
     Length(u64),
-    /// The tracker does not determine the body's end: it is chunked, or hyper rejects the head.
+    /// The end of the body is not determined here: the body is chunked, or hyper rejects the head.
     Untracked,
 }
 
 /// A head with more than one header that determines the length of its body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("there is more than one Content-Length or Transfer-Encoding header")]
+#[error("the Content-Length and Transfer-Encoding headers must not be repeated or combined")]
 pub struct AmbiguousFraming;
 
 /// Reads the framing of a request's body from the complete head.
--- a/balancer/src/inbound/request_framing/tests.rs
+++ b/balancer/src/inbound/request_framing/tests.rs
@@ -1,4 +1,4 @@
-//! Framing of request bodies by their heads.
+//! Where request bodies end, as determined from the heads of their requests.
 use super::*;
 
 fn describe_framing(head: &str) -> String {
--- a/balancer/src/inbound/request_handler.rs
+++ b/balancer/src/inbound/request_handler.rs
@@ -81,7 +81,7 @@
     upload: Option<Rc<Upload>>,
 }
 
-/// A response, and what it means for its connection.
+/// A response, and what [`finish_response`] needs to decide whether its connection closes.
 struct RoutedResponse {
     response: Response,
     /// Whether the connection closes with the response.
@@ -141,7 +141,8 @@
     routed
 }
 
-/// Whether this process can serve. After a handoff it stays ready on behalf of its successor.
+/// The status of the response to a readiness check. After a handoff it is still 200, because the
+/// successor serves the clients.
 fn readiness_status(context: &ServerContext) -> StatusCode {
     let is_serving = matches!(*context.phase.borrow(), Phase::Serving | Phase::HandedOff);
     if context.driver.has_endpoints() && is_serving {
@@ -176,8 +177,9 @@
     }
 }
 
-/// The response to the client; 502 if it disconnected before there was one. A client that has
-/// closed only its sending side still reads that response. Its request may have run.
+/// The response to the client: `final_response`, or 502 if the client disconnected first. A client
+/// that has closed only its sending side still reads the 502. This is not a rejection, because the
+/// request may have run.
 fn response_to_client(
     final_response: Option<FinalResponse>,
     in_flight: InFlightRequest,
@@ -212,8 +214,8 @@
     response
 }
 
-/// Reads a request and submits it to the driver. A large body is still being read when this
-/// returns.
+/// Reads a request and submits it to the driver. When this returns, the rest of a large body may
+/// still be arriving.
 async fn submit(
     context: &ServerContext,
     request: Request<Incoming>,
@@ -231,8 +233,8 @@
         RequestBody::Buffered(_) => None,
     };
     let outbound = outbound_request(parts, body, connection.stream().peer());
-    // The request may have waited long for a permit or in the listener's queue. Nothing has been
-    // sent to an upstream yet.
+    // The client may have disconnected while its connection waited for a permit or in the
+    // listener's queue. Nothing has been sent to an upstream yet, so the request can be rejected.
     if connection.stream().peer_disconnected() {
         return Err(RequestError::ClientDisconnected);
     }
--- a/balancer/src/inbound/request_head.rs
+++ b/balancer/src/inbound/request_head.rs
@@ -30,7 +30,8 @@
 /// What is wrong with a head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum HeadError {
-    /// A header is absent, occurs more than once, or is not text.
+    /// A header does not have exactly one value that is text: it is absent, occurs more than once,
+    /// or is not text.
     #[error("the {0} header is missing, repeated or not text")]
     NotSingleValue(&'static str),
     /// A header's value is malformed.
--- a/balancer/src/inbound/request_tracker.rs
+++ b/balancer/src/inbound/request_tracker.rs
@@ -24,7 +24,7 @@
     /// Since when the balancer has waited for the client: the start of the connection, the first
     /// byte of a later head, or the end of the last response.
     waiting_since: Cell<Instant>,
-    /// Number, from 1, of the request with ambiguous framing.
+    /// Number of the request with ambiguous framing, counted from 1 on its connection.
     ambiguous_request: Cell<Option<u64>>,
 }
 
@@ -109,8 +109,8 @@
     Head,
     /// Within a body.
     Body { remaining: u64 },
-    /// After a head that ends the tracking: the connection closes after its request, or hyper
-    /// rejects it.
+    /// After a head that ends the tracking: the connection closes after the request of that head,
+    /// or hyper rejects the head.
     Untracked,
 }
 
--- a/balancer/src/inbound/responses.rs
+++ b/balancer/src/inbound/responses.rs
@@ -8,7 +8,7 @@
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::{Response, StatusCode};
 
-/// A response to a client. A streamed body holds `G` until it ends.
+/// A response to a client. A streamed body holds a guard of type `G` until the body is dropped.
 pub type ClientResponse<G> = Response<ClientResponseBody<G>>;
 
 /// A response with this status and without a body.
@@ -40,8 +40,9 @@
     response
 }
 
-/// The one final response to a request. Sets the request's outcome. A streamed body holds `guard`
-/// until it ends.
+/// Converts the final response of a request to its response to the client. Sets the request's
+/// outcome; that of a streamed body is set at the end of the body. A streamed body holds `guard`
+/// until the body is dropped.
 pub fn client_response<G>(
     final_response: FinalResponse,
     request: InFlightRequest,
--- a/balancer/src/inbound/server.rs
+++ b/balancer/src/inbound/server.rs
@@ -24,7 +24,8 @@
 
 /// Pause after an accept that failed, for example because of a shortage of descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Most attempts to accept one connection from the queue of a listener that is being closed.
+/// Largest number of attempts to accept one connection from the queue of a listener that is being
+/// closed.
 const MAX_QUEUE_ACCEPT_ATTEMPTS: usize = 64;
 /// Interval between two attempts to evict a connection while no permit is free.
 const PERMIT_RETRY_INTERVAL: Duration = Duration::from_millis(10);
@@ -97,7 +98,8 @@
         }
     }
 
-    /// Returns how long connections that are still in the queue may have been there.
+    /// Accepts connections until the process drains. Returns how long the connections that are
+    /// still in the listener's queue may have been there.
     async fn run(mut self) -> Duration {
         while let Some(accepted) = self.accept().await {
             match accepted.result {
@@ -136,6 +138,8 @@
         })
     }
 
+    /// Waits for a permit for an accepted connection and starts the connection's task. Breaks if
+    /// there will be no more permits, because the descriptor budget is closed.
     async fn admit(&mut self, stream: std::net::TcpStream) -> ControlFlow<()> {
         let accepted_at = Instant::now();
         let Some(permit) = acquire_permit(self.context).await else {
@@ -147,8 +151,9 @@
         ControlFlow::Continue(())
     }
 
-    /// Waits before the next accept. The error is a shortage of descriptors, or a client that
-    /// disconnected at once.
+    /// Handles a failed accept: logs the first of consecutive errors, evicts an idle connection if
+    /// resources are short, and waits before the next accept. The usual errors are a shortage of
+    /// descriptors and a client that disconnected at once.
     async fn handle_accept_error(&mut self, error: &io::Error) {
         if !self.is_failing {
             log_line!("cannot accept a client connection: {error}");
@@ -172,8 +177,9 @@
     }
 }
 
-/// The next connection in a listener's queue; `None` once the queue is empty. Skips connections
-/// that failed in the queue: closing the listener would reset the ones behind them.
+/// The next connection in a listener's queue. Skips connections that failed in the queue: if
+/// accepting stopped at one of them, closing the listener would reset the connections behind it.
+/// `None` once the queue is empty, or after [`MAX_QUEUE_ACCEPT_ATTEMPTS`] failures.
 async fn accept_from_queue<T>(mut accept: impl FnMut() -> io::Result<T>) -> Option<T> {
     for _ in 0..MAX_QUEUE_ACCEPT_ATTEMPTS {
         match accept() {
@@ -191,8 +197,9 @@
     accepted_at.checked_sub(queue_delay).unwrap_or(accepted_at)
 }
 
-/// Acquires a permit for one more client, and evicts idle connections for it: a request written to
-/// a connection that waits to be accepted counts as accepted, so idle clients must not block it.
+/// Acquires a permit for one more client connection, and evicts idle connections until there is
+/// one: a request that is written to a connection in the listener's queue counts as accepted, so
+/// idle clients must not keep that connection waiting. `None` if the descriptor budget is closed.
 async fn acquire_permit(context: &ServerContext) -> Option<ConnectionPermit> {
     loop {
         if let Some(permit) = context.descriptors.try_acquire_client() {
@@ -212,8 +219,8 @@
 }
 
 /// Starts the task of a connection that arrived in the listener's queue at `arrived_at` at the
-/// earliest. A connection that cannot be registered with the event loop yet waits until it can, as
-/// one without a permit does.
+/// earliest. If the connection cannot yet be registered with the event loop, it waits until it can,
+/// as a connection without a permit does.
 fn spawn_connection(
     context: &Rc<ServerContext>,
     stream: std::net::TcpStream,
@@ -240,8 +247,8 @@
     });
 }
 
-/// Serves a connection. It counts as idle from the start, so that it is evicted before an older
-/// connection that is in use.
+/// Serves a connection. It counts as idle from the start, so that, while it has carried no request,
+/// it can be evicted before an older idle connection that has carried one.
 fn serve_registered(
     context: Rc<ServerContext>,
     stream: TcpStream,
--- a/balancer/src/invariants.rs
+++ b/balancer/src/invariants.rs
@@ -11,9 +11,9 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Most attempts for one request, whatever the settings say.
+/// Largest number of attempts for one request, whatever the settings say.
 pub const MAX_ATTEMPTS: u32 = 5;
-/// A response that is later than this after the request's deadline violates [`Rule::ResponseOverdue`].
+/// A response that comes more than this after the request's deadline violates [`Rule::ResponseOverdue`].
 const MAX_RESPONSE_DELAY: Duration = Duration::from_millis(500);
 
 /// The attempts that were started for one request.
@@ -52,7 +52,8 @@
         self.in_flight += 1;
     }
 
-    /// Records the end of an attempt that started at `started_at`. `never_ran`: it is proven that it has not run.
+    /// Records the end of an attempt that started at `started_at`. `never_ran` states that the upstream is proven not
+    /// to have run the request in this attempt.
     pub fn attempt_ended(&mut self, started_at: Instant, never_ran: bool) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if !never_ran {
@@ -75,7 +76,8 @@
         Some(Rule::UnsafeRepeat)
     }
 
-    /// Whether the request may be sent again this long after it may have run.
+    /// Whether the request may be sent again when `since_first_run` has passed since the start of the first attempt
+    /// that may have run it.
     fn is_repeatable(&self, since_first_run: Duration) -> bool {
         match self.idempotency {
             Idempotency::Idempotent => true,
@@ -93,7 +95,8 @@
     }
 }
 
-/// Whether the end of an attempt proves that it has not run.
+/// Whether an attempt that ended with `outcome` is proven not to have run the request. If `rejects_after_start`,
+/// upstreams may reject a request after they have begun to run it, so that a rejection proves nothing.
 pub fn is_proven_not_run(outcome: AttemptOutcome, rejects_after_start: bool) -> bool {
     outcome.never_ran() && !(outcome == AttemptOutcome::Rejected && rejects_after_start)
 }
@@ -101,7 +104,7 @@
 /// The conditions under which a request would be written.
 #[derive(Clone, Copy, Debug)]
 pub struct WriteConditions {
-    /// The upstream accepts no new requests.
+    /// The upstream drains, is gone or suspended, and its grace period is over.
     pub endpoint_closed: bool,
     /// The attempt's time is over.
     pub expired: bool,
@@ -150,7 +153,7 @@
         Ok(())
     }
 
-    /// Checks whether a request may be written now. Counts a denial.
+    /// Checks whether a request may be written now. Counts a denied write.
     pub fn check_write(&self, conditions: WriteConditions) -> Result<(), WriteDenial> {
         let Some(denial) = conditions.denial() else {
             return Ok(());
@@ -160,7 +163,8 @@
         Err(denial)
     }
 
-    /// Checks whether a request with this history may be rejected. Otherwise it has to fail: counts a violation.
+    /// Checks whether a request with this history may be rejected. If not, records a violation; the request then has to
+    /// fail.
     pub fn check_rejection(&self, history: &AttemptHistory, request: &str) -> bool {
         let may_reject = history.may_reject();
         if !may_reject {
@@ -176,7 +180,8 @@
         }
     }
 
-    /// Records that the balancer closed a client's connection before responding to a request on it.
+    /// Records that the balancer closed a client's connection before responding to a request on it. The log line has
+    /// `close_reason` where those of other rules have the request's label.
     pub fn closed_unanswered(&self, close_reason: &str) {
         self.record_violation(Rule::ClosedUnanswered, close_reason);
     }
--- a/balancer/src/lib.rs
+++ b/balancer/src/lib.rs
@@ -1,8 +1,8 @@
 //! A load balancer that runs the core, `balancer_core`, on real sockets.
 //!
-//! [`process`] is the balancer as a process. [`hollow`] runs many balancers without traffic in one process, to measure
-//! the cost of the endpoint list and the time that a change of it takes. Both start the same control plane: the driver
-//! of the core, and the discovery client.
+//! [`process`] is the balancer as a process. [`hollow`] runs many balancers without sockets to clients and upstreams in
+//! one process, to measure the cost of the endpoint list and the time until each balancer has applied a change of the
+//! list. Both start the same control plane: the driver of the core, and the discovery client.
 //!
 //! | module | contents |
 //! | --- | --- |
@@ -12,12 +12,12 @@
 //! | `control` | the driver of the core and its tables |
 //! | `outbound` | endpoints, connections to upstreams, attempts |
 //! | `discovery` | the discovery client and endpoint lists |
-//! | `invariants` | the guard that checks what must always hold, before an attempt starts, is written or is answered |
+//! | `invariants` | the guard that checks invariants of attempts, responses and client connections |
 //! | `phase`, `clock`, `time`, `harmless_panic` | the phase of the process; time; waiting; panics of the runtime |
 //! | `body`, `net`, `telemetry` | bodies; sockets and descriptors; metrics and log events |
 //!
-//! Imports go one way: `process`, `inbound` and `admin` use `control`, which uses `outbound` and `discovery`; all of them
-//! may use the modules of the last three rows.
+//! Imports go one way: `process` uses `admin` and `inbound`; these three use `control`, which uses `outbound` and
+//! `discovery`; all of them may use the modules of the last three rows.
 // `eprintln!` panics if standard error cannot be written: see `telemetry::log`.
 #![cfg_attr(not(test), warn(clippy::print_stderr, clippy::print_stdout))]
 #![cfg_attr(
--- a/balancer/src/phase.rs
+++ b/balancer/src/phase.rs
@@ -1,7 +1,7 @@
 //! The phases of the process, as client connections see them.
 
-/// Whether the process accepts clients, and how far its shutdown has come. Later phases are
-/// greater.
+/// Whether the process accepts clients, and how far its shutdown has come. Phases are ordered: from
+/// [`Phase::Draining`] on, no connection is accepted any more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Phase {
     /// Not yet serving.
--- a/balancer/src/process/config.rs
+++ b/balancer/src/process/config.rs
@@ -14,10 +14,10 @@
 /// What is wrong with a configuration.
 #[derive(Debug, Error)]
 pub enum ConfigError {
-    /// The text is not valid JSON.
-    #[error("{0}")]
+    /// The text is not valid JSON, lacks a required field at its top level, or is followed by other text.
+    #[error("the configuration is not valid: {0}")]
     Json(#[source] serde_json::Error),
-    /// A field is missing or malformed.
+    /// A field is malformed, or an object inside the configuration lacks a required field.
     #[error("{path}: {source}")]
     Field {
         /// Where the field is.
@@ -80,7 +80,7 @@
     pub admin_address: Option<SocketAddr>,
     /// Seeds the core's random choices.
     pub seed: u64,
-    /// Most file descriptors that the process may hold.
+    /// Largest number of file descriptors that the process may hold.
     pub max_descriptors: usize,
     /// The last endpoint list of this balancer, if any. It only saves time, so a malformed list does not keep the
     /// balancer from starting.
--- a/balancer/src/process/config_file.rs
+++ b/balancer/src/process/config_file.rs
@@ -19,7 +19,7 @@
     #[error("{CONFIG_VARIABLE}: {0}")]
     NoPath(#[source] VarError),
     /// The file cannot be read.
-    #[error("{CONFIG_VARIABLE}: {path}: {source}")]
+    #[error("{CONFIG_VARIABLE}: cannot read {path}: {source}")]
     Unreadable {
         /// The file.
         path: String,
@@ -39,7 +39,8 @@
     },
 }
 
-/// Loads the configuration. While reading the file fails for a transient reason, it is retried for up to `retry_limit`.
+/// Loads the configuration. If reading the file fails for a transient reason, the read is retried for up to
+/// `retry_limit`.
 pub async fn load_config(retry_limit: Duration) -> Result<Config, ConfigLoadError> {
     let path = std::env::var(CONFIG_VARIABLE).map_err(ConfigLoadError::NoPath)?;
     let text = match retry_io(retry_limit, || std::fs::read(&path)).await {
--- a/balancer/src/process/program.rs
+++ b/balancer/src/process/program.rs
@@ -1,4 +1,4 @@
-//! The balancer as a process: start-up and wiring.
+//! The balancer as a process: starts its parts, connects them and shuts them down.
 use crate::admin::override_store::OverrideStore;
 use crate::admin::override_sync::OverrideSync;
 use crate::admin::process_coordinator::{
@@ -43,7 +43,8 @@
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 
-/// How long failing system calls are retried at start-up: much shorter than the time to become ready.
+/// How long failing system calls are retried at start-up: much shorter than the time within which the process has to
+/// become ready.
 const STARTUP_RETRY_LIMIT: Duration = Duration::from_secs(3);
 /// Longest time that is taken from the settings, in milliseconds: one day. Longer ones count as this.
 const MAX_SETTING_MS: Millis = 86_400_000.0;
@@ -61,9 +62,9 @@
 fn run_on_one_thread() -> Result<(), ProgramError> {
     // Before anything else: a signal that arrives while it is not blocked ends the process.
     Signals::block()?;
-    // Never dropped: tasks that a runtime drops wake each other from outside its event loop, by the
-    // write that ends the process if it fails (see `process::runtime`). The system closes the
-    // descriptors that they hold.
+    // Never dropped: tasks that are dropped together with a runtime wake each other from outside its event loop, and
+    // such a wake-up is the write whose failure ends the process (see `process::runtime`). The system closes the
+    // descriptors of the tasks when the process ends.
     let runtime =
         ManuallyDrop::new(start_runtime(STARTUP_RETRY_LIMIT).map_err(ProgramError::Runtime)?);
     runtime.block_on(run())
@@ -110,7 +111,8 @@
 
 async fn run() -> Result<(), ProgramError> {
     let Signals { reload, shutdown } = Signals::open(STARTUP_RETRY_LIMIT).await?;
-    // Before this process listens, no client waits for it, so that it can exit at once.
+    // `None` if shutdown was requested before this process listened. No client waits for the process then, so it exits
+    // at once.
     let Some(mut process) = ServingProcess::start(reload, &shutdown).await? else {
         return Ok(());
     };
@@ -127,7 +129,7 @@
 impl ServingProcess {
     /// Starts all parts of the process. Each `reload` signal reloads the configuration.
     /// Returns `None` if `shutdown` arrives while the coordinator prepares this process for serving, for example while
-    /// it waits beside another process.
+    /// this process waits for its first endpoint list because another process of this balancer serves.
     async fn start(
         reload: SignalStream,
         shutdown: &SignalStream,
@@ -154,6 +156,7 @@
                 () = shutdown.received() => return Ok(None),
             }
         }
+        // Only processes with a coordinator hand over to each other, so only they listen at the same address.
         let shares_address = coordinator.is_some();
         let (server, address) = start_server(&config, shares_address, &driver, &context).await?;
         match &coordinator {
--- a/balancer/src/process/program_error.rs
+++ b/balancer/src/process/program_error.rs
@@ -19,10 +19,10 @@
     #[error("{0}")]
     Config(#[from] ConfigLoadError),
     /// The core does not accept the settings.
-    #[error("{0}")]
+    #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// The admin server cannot listen.
-    #[error("ops: {address}: {source}")]
+    #[error("ops: cannot listen at {address}: {source}")]
     AdminListen {
         /// The address from the configuration.
         address: SocketAddr,
@@ -33,7 +33,7 @@
     #[error("ops: cannot determine the address of the admin endpoint: {0}")]
     AdminAddress(#[source] io::Error),
     /// The balancer cannot listen for clients.
-    #[error("listen: {address}: {source}")]
+    #[error("listen: cannot listen at {address}: {source}")]
     Listen {
         /// The address from the configuration.
         address: SocketAddr,
@@ -41,6 +41,6 @@
         source: io::Error,
     },
     /// The driver's timers stopped.
-    #[error("the timers of the driver stopped: {0:?}")]
+    #[error("the driver's timers stopped, with the result {0:?}")]
     TimersStopped(Result<(), JoinError>),
 }
--- a/balancer/src/process/reload.rs
+++ b/balancer/src/process/reload.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// How long reading the file is retried: much shorter than the time after which a migration of discovery counts as
-/// notified.
+/// How long reading the file is retried: much shorter than the 4 s after the signal from which on the balancer counts
+/// as notified of a migration of discovery.
 const READ_RETRY_LIMIT: Duration = Duration::from_millis(1500);
 
 /// Reloads the configuration at each signal. Only discovery's address can change while the process runs. A file that
--- a/balancer/src/process/runtime.rs
+++ b/balancer/src/process/runtime.rs
@@ -1,8 +1,8 @@
 //! The runtime of the process.
 //!
-//! It has one thread, and nothing wakes its event loop from outside: the write that would do so
-//! ends the process if it fails. Instead, timers and signals have descriptors of their own, which
-//! the event loop watches.
+//! It has one thread, and nothing wakes its event loop from outside that loop: for such a wake-up
+//! the runtime writes to a descriptor, and a failure of that write ends the process. Instead,
+//! timers and signals have descriptors of their own, which the event loop watches.
 use crate::harmless_panic::catch_harmless_panic;
 use crate::net::retry_io::retry_io_blocking;
 use crate::time::timer_service::TimerService;
@@ -18,8 +18,8 @@
     Ok(runtime)
 }
 
-/// Builds the runtime. Its builder panics if the system refuses the descriptors for the runtime's
-/// own signal handling, which is part of it even if it is not used.
+/// Builds the runtime. tokio's builder panics if the system refuses the descriptors for tokio's own
+/// signal handling, which every runtime opens even if it is not used; the panic becomes an error.
 fn build_runtime() -> io::Result<LocalRuntime> {
     let build = || {
         Builder::new_current_thread()
--- a/balancer/src/process/shutdown.rs
+++ b/balancer/src/process/shutdown.rs
@@ -26,8 +26,8 @@
 }
 
 impl Shutdown<'_> {
-    /// Takes the process through the phases of its shutdown, until it closes connections. If another process of this
-    /// balancer has started to serve, hands off to it at once.
+    /// Takes the process through the phases of its shutdown, up to the one in which connections are closed. If another
+    /// process of this balancer has started to serve, hands the clients over to that process at once.
     pub async fn advance_to_closing(
         &self,
         coordinator: Option<&ProcessCoordinator>,
@@ -66,18 +66,18 @@
             let active = driver.active_requests();
             if active == 0 || check_at >= self.requested_at + MAX_RELAY_PERIOD {
                 log_line!(
-                    "{name}: clients are still connected at the end, {active} responses cut off"
+                    "{name}: clients are still connected at the end of the shutdown: {active} responses are cut off"
                 );
                 return;
             }
             if check_at == exit_at {
-                log_line!("{name}: {active} responses are still being relayed");
+                log_line!("{name}: exit is delayed: {active} responses are still being relayed");
             }
             check_at += RELAY_CHECK_INTERVAL;
         }
     }
 
-    /// Waits for the server to end. Fails the requests that are pending when their time is over.
+    /// Waits for the server to end. Fails the requests that are still pending at the schedule's `fail_pending_after`.
     async fn run_until_pending_failed(
         &self,
         driver: &DriverHandle,
@@ -93,8 +93,8 @@
     }
 }
 
-/// Hands the clients off to the successor. If operators have paused the balancer, connections of this process keep
-/// being closed.
+/// Hands the clients off to the successor. If operators have paused the balancer, connections are being closed already.
+/// The phase `Closing` keeps it so; in the phase `HandedOff` they would stay open until the listener is closed.
 fn hand_off(phase: &watch::Sender<Phase>) {
     let is_paused = *phase.borrow() == Phase::Paused;
     phase.send_replace(if is_paused {
--- a/balancer/src/process/shutdown_schedule/tests.rs
+++ b/balancer/src/process/shutdown_schedule/tests.rs
@@ -1,3 +1,4 @@
+//! The order of the steps of a shutdown.
 use super::*;
 
 /// Guards against requests that are left without a response because short deadlines make SIGKILL come sooner.
--- a/balancer/src/telemetry/guard_counts.rs
+++ b/balancer/src/telemetry/guard_counts.rs
@@ -1,7 +1,7 @@
 //! Counts of what the guard found: invariants that were violated, and writes that were denied.
 use std::cell::Cell;
 
-/// A rule that the program must never break.
+/// An invariant of the program, named `rule` in the metrics.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rule {
     /// A request has a limited number of attempts.
@@ -10,9 +10,10 @@
     ConcurrentAttempt,
     /// A request that is not idempotent is sent again only after proof that it did not run.
     UnsafeRepeat,
-    /// A rejection promises that nothing has run.
+    /// A request that is not idempotent is not rejected after it may have run: a rejection promises
+    /// that it has not run.
     RejectedAfterRun,
-    /// A request has its final response by its deadline.
+    /// A request has its final response at most 500 ms after its deadline.
     ResponseOverdue,
     /// A request that was read is answered before its connection is closed.
     ClosedUnanswered,
--- a/balancer/src/telemetry/log.rs
+++ b/balancer/src/telemetry/log.rs
@@ -23,7 +23,8 @@
 /// Writes one line to standard error. A line that cannot be written is lost: `eprintln!` would panic
 /// if standard error is a pipe without a reader, or a file on a full disk.
 pub(crate) fn write_line(line: Arguments<'_>) {
-    // One write for the whole line, so that lines of several processes do not mix.
+    // One write for the whole line, up to `PIPE_BUF` bytes, so that lines of several processes do
+    // not mix.
     let line = format!("{line}\n");
     let _ = LogWriter.write_all(line.as_bytes());
 }
@@ -86,9 +87,10 @@
     Level::from_str(level).map_err(|_| UnknownLevel(level.to_string()))
 }
 
-/// Writes structured events as JSON lines to standard error, if the environment asks for them. At
-/// `debug` there is one for each request, attempt, closed connection and call to discovery; without
-/// the variable there are none.
+/// From now on, writes structured events as JSON lines to standard error, if the variable `NODE_LOG`
+/// is set. At the level `debug` there is one event for each request, attempt, closed connection and
+/// call to discovery. An unknown level is logged after the balancer's `name`, and no events are
+/// written.
 pub fn init_event_log(name: &str) {
     let level = std::env::var(LEVEL_VARIABLE).unwrap_or_default();
     if level.is_empty() {
--- a/balancer/src/telemetry/metrics.rs
+++ b/balancer/src/telemetry/metrics.rs
@@ -1,5 +1,5 @@
-//! The metrics that operators fetch. Each event is counted once, when it is final, from the start
-//! of the process.
+//! The metrics that operators fetch. Counts begin at zero when the process starts. A request is
+//! counted once, when its outcome is final.
 use crate::telemetry::guard_counts::GuardCounts;
 use crate::telemetry::upstream_counts::UpstreamCounts;
 use balancer_core::EndpointCounts;
@@ -39,13 +39,14 @@
 /// Why a client's connection was closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CloseReason {
-    /// The client closed it, a response announced its end, or it broke.
+    /// The client closed the connection, a response announced that the connection closes, or the
+    /// connection failed.
     Finished,
     /// The client sent input that is not a valid request, and got an error response.
     Malformed,
     /// The time limit for the client's next request had passed.
     TimedOut,
-    /// It was idle, and a new connection needed its descriptor.
+    /// The connection was idle, and a new connection needed its descriptor.
     Evicted,
     /// The process shuts down, or clients are sent away.
     Shutdown,
@@ -78,9 +79,10 @@
 pub struct Gauges {
     /// Requests in progress.
     pub active_requests: usize,
-    /// Listed and avoided endpoints.
+    /// How many endpoints are listed, and how many of them are avoided.
     pub endpoints: EndpointCounts,
-    /// Upstreams that have sent surplus data lately.
+    /// How many upstreams are suspect because they have lately sent surplus data, that is, data
+    /// beyond their responses; see `outbound::surplus_history` for how long.
     pub single_use_upstreams: usize,
 }
 
--- a/balancer/src/telemetry/upstream_counts.rs
+++ b/balancer/src/telemetry/upstream_counts.rs
@@ -26,7 +26,7 @@
         self.requests_written.clone()
     }
 
-    /// Counts a detection of surplus data.
+    /// Counts a detection of surplus data: data that an upstream sent beyond its responses.
     pub fn record_surplus(&self) {
         self.surplus_detections
             .set(self.surplus_detections.get().wrapping_add(1));
--- a/balancer/src/time/timeout.rs
+++ b/balancer/src/time/timeout.rs
@@ -8,7 +8,7 @@
 
 /// The future took too long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
-#[error("deadline has elapsed")]
+#[error("the time limit has passed")]
 pub struct Elapsed;
 
 /// Runs a future for at most this long, from the call on.
--- a/simulator-adapter/src/wire/endpoints.rs
+++ b/simulator-adapter/src/wire/endpoints.rs
@@ -20,7 +20,7 @@
     pub(super) const READY: u8 = 3;
 }
 
-/// Codes for the kinds of endpoint update.
+/// Codes of endpoint updates.
 mod update_code {
     pub(super) const SNAPSHOT: u8 = 0;
     pub(super) const DISCOVERY_FAILED: u8 = 1;
@@ -31,8 +31,8 @@
 /// Why an endpoint update is invalid.
 #[derive(Debug, Error)]
 pub enum EndpointUpdateError {
-    /// No kind of update has this code.
-    #[error("unknown kind of update {0}")]
+    /// No endpoint update has this code.
+    #[error("unknown endpoint update code {0}")]
     UnknownUpdate(u8),
     /// The update refers to a table that the simulator has not sent.
     #[error("no table with this number was received")]
@@ -68,8 +68,8 @@
     }
 }
 
-/// Returns the event for an endpoint update of this kind, with the endpoints of `table`. The report of a failed call to
-/// discovery needs no table.
+/// Returns the event for the endpoint update with this code, with the endpoints of `table`. The report of a failed call
+/// to discovery needs no table.
 pub fn endpoint_event(
     code: u8,
     table: Option<&EndpointTable>,
--- a/simulator-adapter/src/wire/error.rs
+++ b/simulator-adapter/src/wire/error.rs
@@ -46,10 +46,10 @@
     #[error("stated size of {0} bytes is not between {HEADER_BYTES} and {MAX_FRAME_BYTES}")]
     SizeOutOfRange(usize),
     /// The frame is smaller than a header.
-    #[error("a frame of {0} bytes is shorter than its header of {HEADER_BYTES}")]
+    #[error("a frame of {0} bytes is shorter than a header, which has {HEADER_BYTES} bytes")]
     TooShort(usize),
     /// The size that the header states is not the frame's size.
-    #[error("stated size is {stated} bytes, but the frame has {actual}")]
+    #[error("stated size is {stated} bytes, but the frame has {actual} bytes")]
     SizeMismatch {
         /// Size in bytes that the header states.
         stated: u32,
--- a/simulator-adapter/src/wire/record.rs
+++ b/simulator-adapter/src/wire/record.rs
@@ -45,16 +45,17 @@
 pub enum Record {
     /// The following records concern this instance.
     SelectInstance(u16),
-    /// An instance starts.
+    /// The selected instance starts.
     StartInstance {
         /// Seed of the instance's random choices.
         seed: u64,
         /// Position of its settings in the batch's tail, in bytes.
         settings: Range<usize>,
     },
-    /// An instance was killed.
+    /// The selected instance stops: it is killed, so it gives no more actions.
     StopInstance,
-    /// An endpoint list, which updates for all instances of the process refer to by its number.
+    /// An endpoint list. Endpoint updates for any instance of the process refer to it by its
+    /// number.
     EndpointTable {
         /// Its number.
         number: u32,
@@ -63,7 +64,7 @@
     },
     /// An instance's endpoint list changed, or a call to discovery failed.
     EndpointUpdate {
-        /// Code of what happened, see [`crate::wire::endpoint_event`].
+        /// Code of the update, see [`crate::wire::endpoint_event`].
         update_code: u8,
         /// The number of the table with the endpoints.
         table: u32,
@@ -161,7 +162,8 @@
     Record::Event(Event::ResponseStarted { request, attempt })
 }
 
-/// A code that the protocol does not document counts as [`AttemptOutcome::Unknown`].
+/// Decodes how an attempt ended. A code that the protocol does not document counts as
+/// [`AttemptOutcome::Unknown`].
 pub(super) fn decode_outcome(code: u16) -> AttemptOutcome {
     match code {
         outcome_code::SUCCESS => AttemptOutcome::Success,
--- a/simulator-adapter/tests/bad_input.rs
+++ b/simulator-adapter/tests/bad_input.rs
@@ -1,6 +1,6 @@
 //! On invalid input, the program writes one message to standard error, exits with a non-zero status and sends no
 //! further reply.
-// A helper function that panics fails its test, as an assertion does.
+// Allowed here, because a helper function that panics fails the test that calls it, as an assertion does.
 #![allow(clippy::expect_used)]
 use std::io::Write;
 use std::process::{Command, Stdio};
