--- a/balancer/src/body/time_limited_body/tests.rs
+++ b/balancer/src/body/time_limited_body/tests.rs
@@ -48,7 +48,7 @@
 
 /// The body arrives at 64 kB/s, after a head that took 2 s.
 #[tokio::test(flavor = "local", start_paused = true)]
-async fn reads_a_body_that_arrives_at_the_promised_minimum_rate() {
+async fn reads_a_body_that_arrives_at_64_kb_per_second() {
     let end = read_body(640_000, Duration::from_secs(2), async |client| {
         for _ in 0..40 {
             sleep(Duration::from_millis(250)).await;
@@ -70,7 +70,8 @@
         "{:?}",
         start.elapsed()
     );
-    // Bytes that arrive at once extend the limit only by the time for their size.
+    // 640 bytes extend the limit by only 20 ms, at 32 000 bytes per second, even though they arrive
+    // at once.
     let start = Instant::now();
     let end = read_body(1000, Duration::from_secs(1), async |client| {
         client.write_all(&[0; 640]).await.expect("is sent");
--- a/balancer/src/inbound/client_connection.rs
+++ b/balancer/src/inbound/client_connection.rs
@@ -25,13 +25,15 @@
     idle_key: Cell<Option<IdleKey>>,
     /// Notified when the connection is evicted.
     evict: Rc<Notify>,
-    /// Whether the client may still be sending a request that had an early response.
-    drains_before_close: Cell<bool>,
+    /// Whether the rest of the client's input is read and discarded before the connection is
+    /// closed: the client may still be sending a request that was answered before all of it was
+    /// read.
+    discards_input_before_close: Cell<bool>,
 }
 
 impl ClientConnection {
-    /// Registers a new connection as idle.
-    pub fn register(
+    /// A new connection. It counts as idle until its first request.
+    pub fn new_idle(
         stream: TcpStream,
         idle_connections: &Rc<IdleConnections>,
     ) -> Rc<ClientConnection> {
@@ -41,7 +43,7 @@
             idle_connections: idle_connections.clone(),
             idle_key: Cell::new(None),
             evict: Rc::new(Notify::new()),
-            drains_before_close: Cell::new(false),
+            discards_input_before_close: Cell::new(false),
         });
         connection.mark_idle(ConnectionKind::New);
         connection
@@ -79,14 +81,16 @@
         self.evict.notified().await;
     }
 
-    /// Whether the rest of the client's input is read before the connection is closed.
-    pub fn drains_before_close(&self) -> bool {
-        self.drains_before_close.get()
+    /// Whether the rest of the client's input is read and discarded before the connection is
+    /// closed.
+    pub fn discards_input_before_close(&self) -> bool {
+        self.discards_input_before_close.get()
     }
 
-    /// Sets whether the rest of the client's input is read before the connection is closed.
-    pub fn set_drains_before_close(&self, drains: bool) {
-        self.drains_before_close.set(drains);
+    /// Sets whether the rest of the client's input is read and discarded before the connection is
+    /// closed.
+    pub fn set_discards_input_before_close(&self, discards: bool) {
+        self.discards_input_before_close.set(discards);
     }
 
     /// Returns once the time limit for the client's next request has passed.
@@ -110,7 +114,7 @@
     }
 
     fn read_timeout(&self) -> Duration {
-        if self.tracker.has_dispatched() && !self.tracker.is_mid_head() {
+        if self.tracker.has_dispatched() && !self.tracker.has_partial_head() {
             CLIENT_IDLE_TIMEOUT
         } else {
             REQUEST_READ_TIMEOUT
