--- a/balancer/tests/asked_lists.rs
+++ b/balancer/tests/asked_lists.rs
@@ -28,18 +28,18 @@
 fn does_not_abandon_call_that_waits_in_discovery_queue() {
     let old = StubUpstream::start(|_| ok_response("old"));
     let new = StubUpstream::start(|_| ok_response("new"));
-    let agent = TcpListener::bind("127.0.0.1:0").expect("binds");
+    let discovery = TcpListener::bind("127.0.0.1:0").expect("binds");
     let known = endpoint_list(1, true, &[(0, old.address, "active")]);
-    let config = balancer_config(agent.local_addr().expect("an address"), 1024, &known);
-    let node = BalancerProcess::run(balancer_command(&config), StubDiscovery::start());
-    let call = || {
-        let mut stream = BufReader::new(agent.accept().expect("a call").0);
+    let config = balancer_config(discovery.local_addr().expect("an address"), 1024, &known);
+    let balancer = BalancerProcess::run(balancer_command(&config), StubDiscovery::start());
+    let accept_call = || {
+        let mut stream = BufReader::new(discovery.accept().expect("a call").0);
         let call = read_message(&mut stream).expect("a call");
         assert!(call.start_line.contains("since=1&"), "{}", call.start_line);
         stream
     };
-    respond(&mut call(), "503 Service Unavailable", "");
-    let mut queued = call();
+    respond(&mut accept_call(), "503 Service Unavailable", "");
+    let mut queued = accept_call();
     std::thread::sleep(QUEUE_TIME);
     respond(
         &mut queued,
@@ -52,7 +52,10 @@
     );
     let next = read_message(&mut queued).expect("the watch goes on");
     assert!(next.start_line.contains("since=2&"), "{}", next.start_line);
-    assert_eq!(node.client().call(&get_request("r1", "5000m")).body, b"new");
+    assert_eq!(
+        balancer.client().call(&get_request("r1", "5000m")).body,
+        b"new"
+    );
 }
 
 /// If a fleet that migrates together retried a new address 0.1 s after each rejection, it would keep the queue full.
@@ -60,16 +63,16 @@
 fn backs_off_from_new_address_that_rejects_calls() {
     let upstream = StubUpstream::start(|_| ok_response("x"));
     let known = endpoint_list(1, true, &[(0, upstream.address, "active")]);
-    let node = BalancerProcess::start(1024, &known);
-    node.discovery.next_call_path();
-    let agent = TcpListener::bind("127.0.0.1:0").expect("binds");
-    node.reload(&balancer_config(
-        agent.local_addr().expect("an address"),
+    let balancer = BalancerProcess::start(1024, &known);
+    balancer.discovery.next_call_path();
+    let discovery = TcpListener::bind("127.0.0.1:0").expect("binds");
+    balancer.reload(&balancer_config(
+        discovery.local_addr().expect("an address"),
         1024,
         "null",
     ));
-    let call = || {
-        let mut stream = BufReader::new(agent.accept().expect("a call").0);
+    let accept_call = || {
+        let mut stream = BufReader::new(discovery.accept().expect("a call").0);
         let call = read_message(&mut stream).expect("a call");
         assert!(
             call.start_line.starts_with("GET /api/targets "),
@@ -78,9 +81,9 @@
         );
         stream
     };
-    respond(&mut call(), "503 Service Unavailable", "");
+    respond(&mut accept_call(), "503 Service Unavailable", "");
     let rejected_at = Instant::now();
-    let mut retry = call();
+    let mut retry = accept_call();
     assert!(
         rejected_at.elapsed() >= Duration::from_millis(350),
         "{:?}",
--- a/balancer/tests/bodies.rs
+++ b/balancer/tests/bodies.rs
@@ -8,7 +8,7 @@
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-const LARGE: usize = 3 << 20;
+const LARGE_BODY_BYTES: usize = 3 << 20;
 
 /// Echoes request bodies, which must be `expected`, in the framing that the request's id selects.
 fn echo_in_every_framing(stream: &mut BufReader<TcpStream>, expected: &[u8]) {
@@ -21,13 +21,13 @@
         let received = if chunked {
             read_chunks(stream)
         } else {
-            read_bytes(stream, LARGE)
+            read_bytes(stream, LARGE_BODY_BYTES)
         };
         assert_eq!(received, expected);
         if head.contains("r0") {
             send_bytes(
                 stream,
-                format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n").as_bytes(),
+                format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE_BODY_BYTES}\r\n\r\n").as_bytes(),
             );
             send_bytes(stream, &received);
         } else if head.contains("r1") {
@@ -35,7 +35,10 @@
                 stream,
                 b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n",
             );
-            send_bytes(stream, format!("{LARGE:x};name=value\r\n").as_bytes());
+            send_bytes(
+                stream,
+                format!("{LARGE_BODY_BYTES:x};name=value\r\n").as_bytes(),
+            );
             send_bytes(stream, &received);
             send_bytes(stream, b"\r\n0\r\nTrailer: x\r\n\r\n");
         } else {
@@ -50,22 +53,22 @@
 /// allows it.
 #[test]
 fn forwards_large_bodies_unchanged_in_every_framing() {
-    let body = test_bytes(LARGE);
+    let body = test_bytes(LARGE_BODY_BYTES);
     let expected_body = body.clone();
     let upstream = start_raw_upstream(move |stream| echo_in_every_framing(stream, &expected_body));
     let balancer = BalancerProcess::with_upstreams(&[upstream]);
     let mut client = connect(balancer.address);
     send_bytes(
         &mut client,
-        upload_head("r0", &format!("Content-Length: {LARGE}")).as_bytes(),
+        upload_head("r0", &format!("Content-Length: {LARGE_BODY_BYTES}")).as_bytes(),
     );
     send_bytes(&mut client, &body);
     assert!(read_head(&mut client)
         .to_ascii_lowercase()
-        .contains(&format!("content-length: {LARGE}")));
-    assert!(read_bytes(&mut client, LARGE) == body);
+        .contains(&format!("content-length: {LARGE_BODY_BYTES}")));
+    assert!(read_bytes(&mut client, LARGE_BODY_BYTES) == body);
     // The same connection; the client sends the body after `100 Continue`.
-    let framing = format!("Expect: 100-continue\r\nContent-Length: {LARGE}");
+    let framing = format!("Expect: 100-continue\r\nContent-Length: {LARGE_BODY_BYTES}");
     send_bytes(&mut client, upload_head("r1", &framing).as_bytes());
     assert!(read_head(&mut client).starts_with("HTTP/1.1 100 "));
     send_bytes(&mut client, &body);
@@ -107,10 +110,12 @@
         read_head(stream);
         send_bytes(
             stream,
-            format!("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{LARGE:x}\r\n")
-                .as_bytes(),
+            format!(
+                "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n{LARGE_BODY_BYTES:x}\r\n"
+            )
+            .as_bytes(),
         );
-        send_bytes(stream, &test_bytes(LARGE));
+        send_bytes(stream, &test_bytes(LARGE_BODY_BYTES));
         send_bytes(stream, b"\r\n0\r\n\r\n");
     });
     let balancer = BalancerProcess::with_upstreams(&[upstream]);
@@ -128,7 +133,7 @@
     );
     let mut body = Vec::new();
     client.read_to_end(&mut body).expect("an end");
-    assert!(body == test_bytes(LARGE));
+    assert!(body == test_bytes(LARGE_BODY_BYTES));
     let mut client = connect(balancer.address);
     send_bytes(
         &mut client,
@@ -151,19 +156,19 @@
         read_head(stream);
         read_bytes(stream, 1);
         first_byte_sender.send(()).expect("the test waits");
-        read_bytes(stream, LARGE - 1);
+        read_bytes(stream, LARGE_BODY_BYTES - 1);
         send_bytes(
             stream,
-            format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\nx").as_bytes(),
+            format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE_BODY_BYTES}\r\n\r\nx").as_bytes(),
         );
         awaited.recv().expect("a signal");
-        send_bytes(stream, &vec![b'x'; LARGE - 1]);
+        send_bytes(stream, &vec![b'x'; LARGE_BODY_BYTES - 1]);
     });
     let balancer = BalancerProcess::with_admin(&[upstream]);
     let mut client = connect(balancer.address);
     send_bytes(
         &mut client,
-        upload_head("r1", &format!("Content-Length: {LARGE}")).as_bytes(),
+        upload_head("r1", &format!("Content-Length: {LARGE_BODY_BYTES}")).as_bytes(),
     );
     send_bytes(&mut client, b"y");
     first_byte
@@ -172,36 +177,42 @@
     let metrics = balancer.call_admin(b"METRICS\n");
     for line in ["node_tries 0", "node_active 0"] {
         assert!(
-            metrics.lines().any(|l| l == line),
+            metrics.lines().any(|metric| metric == line),
             "it has not arrived completely: {metrics}"
         );
     }
-    send_bytes(&mut client, &vec![b'y'; LARGE - 1]);
+    send_bytes(&mut client, &vec![b'y'; LARGE_BODY_BYTES - 1]);
     assert!(read_head(&mut client).starts_with("HTTP/1.1 200 "));
     assert_eq!(read_bytes(&mut client, 1), b"x");
     let metrics = balancer.call_admin(b"METRICS\n");
     for line in ["node_tries 1", "node_active 1", "node_ok{kind=\"pay\"} 0"] {
-        assert!(metrics.lines().any(|l| l == line), "no {line} in {metrics}");
+        assert!(
+            metrics.lines().any(|metric| metric == line),
+            "no {line} in {metrics}"
+        );
     }
     signal.send(()).expect("the upstream waits");
-    assert_eq!(read_bytes(&mut client, LARGE - 1).len(), LARGE - 1);
+    assert_eq!(
+        read_bytes(&mut client, LARGE_BODY_BYTES - 1).len(),
+        LARGE_BODY_BYTES - 1
+    );
     balancer.wait_for_metric("node_ok{kind=\"pay\"} 1");
 }
 
 /// Two dozen large responses that their clients do not read.
 #[test]
 fn unread_responses_neither_fill_memory_nor_delay_others() {
-    const MANY: usize = 24;
-    const HUGE: usize = 32 << 20;
+    const RESPONSE_COUNT: usize = 24;
+    const RESPONSE_BYTES: usize = 32 << 20;
     let upstream = StubUpstream::start(|request| match request.header("req-id") {
         Some("small") => ok_response("small"),
         _ => Reply::Respond(format!(
-            "HTTP/1.1 200 OK\r\nContent-Length: {HUGE}\r\n\r\n{}",
-            "x".repeat(HUGE)
+            "HTTP/1.1 200 OK\r\nContent-Length: {RESPONSE_BYTES}\r\n\r\n{}",
+            "x".repeat(RESPONSE_BYTES)
         )),
     });
     let balancer = BalancerProcess::with_upstreams(&[upstream.address]);
-    let stalled: Vec<_> = (0..MANY)
+    let stalled: Vec<_> = (0..RESPONSE_COUNT)
         .map(|id| {
             let mut client = connect(balancer.address);
             send_bytes(
@@ -219,7 +230,7 @@
     let resident = balancer.resident_kb();
     assert!(
         resident < 24 << 10,
-        "{MANY} responses of {HUGE} bytes take {resident} kB"
+        "{RESPONSE_COUNT} responses of {RESPONSE_BYTES} bytes take {resident} kB"
     );
     drop(stalled);
 }
@@ -228,15 +239,15 @@
 #[test]
 fn closes_the_client_connection_after_a_truncated_response() {
     let upstream = start_raw_upstream(|stream| {
-        let form = match read_head(stream) {
+        let framing = match read_head(stream) {
             head if head.contains("r1") => {
                 "Transfer-Encoding: chunked\r\n\r\n20000\r\n".to_string()
             }
-            _ => format!("Content-Length: {LARGE}\r\n\r\n"),
+            _ => format!("Content-Length: {LARGE_BODY_BYTES}\r\n\r\n"),
         };
         send_bytes(
             stream,
-            format!("HTTP/1.1 200 OK\r\n{form}{}", "x".repeat(100_000)).as_bytes(),
+            format!("HTTP/1.1 200 OK\r\n{framing}{}", "x".repeat(100_000)).as_bytes(),
         );
     });
     let balancer = BalancerProcess::with_admin(&[upstream]);
@@ -247,7 +258,7 @@
         let mut rest = Vec::new();
         // A reset is also correct.
         let _ = client.read_to_end(&mut rest);
-        assert!(!rest.ends_with(b"0\r\n\r\n") && rest.len() < LARGE);
+        assert!(!rest.ends_with(b"0\r\n\r\n") && rest.len() < LARGE_BODY_BYTES);
     }
     balancer.wait_for_metric("node_errors{kind=\"read\"} 2");
     balancer.wait_for_metric("node_active 0");
@@ -256,13 +267,13 @@
 /// A refused connection uses nothing of the body, so that another upstream gets it.
 #[test]
 fn retries_a_large_request_after_a_refused_connection() {
-    let body = test_bytes(LARGE);
+    let body = test_bytes(LARGE_BODY_BYTES);
     let expected_body = body.clone();
     let upstream = start_raw_upstream(move |stream| loop {
         if read_head(stream).is_empty() {
             return;
         }
-        assert!(read_bytes(stream, LARGE) == expected_body);
+        assert!(read_bytes(stream, LARGE_BODY_BYTES) == expected_body);
         send_bytes(stream, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     });
     let balancer = BalancerProcess::with_upstreams(&[refusing_address(), upstream]);
@@ -270,7 +281,11 @@
     for id in 0..10 {
         send_bytes(
             &mut client,
-            upload_head(&id.to_string(), &format!("Content-Length: {LARGE}")).as_bytes(),
+            upload_head(
+                &id.to_string(),
+                &format!("Content-Length: {LARGE_BODY_BYTES}"),
+            )
+            .as_bytes(),
         );
         send_bytes(&mut client, &body);
         assert!(read_head(&mut client).starts_with("HTTP/1.1 200 "));
@@ -286,7 +301,7 @@
         if read_head(stream).is_empty() {
             return;
         }
-        read_bytes(stream, LARGE);
+        read_bytes(stream, LARGE_BODY_BYTES);
         send_bytes(
             stream,
             b"HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n",
@@ -297,9 +312,9 @@
     let mut client = connect(balancer.address);
     send_bytes(
         &mut client,
-        upload_head("r1", &format!("Content-Length: {}", 2 * LARGE)).as_bytes(),
+        upload_head("r1", &format!("Content-Length: {}", 2 * LARGE_BODY_BYTES)).as_bytes(),
     );
-    send_bytes(&mut client, &vec![b'x'; LARGE + 1000]);
+    send_bytes(&mut client, &vec![b'x'; LARGE_BODY_BYTES + 1000]);
     assert!(read_head(&mut client).starts_with("HTTP/1.1 503 "));
 }
 
@@ -310,7 +325,7 @@
     let upstream = start_raw_upstream(move |stream| {
         if !read_head(stream).is_empty() {
             upload_started.send(()).expect("the test waits");
-            let is_complete = stream.read_exact(&mut vec![0; LARGE]).is_ok();
+            let is_complete = stream.read_exact(&mut vec![0; LARGE_BODY_BYTES]).is_ok();
             upload_ended.send(is_complete).expect("the test waits");
         }
     });
@@ -318,7 +333,7 @@
     let mut client = connect(balancer.address);
     send_bytes(
         &mut client,
-        upload_head("r1", &format!("Content-Length: {LARGE}")).as_bytes(),
+        upload_head("r1", &format!("Content-Length: {LARGE_BODY_BYTES}")).as_bytes(),
     );
     send_bytes(&mut client, &vec![b'x'; 100_000]);
     // A request that is not yet forwarded has no upstream connection to close.
--- a/balancer/tests/clients.rs
+++ b/balancer/tests/clients.rs
@@ -16,7 +16,7 @@
     let mut silent = balancer.client();
     let mut partial: Vec<Client> = [half_body, half_head]
         .iter()
-        .map(|t| balancer.client_that_sent(t))
+        .map(|text| balancer.client_that_sent(text))
         .collect();
     // On a used connection, a partial request does not count as idle time.
     let mut used = balancer.client();
@@ -86,7 +86,7 @@
     let long = format!("X-Long: {}\r\n\r\n", "x".repeat(40 << 10));
     let with_body =
         get_request("r1", "5000m").replace("\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nbody");
-    for (bad, status) in [
+    for (invalid, status) in [
         (get_request("r1", "soon"), 400),
         (
             get_request("r1", "5000m").replace("Req-Id: r1\r\n", ""),
@@ -106,14 +106,14 @@
             413,
         ),
     ] {
-        let mut client = balancer.client_that_sent(&format!("{bad}{behind}"));
+        let mut client = balancer.client_that_sent(&format!("{invalid}{behind}"));
         let response = client.read_response().expect("a response");
         assert_eq!(
             (response.status(), response.header("connection")),
             (status, Some("close")),
-            "{bad:.300}"
+            "{invalid:.300}"
         );
-        assert!(client.read_response().is_none(), "{bad:.300}");
+        assert!(client.read_response().is_none(), "{invalid:.300}");
     }
     assert_eq!(
         balancer
@@ -226,7 +226,7 @@
 /// A pipelined request waits in the balancer: its deadline counts from its arrival.
 #[test]
 fn forwards_a_pipelined_request_with_its_remaining_time() {
-    let upstream = StubUpstream::start(|m| match m.header("req-id") {
+    let upstream = StubUpstream::start(|request| match request.header("req-id") {
         Some("first") => {
             std::thread::sleep(Duration::from_millis(600));
             ok_response("first")
@@ -245,7 +245,7 @@
     let second = upstream.next_request();
     let stated = second
         .header("req-deadline")
-        .and_then(|d| d.strip_suffix('u'))
+        .and_then(|deadline| deadline.strip_suffix('u'))
         .expect("microseconds");
     let remaining = Duration::from_micros(stated.parse().expect("a number"));
     assert!(
--- a/balancer/tests/disconnects.rs
+++ b/balancer/tests/disconnects.rs
@@ -15,16 +15,16 @@
 }
 
 /// A half-closed client gets this status, and nothing after that.
-fn expect_only_response(client: Option<Client>, status: u16, what: &str) {
+fn expect_only_response(client: Option<Client>, status: u16, case: &str) {
     if let Some(mut client) = client {
         assert_eq!(
             client.read_response().map(|response| response.status()),
             Some(status),
-            "{what}"
+            "{case}"
         );
         assert!(
             client.read_response().is_none(),
-            "{what}: the request behind it is not read"
+            "{case}: the request behind it is not read"
         );
     }
 }
@@ -32,38 +32,38 @@
 /// A balancer with an admin endpoint and one upstream whose connections do not open yet, and whose
 /// dial timeout is long.
 fn balancer_with_unopened_upstream(cancel: bool) -> (BalancerProcess, UnresponsiveListener) {
-    let full = UnresponsiveListener::start();
+    let unresponsive = UnresponsiveListener::start();
     let discovery = StubDiscovery::start();
     let config = balancer_config(
         discovery.address,
         1024,
-        &endpoint_list(1, true, &[(0, full.address, "active")]),
+        &endpoint_list(1, true, &[(0, unresponsive.address, "active")]),
     )
     .replace("\"idle_close\"", "\"dial_timeout\":80000,\"idle_close\"")
     .replace("\"cancel\":true", &format!("\"cancel\":{cancel}"));
     let balancer = BalancerProcess::run(balancer_command(&with_admin_endpoint(&config)), discovery);
     // The connection to discovery is open, so that it does not count as a dial below.
     balancer.discovery.next_call_path();
-    (balancer, full)
+    (balancer, unresponsive)
 }
 
 #[test]
 fn writes_nothing_for_a_client_that_disconnects_while_dialling() {
     for cancel in [true, false] {
         for (how, behind) in disconnect_cases() {
-            let what = format!("{how:?}, {} bytes behind, cancel {cancel}", behind.len());
-            let (balancer, full) = balancer_with_unopened_upstream(cancel);
+            let case = format!("{how:?}, {} bytes behind, cancel {cancel}", behind.len());
+            let (balancer, unresponsive) = balancer_with_unopened_upstream(cancel);
             let client = balancer
                 .client_that_sent(&format!("{}{behind}", payment_request("gone", "60000m")));
             balancer.wait_for_metric("node_active 1");
             let client = client.disconnect(how);
             balancer.wait_for_metric("node_active 0");
-            expect_only_response(client, 502, &what);
+            expect_only_response(client, 502, &case);
             // Without cancellation the connection opens now, and nothing is written to it.
             if !cancel {
                 assert!(
-                    read_message(&mut full.accept_first_connection()).is_none(),
-                    "{what}"
+                    read_message(&mut unresponsive.accept_first_connection()).is_none(),
+                    "{case}"
                 );
             }
             balancer.wait_for_metric("node_tries 0");
@@ -74,7 +74,7 @@
 #[test]
 fn writes_nothing_for_a_large_request_whose_client_disconnects_while_dialling() {
     for how in DISCONNECTS {
-        let (balancer, full) = balancer_with_unopened_upstream(false);
+        let (balancer, unresponsive) = balancer_with_unopened_upstream(false);
         // More than is buffered here, and no more than the system buffers: the end of the stream
         // could not arrive behind that.
         let body = "x".repeat(70_000);
@@ -82,20 +82,20 @@
             "Content-Length: 4\r\n\r\nbody",
             "Content-Length: 70000\r\n\r\n",
         );
-        let without = balancer.descriptor_count();
+        let idle_count = balancer.descriptor_count();
         let client = balancer.client_that_sent(&format!("{head}{body}"));
         // The client's socket and the one that dials.
-        balancer.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
+        balancer.wait_for_descriptors(|count| count >= idle_count + 2, "it does not dial");
         let client = client.disconnect(how);
         if client.is_none() {
             balancer.wait_for_descriptors(
-                |n| n <= without + 1,
+                |count| count <= idle_count + 1,
                 "it does not notice that the client disconnected",
             );
         }
         expect_only_response(client, 502, &format!("{how:?}"));
         assert!(
-            read_message(&mut full.accept_first_connection()).is_none(),
+            read_message(&mut unresponsive.accept_first_connection()).is_none(),
             "{how:?}"
         );
     }
@@ -104,7 +104,7 @@
 #[test]
 fn does_not_retry_for_a_client_that_disconnects_during_an_attempt() {
     for (how, behind) in disconnect_cases() {
-        let what = format!("{how:?}, {} bytes behind", behind.len());
+        let case = format!("{how:?}, {} bytes behind", behind.len());
         let (signal, awaited) = channel();
         let awaited = Mutex::new(Some(awaited));
         let declined =
@@ -128,35 +128,35 @@
         assert_eq!(
             upstream.next_request().header("req-id"),
             Some("gone"),
-            "{what}"
+            "{case}"
         );
         let client = client.disconnect(how);
         balancer.wait_for_metric("node_active 0");
         signal.send(()).expect("the upstream waits");
-        expect_only_response(client, 502, &what);
+        expect_only_response(client, 502, &case);
         assert_eq!(
             balancer
                 .client()
                 .call(&get_request("next", "15000m"))
                 .status(),
             200,
-            "{what}"
+            "{case}"
         );
         assert_eq!(
             upstream.next_request().header("req-id"),
             Some("next"),
-            "{what}"
+            "{case}"
         );
-        assert_eq!(upstream.further_request_count(), 0, "{what}");
+        assert_eq!(upstream.further_request_count(), 0, "{case}");
     }
 }
 
 #[test]
 fn cancels_in_flight_attempt_when_client_disconnects() {
     for (how, behind) in disconnect_cases() {
-        let what = format!("{how:?}, {} bytes behind", behind.len());
-        let upstream = StubUpstream::start(|m| {
-            if m.header("req-id") == Some("next") {
+        let case = format!("{how:?}, {} bytes behind", behind.len());
+        let upstream = StubUpstream::start(|request| {
+            if request.header("req-id") == Some("next") {
                 ok_response("x")
             } else {
                 Reply::NeverRespond
@@ -168,19 +168,19 @@
         upstream.next_request();
         let client = client.disconnect(how);
         upstream.wait_for_closed_connection();
-        expect_only_response(client, 502, &what);
+        expect_only_response(client, 502, &case);
         assert_eq!(
             balancer
                 .client()
                 .call(&get_request("next", "15000m"))
                 .status(),
             200,
-            "{what}"
+            "{case}"
         );
         assert_eq!(
             upstream.next_request().header("req-id"),
             Some("next"),
-            "{what}"
+            "{case}"
         );
     }
 }
@@ -240,16 +240,18 @@
 #[test]
 fn does_not_forward_a_request_whose_client_disconnects_before_it_is_accepted() {
     for (how, behind) in disconnect_cases() {
-        let what = format!("{how:?}, {} bytes behind", behind.len());
+        let case = format!("{how:?}, {} bytes behind", behind.len());
         let (signal, awaited) = channel();
         let awaited = Mutex::new(Some(awaited));
         let served = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
         let upstream =
-            StubUpstream::start(move |m| match awaited.lock().expect("no panic").take() {
-                Some(awaited) => Reply::RespondAfterSignal(awaited, served.into()),
-                None if m.header("req-id") == Some("next") => ok_response("x"),
-                None => Reply::NeverRespond,
-            });
+            StubUpstream::start(
+                move |request| match awaited.lock().expect("no panic").take() {
+                    Some(awaited) => Reply::RespondAfterSignal(awaited, served.into()),
+                    None if request.header("req-id") == Some("next") => ok_response("x"),
+                    None => Reply::NeverRespond,
+                },
+            );
         let balancer = BalancerProcess::start(
             64,
             &endpoint_list(1, true, &[(0, upstream.address, "active")]),
@@ -258,12 +260,12 @@
         // after the signal.
         let mut first = balancer.client_that_sent(&payment_request("r0", "15000m"));
         upstream.next_request();
-        let busy = |i| {
+        let send_unanswered = |i| {
             let client = balancer.client_that_sent(&get_request(&format!("r{i}"), "15000m"));
             upstream.next_request();
             client
         };
-        let others: Vec<Client> = (1..20).map(busy).collect();
+        let others: Vec<Client> = (1..20).map(send_unanswered).collect();
         let client = balancer
             .client_that_sent(&format!("{}{behind}", payment_request("gone", "60000m")))
             .disconnect(how);
@@ -271,9 +273,9 @@
         assert_eq!(
             first.read_response().map(|response| response.status()),
             Some(200),
-            "{what}"
+            "{case}"
         );
-        expect_only_response(client, 503, &what);
+        expect_only_response(client, 503, &case);
         // A later client is served later.
         assert_eq!(
             balancer
@@ -281,12 +283,12 @@
                 .call(&get_request("next", "15000m"))
                 .status(),
             200,
-            "{what}"
+            "{case}"
         );
         assert_eq!(
             upstream.next_request().header("req-id"),
             Some("next"),
-            "{what}"
+            "{case}"
         );
         drop(others);
     }
--- a/balancer/tests/discovery.rs
+++ b/balancer/tests/discovery.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn reload_moves_discovery_and_keeps_requests_in_flight() {
+fn reload_migrates_discovery_and_keeps_requests_in_flight() {
     let (signal, reply) = hold_first_request("old", "old");
     let old = StubUpstream::start(reply);
     let new = StubUpstream::start(|_| ok_response("new"));
@@ -109,20 +109,20 @@
     balancer.reload("{");
     balancer.wait_for_log("not reloaded");
     // An unresponsive address, and right after it another one: nothing waits for the first.
-    let (nowhere, moved) = (UnresponsiveListener::start(), StubDiscovery::start());
-    balancer.reload(&balancer_config(nowhere.address, 1024, "null"));
-    balancer.wait_for_log(&format!("now at {}", nowhere.address));
+    let (unresponsive, second) = (UnresponsiveListener::start(), StubDiscovery::start());
+    balancer.reload(&balancer_config(unresponsive.address, 1024, "null"));
+    balancer.wait_for_log(&format!("now at {}", unresponsive.address));
     let mut other = balancer.client();
     assert_eq!(
         other.call(&get_request("r2", "5000m")).body,
         b"old",
         "the list stays until there is another"
     );
-    balancer.reload(&balancer_config(moved.address, 1024, "null"));
+    balancer.reload(&balancer_config(second.address, 1024, "null"));
     // Versions of the old address do not apply to the new one.
-    assert_eq!(moved.next_call_path(), "/api/targets");
-    moved.respond(&endpoint_list(3, true, &[(1, new.address, "active")]));
-    assert!(moved.next_call_path().starts_with("/api/targets?since=3&"));
+    assert_eq!(second.next_call_path(), "/api/targets");
+    second.respond(&endpoint_list(3, true, &[(1, new.address, "active")]));
+    assert!(second.next_call_path().starts_with("/api/targets?since=3&"));
     assert_eq!(other.call(&get_request("r3", "5000m")).body, b"new");
     signal.send(()).expect("the upstream waits");
     assert_eq!(
--- a/balancer/tests/discovery_timing.rs
+++ b/balancer/tests/discovery_timing.rs
@@ -17,9 +17,9 @@
     );
     let silent = TcpListener::bind("127.0.0.1:0").expect("binds");
     let known = endpoint_list(1, true, &[(0, old.address, "active")]);
-    let pushed = balancer_config(silent.local_addr().expect("an address"), 1024, &known)
+    let pushed_config = balancer_config(silent.local_addr().expect("an address"), 1024, &known)
         .replace("on_request", "pushed");
-    let balancer = BalancerProcess::run(balancer_command(&pushed), StubDiscovery::start());
+    let balancer = BalancerProcess::run(balancer_command(&pushed_config), StubDiscovery::start());
     let (sender, connections) = channel();
     std::thread::spawn(move || silent.incoming().flatten().try_for_each(|s| sender.send(s)));
     let call = || {
@@ -121,7 +121,7 @@
 
 /// The same for an address that accepts connections and never responds, while no list is known.
 #[test]
-fn calls_an_address_that_never_responds_again_and_again() {
+fn keeps_calling_an_address_that_never_responds() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let config = balancer_config(listener.local_addr().expect("an address"), 1024, "null");
     let _balancer = BalancerProcess::run(balancer_command(&config), StubDiscovery::start());
@@ -153,11 +153,11 @@
     );
     let update = endpoint_list(2, true, &[(1, new.address, "active")]);
     let head = |length: usize| format!("HTTP/1.1 200 OK\r\nContent-Length: {length}\r\n\r\n");
-    let half = format!("{}{}", head(update.len()), &update[..update.len() - 2]);
+    let incomplete = format!("{}{}", head(update.len()), &update[..update.len() - 2]);
     let endless = format!("{}{}", head(1 << 40), &update[..update.len() - 2]);
     for (text, is_truncated, is_endless) in [
-        (&half, false, false),
-        (&half, true, false),
+        (&incomplete, false, false),
+        (&incomplete, true, false),
         (&endless, false, true),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
@@ -207,12 +207,12 @@
     let mut calls = accept_calls(listener);
     drop(calls.next());
     for _ in 0..6 {
-        let failed = Instant::now();
+        let failed_at = Instant::now();
         drop(calls.next());
         assert!(
-            failed.elapsed() < Duration::from_millis(1400),
+            failed_at.elapsed() < Duration::from_millis(1400),
             "{:?}",
-            failed.elapsed()
+            failed_at.elapsed()
         );
     }
 }
@@ -223,21 +223,21 @@
 fn reopens_a_broken_watch_within_the_drain_grace() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let config = balancer_config(listener.local_addr().expect("an address"), 1024, "null");
-    let pushed = config
+    let pushed_config = config
         .replace("on_request", "pushed")
         .replace("\"drain_grace\":1000", "\"drain_grace\":300");
-    let _balancer = BalancerProcess::run(balancer_command(&pushed), StubDiscovery::start());
-    let mut first = None;
+    let _balancer = BalancerProcess::run(balancer_command(&pushed_config), StubDiscovery::start());
+    let mut first_call_at = None;
     for _ in 0..7 {
         let mut stream = BufReader::new(listener.accept().expect("a call").0);
         read_message(&mut stream).expect("a call");
-        first.get_or_insert_with(Instant::now);
+        first_call_at.get_or_insert_with(Instant::now);
         socket2::SockRef::from(stream.get_ref())
             .set_linger(Some(Duration::ZERO))
             .expect("a socket");
     }
     // Six pauses.
-    let took = first.expect("a call").elapsed();
+    let took = first_call_at.expect("a call").elapsed();
     assert!(took < Duration::from_millis(1800), "{took:?}");
 }
 
@@ -247,7 +247,7 @@
     let balancer = BalancerProcess::start(1024, "null");
     balancer.discovery.next_call_path();
     let silent = TcpListener::bind("127.0.0.1:0").expect("binds");
-    let reloaded = Instant::now();
+    let reloaded_at = Instant::now();
     balancer.reload(&balancer_config(
         silent.local_addr().expect("an address"),
         1024,
@@ -255,9 +255,9 @@
     ));
     let calls: Vec<_> = (0..2).map(|_| silent.accept().expect("a call")).collect();
     assert!(
-        reloaded.elapsed() < Duration::from_secs(4),
+        reloaded_at.elapsed() < Duration::from_secs(4),
         "{:?}",
-        reloaded.elapsed()
+        reloaded_at.elapsed()
     );
     drop(calls);
 }
--- a/balancer/tests/hollow.rs
+++ b/balancer/tests/hollow.rs
@@ -20,8 +20,8 @@
 use tokio::task::LocalSet;
 use tokio::time::timeout;
 
-const BALANCERS: usize = 40;
-const ENDPOINTS: usize = 30;
+const BALANCER_COUNT: usize = 40;
+const ENDPOINT_COUNT: usize = 30;
 /// Longer than any time within which an agent has to deliver a change.
 const MAX_UPDATE_TIME: Duration = Duration::from_secs(6);
 
@@ -51,14 +51,14 @@
 
 /// Responds to calls for the complete list at once, and to watches once something is newer or their time is over.
 #[derive(Clone)]
-struct EndpointService {
+struct SimulatedDiscovery {
     addr: SocketAddr,
     shared: Arc<(Mutex<Endpoints>, Condvar)>,
     calls: Arc<Mutex<Vec<String>>>,
 }
 
-impl EndpointService {
-    fn start(endpoints: usize) -> EndpointService {
+impl SimulatedDiscovery {
+    fn start(endpoints: usize) -> SimulatedDiscovery {
         let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
         let addr = listener.local_addr().expect("an address");
         let by_number =
@@ -69,19 +69,19 @@
             by_number: by_number.collect(),
         };
         let shared = Arc::new((Mutex::new(endpoints), Condvar::new()));
-        let service = EndpointService {
+        let discovery = SimulatedDiscovery {
             addr,
             shared,
             calls: Arc::default(),
         };
-        let accepting = service.clone();
+        let accepting = discovery.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                let service = accepting.clone();
-                thread::spawn(move || service.serve(stream));
+                let discovery = accepting.clone();
+                thread::spawn(move || discovery.serve(stream));
             }
         });
-        service
+        discovery
     }
 
     fn serve(&self, stream: TcpStream) {
@@ -93,8 +93,9 @@
                 .nth(1)
                 .expect("a path")
                 .to_string();
-            let since = parameter(&path, "since");
-            let wait = parameter(&path, "timeout_ms").map_or(Duration::ZERO, Duration::from_millis);
+            let since = query_parameter(&path, "since");
+            let wait =
+                query_parameter(&path, "timeout_ms").map_or(Duration::ZERO, Duration::from_millis);
             self.calls.lock().expect("no panic").push(path);
             let (endpoints, changed) = &*self.shared;
             let waits =
@@ -105,11 +106,11 @@
                 .expect("no panic");
             let body = guard.response(since);
             drop(guard);
-            let answer = format!(
+            let response = format!(
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}",
                 body.len()
             );
-            if stream.get_mut().write_all(answer.as_bytes()).is_err() {
+            if stream.get_mut().write_all(response.as_bytes()).is_err() {
                 return;
             }
         }
@@ -133,12 +134,12 @@
     }
 }
 
-fn parameter(path: &str, name: &str) -> Option<u64> {
+fn query_parameter(path: &str, name: &str) -> Option<u64> {
     let (_, query) = path.split_once('?')?;
     let (_, value) = query
         .split('&')
         .filter_map(|pair| pair.split_once('='))
-        .find(|(n, _)| *n == name)?;
+        .find(|(key, _)| *key == name)?;
     value.parse().ok()
 }
 
@@ -148,8 +149,8 @@
 }
 
 /// The configuration of a balancer whose list is pushed or polled.
-fn parsed_config(service: &EndpointService, mode: &str, cached_list: &str) -> Config {
-    let text = balancer_config(service.addr, 64, cached_list).replace("on_request", mode);
+fn parsed_config(discovery: &SimulatedDiscovery, mode: &str, cached_list: &str) -> Config {
+    let text = balancer_config(discovery.addr, 64, cached_list).replace("on_request", mode);
     Config::parse(text.as_bytes()).expect("a configuration")
 }
 
@@ -211,7 +212,7 @@
     }
 }
 
-fn on_one_thread(test: impl Future<Output = ()>) {
+fn run_on_one_thread(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -220,23 +221,24 @@
 }
 
 /// The complete list, a change and a removal reach every balancer in time.
-fn changes_reach_all(mode: &str) {
-    on_one_thread(async {
-        let service = EndpointService::start(ENDPOINTS);
-        let mut fleet = Fleet::start(&parsed_config(&service, mode, "null"), BALANCERS);
+fn assert_changes_reach_all_balancers(mode: &str) {
+    run_on_one_thread(async {
+        let discovery = SimulatedDiscovery::start(ENDPOINT_COUNT);
+        let mut fleet = Fleet::start(&parsed_config(&discovery, mode, "null"), BALANCER_COUNT);
         for first in fleet.wait_until_applied(1).await {
             assert!(
-                first.full && first.endpoints == ENDPOINTS,
+                first.full && first.endpoints == ENDPOINT_COUNT,
                 "{mode}: {first:?}"
             );
         }
-        assert_eq!(fleet.listed(), [ENDPOINTS; BALANCERS], "{mode}");
+        assert_eq!(fleet.listed(), [ENDPOINT_COUNT; BALANCER_COUNT], "{mode}");
 
-        for (number, state, listed) in
-            [(ENDPOINTS, "active", ENDPOINTS + 1), (3, "left", ENDPOINTS)]
-        {
+        for (number, state, listed) in [
+            (ENDPOINT_COUNT, "active", ENDPOINT_COUNT + 1),
+            (3, "left", ENDPOINT_COUNT),
+        ] {
             let changed_at = SystemTime::now();
-            let version = service.change(number, state);
+            let version = discovery.change(number, state);
             for update in fleet.wait_until_applied(version).await {
                 assert!(!update.full && update.endpoints == 1, "{mode}: {update:?}");
                 let took = update
@@ -245,68 +247,68 @@
                     .expect("it is applied afterwards");
                 assert!(took < MAX_UPDATE_TIME, "{mode}: {took:?}");
             }
-            assert_eq!(fleet.listed(), [listed; BALANCERS], "{mode}");
+            assert_eq!(fleet.listed(), [listed; BALANCER_COUNT], "{mode}");
         }
     });
 }
 
 #[test]
 fn pushed_changes_reach_all_balancers() {
-    changes_reach_all("pushed");
+    assert_changes_reach_all_balancers("pushed");
 }
 
 #[test]
 fn polled_changes_reach_all_balancers() {
-    changes_reach_all("on_request");
+    assert_changes_reach_all_balancers("on_request");
 }
 
 /// Endpoints that a complete list does not hold are removed.
 #[test]
 fn complete_list_replaces_previous_one() {
-    on_one_thread(async {
-        let service = EndpointService::start(ENDPOINTS);
-        service.shared.0.lock().expect("no panic").always_complete = true;
-        let mut fleet = Fleet::start(&parsed_config(&service, "pushed", "null"), BALANCERS);
+    run_on_one_thread(async {
+        let discovery = SimulatedDiscovery::start(ENDPOINT_COUNT);
+        discovery.shared.0.lock().expect("no panic").always_complete = true;
+        let mut fleet = Fleet::start(&parsed_config(&discovery, "pushed", "null"), BALANCER_COUNT);
         fleet.wait_until_applied(1).await;
-        let version = service.change(3, "left");
+        let version = discovery.change(3, "left");
         for update in fleet.wait_until_applied(version).await {
             assert!(
-                update.full && update.endpoints == ENDPOINTS - 1,
+                update.full && update.endpoints == ENDPOINT_COUNT - 1,
                 "{update:?}"
             );
         }
-        assert_eq!(fleet.listed(), [ENDPOINTS - 1; BALANCERS]);
+        assert_eq!(fleet.listed(), [ENDPOINT_COUNT - 1; BALANCER_COUNT]);
     });
 }
 
 /// A balancer that starts with a cached snapshot fetches only what is newer.
 #[test]
 fn cached_snapshot_saves_fetching_complete_list() {
-    on_one_thread(async {
-        let service = EndpointService::start(ENDPOINTS);
-        let snapshot = service.shared.0.lock().expect("no panic").response(None);
-        let version = service.change(3, "leaving");
-        let mut fleet = Fleet::start(&parsed_config(&service, "pushed", &snapshot), 1);
+    run_on_one_thread(async {
+        let discovery = SimulatedDiscovery::start(ENDPOINT_COUNT);
+        let snapshot = discovery.shared.0.lock().expect("no panic").response(None);
+        let version = discovery.change(3, "leaving");
+        let mut fleet = Fleet::start(&parsed_config(&discovery, "pushed", &snapshot), 1);
         assert_eq!(
             fleet.listed(),
-            [ENDPOINTS],
+            [ENDPOINT_COUNT],
             "the snapshot is in force at once"
         );
         let update = fleet.wait_until_applied(version).await[0];
         assert!(!update.full && update.endpoints == 1, "{update:?}");
         assert!(
-            service.calls()[0].starts_with("/api/targets?since=1&"),
+            discovery.calls()[0].starts_with("/api/targets?since=1&"),
             "{:?}",
-            service.calls()
+            discovery.calls()
         );
     });
 }
 
 #[test]
 fn serves_requests_once_endpoints_are_known() {
-    on_one_thread(async {
-        let service = EndpointService::start(ENDPOINTS);
-        let mut fleet = Fleet::start(&parsed_config(&service, "pushed", "null"), 1);
+    run_on_one_thread(async {
+        let discovery = SimulatedDiscovery::start(ENDPOINT_COUNT);
+        let mut fleet = Fleet::start(&parsed_config(&discovery, "pushed", "null"), 1);
         let deadline = Duration::from_secs(1);
         let before = fleet.balancers[0].request(0, 0, deadline).await;
         assert_eq!(before, RequestOutcome::Rejected, "no endpoint is known yet");
@@ -318,9 +320,9 @@
 
 #[test]
 fn dropped_balancer_stops() {
-    on_one_thread(async {
-        let service = EndpointService::start(ENDPOINTS);
-        let mut fleet = Fleet::start(&parsed_config(&service, "pushed", "null"), BALANCERS);
+    run_on_one_thread(async {
+        let discovery = SimulatedDiscovery::start(ENDPOINT_COUNT);
+        let mut fleet = Fleet::start(&parsed_config(&discovery, "pushed", "null"), BALANCER_COUNT);
         fleet.wait_until_applied(1).await;
         fleet.balancers.clear();
         // The channel closes with the tasks of the last balancer.
