--- a/balancer/tests/common/admin.rs
+++ b/balancer/tests/common/admin.rs
@@ -24,7 +24,7 @@
     {
         assert!(
             start.elapsed() < TEST_TIMEOUT,
-            "no {line} in {}",
+            "no line {line} in the metrics: {}",
             call_admin(address, b"METRICS\n")
         );
     }
--- a/balancer/tests/common/balancer_process.rs
+++ b/balancer/tests/common/balancer_process.rs
@@ -14,22 +14,23 @@
 /// How many log lines a failed test prints.
 const PRINTED_LOG_LINES: usize = 40;
 
-/// Pause between two looks at a process that is to exit.
+/// Interval between two checks whether a process has exited.
 const EXIT_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
 /// A running balancer; killed when dropped.
 pub struct BalancerProcess {
     child: Child,
-    /// The file of its configuration.
+    /// The path of its configuration file.
     pub config_path: PathBuf,
     pub address: SocketAddr,
     /// Its admin endpoint, if it has one.
     pub admin_address: Option<SocketAddr>,
-    /// Its discovery: silent, not gone.
+    /// Its discovery service, which runs as long as the balancer, and does not respond to a call
+    /// for which no response is prepared.
     pub discovery: StubDiscovery,
     log: Arc<Mutex<Vec<String>>>,
     log_reader: Option<thread::JoinHandle<()>>,
-    /// Its log after the start, if nobody is to read it.
+    /// The pipe with its log after the start; `None` once a thread reads it.
     unread_log: Option<BufReader<ChildStderr>>,
 }
 
@@ -40,7 +41,7 @@
 }
 
 impl BalancerProcess {
-    /// A balancer that starts with this endpoint list.
+    /// Starts a balancer with this limit of sockets and this endpoint list (JSON, or `null`).
     pub fn start(sockets: usize, known: &str) -> BalancerProcess {
         let discovery = StubDiscovery::start();
         let config = balancer_config(discovery.address, sockets, known);
@@ -61,7 +62,7 @@
         process
     }
 
-    /// The same, but nobody reads its log once it serves.
+    /// Like [`BalancerProcess::run`], but nothing reads its log once it serves.
     pub fn run_with_unread_log(mut command: Command, discovery: StubDiscovery) -> BalancerProcess {
         let config_path = command
             .get_envs()
@@ -69,7 +70,7 @@
             .and_then(|(_, path)| path)
             .expect("a configuration")
             .into();
-        let mut child = command.spawn().expect("starts");
+        let mut child = command.spawn().expect("starts the balancer");
         let mut stderr = BufReader::new(child.stderr.take().expect("its log"));
         let addresses = read_addresses(&mut stderr);
         BalancerProcess {
@@ -98,8 +99,9 @@
         BalancerProcess::run(command, discovery)
     }
 
-    /// A balancer with an admin endpoint that stores its state in this folder, and listens where
-    /// another one does, if any. Its discovery has sent these upstreams.
+    /// A balancer with an admin endpoint that stores its state in this folder, and listens at the
+    /// address of `predecessor`, if there is one. It starts with these upstreams, and its discovery
+    /// sends them again in response to the first call.
     pub fn in_state_folder(
         folder: &Path,
         predecessor: Option<&BalancerProcess>,
@@ -128,8 +130,8 @@
         connect(self.admin())
     }
 
-    /// Waits until the metrics have this line: a response is read a moment before its request
-    /// counts as completed.
+    /// Waits until the metrics have this line. A test must wait for it, as a client can read a
+    /// response shortly before the balancer counts the request as completed.
     pub fn wait_for_metric(&self, line: &str) {
         wait_for_metric(self.admin(), line);
     }
@@ -139,12 +141,12 @@
         call_admin(self.admin(), bytes)
     }
 
-    /// What it has logged since it began to serve.
+    /// The lines that it has logged since it began to serve.
     pub fn log_lines(&self) -> Vec<String> {
         self.log.lock().expect("no panic").clone()
     }
 
-    /// Kills it, and returns how many bytes of its log the pipe held for nobody.
+    /// Kills it, and returns how many bytes of its log are unread in the pipe.
     pub fn kill_and_measure_unread_log(&mut self) -> usize {
         self.child.kill().expect("it runs");
         let mut bytes = Vec::new();
@@ -159,20 +161,21 @@
         while !self.log_lines().iter().any(|line| line.contains(text)) {
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
-                "no line with {text:?} in {:?}",
+                "no log line with {text:?} in {:?}",
                 self.log_lines()
             );
             thread::yield_now();
         }
     }
 
-    /// How many descriptors it uses.
+    /// The number of its open descriptors.
     pub fn descriptor_count(&self) -> usize {
         let path = format!("/proc/{}/fd", self.child.id());
         std::fs::read_dir(path).expect("its descriptors").count()
     }
 
-    /// Waits until the number of its descriptors satisfies `condition`.
+    /// Waits until the number of its open descriptors satisfies `condition`; fails with the message
+    /// `otherwise`.
     pub fn wait_for_descriptors(&self, condition: impl Fn(usize) -> bool, otherwise: &str) {
         let start = Instant::now();
         while !condition(self.descriptor_count()) {
@@ -181,7 +184,7 @@
         }
     }
 
-    /// How much memory it uses.
+    /// Its resident memory, in kB.
     pub fn resident_kb(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
             .expect("its status");
@@ -195,17 +198,17 @@
             .expect("a number")
     }
 
-    /// Asks it to shut down.
+    /// Asks it to shut down with SIGTERM.
     pub fn terminate(&self) {
         self.signal("TERM");
     }
 
-    /// Asks it to shut down as from a terminal.
+    /// Asks it to shut down with SIGINT, as a terminal does.
     pub fn interrupt(&self) {
         self.signal("INT");
     }
 
-    /// Replaces the configuration and has it reloaded.
+    /// Replaces the configuration file and sends SIGHUP, so that it is reloaded.
     pub fn reload(&self, config: &str) {
         std::fs::write(&self.config_path, config).expect("writes the configuration");
         self.signal("HUP");
@@ -229,11 +232,14 @@
         status
     }
 
-    /// The same, but fails if it does not exit in [`TEST_TIMEOUT`].
+    /// Like [`BalancerProcess::wait_for_exit`], but fails if it runs on for [`TEST_TIMEOUT`].
     pub fn wait_for_exit_in_time(&mut self) -> ExitStatus {
         let start = Instant::now();
         while self.child.try_wait().expect("its status").is_none() {
-            assert!(start.elapsed() < TEST_TIMEOUT, "it does not exit");
+            assert!(
+                start.elapsed() < TEST_TIMEOUT,
+                "the balancer did not exit in time"
+            );
             thread::sleep(EXIT_POLL_INTERVAL);
         }
         self.wait_for_exit()
@@ -263,7 +269,7 @@
     loop {
         let mut line = String::new();
         let length = log.read_line(&mut line).expect("a log line");
-        assert_ne!(length, 0, "it exited at once");
+        assert_ne!(length, 0, "the balancer closed its log before it served");
         if let Some((_, address)) = line.trim_end().split_once("admin endpoint listens on ") {
             admin = Some(address.parse().expect("an address"));
         }
@@ -277,7 +283,8 @@
 }
 
 impl BalancerProcess {
-    /// Shows why a test failed; `NODE_LOG=debug` adds each attempt.
+    /// Prints the end of the log, which shows why a test failed. With `NODE_LOG=debug` the log has
+    /// each attempt.
     fn print_last_log_lines(&self) {
         let Ok(lines) = self.log.lock() else {
             return;
--- a/balancer/tests/common/client.rs
+++ b/balancer/tests/common/client.rs
@@ -40,11 +40,11 @@
                 let no_linger = Some(Duration::ZERO);
                 socket2::SockRef::from(stream)
                     .set_linger(no_linger)
-                    .expect("a socket");
+                    .expect("sets SO_LINGER");
                 None
             }
             Disconnect::HalfClose => {
-                stream.shutdown(Shutdown::Write).expect("a socket");
+                stream.shutdown(Shutdown::Write).expect("half-closes");
                 Some(self)
             }
         }
@@ -52,7 +52,7 @@
 
     /// Sends this text.
     pub fn send(&mut self, text: &str) {
-        // A closed connection shows when the response is read.
+        // An error is ignored: reading the response shows that the connection is closed.
         let _ = self.0.get_mut().write_all(text.as_bytes());
     }
 
--- a/balancer/tests/common/configuration.rs
+++ b/balancer/tests/common/configuration.rs
@@ -29,7 +29,8 @@
     endpoint_list(1, true, &servers)
 }
 
-/// A balancer's configuration, with the endpoint list that it starts from.
+/// A balancer's configuration with this limit of sockets. `known` is the endpoint list that it
+/// starts from (JSON, or `null`).
 pub fn balancer_config(discovery: SocketAddr, sockets: usize, known: &str) -> String {
     format!(
         r#"{{"name":"n1","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"8c1f30d27a5be964",
@@ -47,7 +48,7 @@
     )
 }
 
-/// The same configuration with an admin endpoint.
+/// This configuration with an admin endpoint.
 pub fn with_admin_endpoint(config: &str) -> String {
     config.replacen("\"listen\"", "\"ops\":\"127.0.0.1:0\",\"listen\"", 1)
 }
@@ -57,7 +58,7 @@
     let folder =
         Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
-    std::fs::create_dir_all(&folder).expect("a folder");
+    std::fs::create_dir_all(&folder).expect("creates the folder");
     folder
 }
 
@@ -66,7 +67,8 @@
     with_config_file(config, Command::new(env!("CARGO_BIN_EXE_balancer")))
 }
 
-/// The same under a limit of descriptors that the configuration does not state.
+/// Like [`balancer_command`], with a limit of descriptors (`ulimit -n`) that the configuration does
+/// not state.
 pub fn balancer_command_with_descriptors(config: &str, descriptors: usize) -> Command {
     let mut shell = Command::new("sh");
     let exec = format!(
@@ -77,7 +79,7 @@
     with_config_file(config, shell)
 }
 
-/// The same with all signals ignored that it follows.
+/// Like [`balancer_command`], but the balancer inherits that the signals it handles are ignored.
 pub fn balancer_command_ignoring_signals(config: &str) -> Command {
     let mut shell = Command::new("sh");
     let exec = format!(
--- a/balancer/tests/common/listeners.rs
+++ b/balancer/tests/common/listeners.rs
@@ -38,7 +38,7 @@
             if !is_open {
                 break;
             }
-            assert!(queued.len() < 64, "the queue has no end");
+            assert!(queued.len() < 64, "the accept queue does not fill");
         }
         UnresponsiveListener {
             address: address.as_socket().expect("an address"),
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Lets connections open, and returns the first one of another process.
+    /// Accepts connections, and returns the first one that another process opened.
     pub fn accept_first_connection(self) -> BufReader<TcpStream> {
         let own_ports: Vec<u16> = self
             .queued
@@ -65,7 +65,8 @@
 }
 
 fn tcp_socket() -> socket2::Socket {
-    socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket")
+    socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None)
+        .expect("creates a socket")
 }
 
 fn port(address: &socket2::SockAddr) -> u16 {
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -43,6 +43,6 @@
 pub fn with_read_timeout(stream: TcpStream) -> BufReader<TcpStream> {
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
-        .expect("a timeout");
+        .expect("sets a read timeout");
     BufReader::new(stream)
 }
--- a/balancer/tests/common/raw_http.rs
+++ b/balancer/tests/common/raw_http.rs
@@ -4,7 +4,7 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::thread;
 
-/// An upstream that serves one connection after another with `serve`.
+/// Starts an upstream that calls `serve` for each connection, one after another.
 pub fn start_raw_upstream(
     serve: impl Fn(&mut BufReader<TcpStream>) + Send + 'static,
 ) -> SocketAddr {
@@ -21,7 +21,7 @@
 /// Reads a head up to its empty line.
 pub fn read_head(from: &mut BufReader<TcpStream>) -> String {
     let mut head = String::new();
-    while !head.ends_with("\r\n\r\n") && from.read_line(&mut head).expect("a head") > 0 {}
+    while !head.ends_with("\r\n\r\n") && from.read_line(&mut head).expect("a message head") > 0 {}
     head
 }
 
@@ -34,7 +34,7 @@
 
 /// Sends these bytes.
 pub fn send_bytes(to: &mut BufReader<TcpStream>, bytes: &[u8]) {
-    // A closed connection shows when the response is read.
+    // An error is ignored: reading the response shows that the connection is closed.
     let _ = to.get_mut().write_all(bytes);
 }
 
@@ -43,8 +43,8 @@
     let mut body = Vec::new();
     loop {
         let mut size = String::new();
-        from.read_line(&mut size).expect("a size");
-        let size = usize::from_str_radix(size.trim_end(), 16).expect("a size");
+        from.read_line(&mut size).expect("the size of a chunk");
+        let size = usize::from_str_radix(size.trim_end(), 16).expect("the size of a chunk");
         body.extend(read_bytes(from, size));
         read_bytes(from, 2);
         if size == 0 {
--- a/balancer/tests/common/scripted_discovery.rs
+++ b/balancer/tests/common/scripted_discovery.rs
@@ -1,7 +1,7 @@
 //! A stand-in for polled discovery whose replies a test scripts call by call.
 //!
-//! It serves a watch until [`ScriptedDiscovery::play`] makes the change and starts the script. From then on each call gets
-//! the next step, and the change once the script is over.
+//! Calls wait as watches do until [`ScriptedDiscovery::play`] makes the change and starts the script. From then on each
+//! call gets the reply of the next step, and once the script is over the change.
 use super::{endpoint_list, read_message, Message};
 use socket2::{Domain, Socket, Type};
 use std::collections::VecDeque;
@@ -16,7 +16,7 @@
 /// The version of the list before the change, and of the change.
 const VERSION_BEFORE: u64 = 5;
 const VERSION_AFTER: u64 = 6;
-/// Length of the listener's queue.
+/// Length of the listener's accept queue, in connections.
 const ACCEPT_QUEUE: i32 = 16;
 
 /// What discovery does with a call.
@@ -88,14 +88,14 @@
 #[derive(Clone, Debug)]
 pub struct ListHistory {
     older: String,
-    /// The list of before the change, as the balancer knows it.
+    /// The list before the change, which the balancer knows.
     pub before: String,
     change: String,
     after: String,
 }
 
 impl ListHistory {
-    /// A list, what changes in it, and the list after that.
+    /// A list, a change to it, and the list after the change.
     pub fn new(
         before: &ListedUpstreams,
         change: &ListedUpstreams,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// A list of which all upstreams restart at this Unix time in milliseconds.
+    /// A list, and a change with which all its upstreams restart at this Unix time in milliseconds.
     pub fn with_restart(before: &ListedUpstreams, started_ms: u128) -> ListHistory {
         let restarted = |list: String| {
             let started = format!("\"started_ms\":{started_ms}");
@@ -123,7 +123,7 @@
         }
     }
 
-    /// A list, and the complete list after the change, which discovery sends instead of what changed.
+    /// A list, and the complete list after the change, which discovery sends to a watch instead of a delta.
     pub fn with_complete_change(before: &ListedUpstreams, after: &ListedUpstreams) -> ListHistory {
         let complete = endpoint_list(VERSION_AFTER, true, after);
         ListHistory {
@@ -141,7 +141,7 @@
     reachable_at: Option<Instant>,
     /// When the change was first written.
     written_at: Option<Instant>,
-    /// When a call arrived that follows the change.
+    /// When the first call arrived that asks for updates after the change.
     followed_at: Option<Instant>,
     calls: Vec<Instant>,
 }
@@ -156,7 +156,7 @@
 pub struct ScriptedDiscovery {
     pub address: SocketAddr,
     shared: Arc<Shared>,
-    /// Keeps the port while no listener does.
+    /// Keeps the port reserved while nothing listens on it.
     _reservation: Socket,
 }
 
@@ -165,7 +165,7 @@
 enum Connection {
     Kept,
     Closed,
-    /// Closed, and new ones are refused for this long, after which discovery is back or not.
+    /// Closed. New ones are refused for this long; then discovery is back, if the recovery says so.
     RefusedFor(Duration, Recovery),
 }
 
@@ -190,8 +190,8 @@
         }
     }
 
-    /// Makes the change and starts the script, also for the call that waits now. Discovery can be reached from the step on
-    /// that says so, or at once if none does.
+    /// Makes the change and starts the script; a call that waits now gets its first step. Discovery counts as reachable
+    /// from the step that says so, or at once if none does.
     pub fn play(&self, script: &[Step]) {
         let mut state = self.shared.state();
         state.script = script.iter().copied().collect();
@@ -278,7 +278,7 @@
             CallReply::Reject(delay) => {
                 thread::sleep(delay);
                 write(stream, "503 Service Unavailable", "");
-                // Discovery has ended the call; the balancer opens another connection.
+                // The connection is closed after a rejection; the balancer opens another one.
                 Connection::Closed
             }
             CallReply::Reset => reset(stream),
@@ -305,7 +305,8 @@
         }
     }
 
-    /// The script's step for a call. A call that there is nothing to tell waits for the change first.
+    /// The script's step for a call; `None` if there is no change yet or no step left. A call waits for up to its
+    /// `timeout_ms`: until the change is made, or the whole time if the balancer has the change already.
     fn next_step(&self, call: &Message, since: Option<u64>) -> Option<Step> {
         let mut state = self.state();
         state.calls.push(Instant::now());
@@ -325,7 +326,8 @@
         state.script.pop_front()
     }
 
-    /// The change, the list after it, or nothing where it is known or has not happened.
+    /// Responds to a watch with the change, and to a call for a snapshot with the list after it. If there is no change
+    /// yet, or the balancer has it, a watch gets an empty delta and a call for a snapshot the list before the change.
     fn write_list(&self, stream: &mut BufReader<TcpStream>, since: Option<u64>) -> Connection {
         let mut state = self.state();
         let has_news = state.has_changed && since != Some(VERSION_AFTER);
@@ -351,10 +353,10 @@
     }
 }
 
-/// A socket that shares its address with others.
+/// A socket bound to this address, which other sockets can share (`SO_REUSEPORT`).
 fn bind(address: SocketAddr) -> Socket {
-    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-    socket.set_reuse_port(true).expect("a socket");
+    let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("creates a socket");
+    socket.set_reuse_port(true).expect("sets SO_REUSEPORT");
     socket.bind(&address.into()).expect("binds");
     socket
 }
@@ -378,7 +380,7 @@
 fn write(stream: &mut BufReader<TcpStream>, status: &str, body: &str) {
     let length = body.len();
     let text = format!("HTTP/1.1 {status}\r\nContent-Length: {length}\r\n\r\n{body}");
-    // The balancer may have given the call up.
+    // The balancer may have abandoned the call.
     let _ = stream.get_mut().write_all(text.as_bytes());
 }
 
@@ -386,6 +388,6 @@
     let no_linger = Some(Duration::ZERO);
     socket2::SockRef::from(stream.get_ref())
         .set_linger(no_linger)
-        .expect("a socket");
+        .expect("sets SO_LINGER");
     Connection::Closed
 }
--- a/balancer/tests/common/stub_discovery.rs
+++ b/balancer/tests/common/stub_discovery.rs
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Responds to a call with this body.
+    /// Prepares a response with this body.
     pub fn respond(&self, body: &str) {
         self.respond_with_headers("", body);
     }
 
-    /// Responds to a call with further headers, each with its line end, and this body.
+    /// Prepares a response with further headers, each with its line end, and this body.
     pub fn respond_with_headers(&self, headers: &str, body: &str) {
         let text = format!(
             "HTTP/1.1 200 OK\r\n{headers}Content-Length: {}\r\n\r\n{body}",
@@ -55,7 +55,7 @@
         self.responses.send(text).expect("discovery runs");
     }
 
-    /// Responds to a call with status 503.
+    /// Prepares a response with status 503.
     pub fn respond_unavailable(&self) {
         let text = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
         self.responses.send(text.into()).expect("discovery runs");
@@ -63,7 +63,10 @@
 
     /// The path of the next call.
     pub fn next_call_path(&self) -> String {
-        let call = self.calls.recv_timeout(TEST_TIMEOUT).expect("a call");
+        let call = self
+            .calls
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("a call to discovery");
         call.path().into()
     }
 }
--- a/balancer/tests/common/stub_upstream.rs
+++ b/balancer/tests/common/stub_upstream.rs
@@ -60,7 +60,7 @@
     (signal, reply)
 }
 
-/// What a stub upstream has seen.
+/// What happened at a stub upstream.
 #[derive(Debug)]
 pub enum UpstreamEvent {
     Request(Message),
@@ -123,7 +123,7 @@
         ) {}
     }
 
-    /// How many requests have arrived that were not yet returned.
+    /// The number of requests that arrived and that no test has read. Removes their events.
     pub fn further_request_count(&self) -> usize {
         self.events
             .try_iter()
--- a/balancer/tests/failing_calls/failure.rs
+++ b/balancer/tests/failing_calls/failure.rs
@@ -11,11 +11,11 @@
     NotReady,
     /// The process exited before it was told to.
     ExitedEarly(ExitStatus),
-    /// The process ended in another way than with exit code 0.
+    /// The process did not exit with code 0.
     Exit(ExitStatus),
-    /// The process ran on after the time at which it would have been killed.
+    /// The process still ran when it would have been killed, this long after SIGTERM.
     NoExit(Duration),
-    /// Requests ended in this way.
+    /// This many requests ended in this way, which the row does not allow.
     Requests(RequestOutcome, usize),
     /// No request was answered.
     NothingServed,
@@ -23,6 +23,6 @@
     ReloadNotApplied(u64),
     /// The process reported that it broke an invariant.
     Violation(String),
-    /// Something panicked, even if the process went on: a second panic while the first one unwinds ends it.
+    /// A thread panicked. This counts even if the process runs on: a second panic while the first one unwinds ends it.
     Panic(String),
 }
--- a/balancer/tests/failing_calls/fault_control.rs
+++ b/balancer/tests/failing_calls/fault_control.rs
@@ -30,7 +30,7 @@
         FaultControl { path, file }
     }
 
-    /// Sets the faults of a row.
+    /// Writes the faults of a row into the control file, from which on they are injected.
     pub fn set(&self, row: &Row) {
         for fault in row.faults {
             self.file
@@ -61,7 +61,7 @@
     }
 }
 
-/// The library, which cargo builds into the folder of this test or the one above.
+/// The path of the library, which cargo builds into the folder of this test's program or its parent.
 fn library() -> PathBuf {
     let program = std::env::current_exe().expect("the path of this test");
     program
--- a/balancer/tests/failing_calls/load.rs
+++ b/balancer/tests/failing_calls/load.rs
@@ -10,11 +10,11 @@
 
 /// Time between two requests of a client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(33);
-/// Within this time after the response to the last request, the balancer does not close a connection that is idle.
+/// The balancer promises not to close an idle connection within this time after the last response.
 const IDLE_PROMISE: Duration = Duration::from_millis(80);
-/// For this long after SIGTERM connections are accepted without a successor. The balancer promises a little more.
+/// For this long after SIGTERM, the balancer must accept connections if it has no successor. It promises a little more.
 const ACCEPT_PROMISE: Duration = Duration::from_millis(400);
-/// Longest time for a response: the deadline of the requests' class, and a reserve.
+/// Longest time for a response: the deadline of the requests' class, and a margin.
 const RESPONSE_LIMIT: Duration = Duration::from_millis(2500);
 
 /// How a request ended.
@@ -24,26 +24,26 @@
     Response(u16),
     /// The request was sent, and the connection closed without a response.
     ClosedWithoutResponse,
-    /// The same on a connection that had been idle for so long that its close may have crossed the request.
+    /// The same on a connection idle for so long that the balancer may have closed it before the request arrived.
     CrossedByClose,
     /// No response in time.
     Overdue,
     /// The balancer did not accept a connection.
     Refused,
-    /// The same after the time for which it promises to.
+    /// The same after [`ACCEPT_PROMISE`], when it need not accept any more.
     RefusedLate,
 }
 
-/// How many requests ended in which way.
+/// The number of requests by outcome.
 pub type Tally = BTreeMap<RequestOutcome, usize>;
 
-/// What the clients must know of a play.
+/// The state of a play, as its clients need it.
 #[derive(Default)]
 struct Progress {
-    /// Set once the last process is told to end.
+    /// Set when the last process is sent SIGTERM.
     terminated_at: OnceLock<Instant>,
     stops_connecting: AtomicBool,
-    /// Set once a play has failed: its processes may go on.
+    /// Set once a play has failed: its processes may run on and keep their connections open.
     is_abandoned: AtomicBool,
 }
 
@@ -80,22 +80,22 @@
         Load { progress, clients }
     }
 
-    /// The last process is told to end now.
+    /// Records that the last process is sent SIGTERM now.
     pub fn mark_terminated(&self) {
         let _ = self.progress.terminated_at.set(Instant::now());
     }
 
-    /// No new connections are opened from now on.
+    /// Stops opening new connections.
     pub fn stop_connecting(&self) {
         self.progress.stops_connecting.store(true, Ordering::SeqCst);
     }
 
-    /// Ends without waiting for the balancer to end the connections.
+    /// Stops the clients without waiting for the balancer to end their connections.
     pub fn abandon(&self) {
         self.progress.is_abandoned.store(true, Ordering::SeqCst);
     }
 
-    /// Waits until the last connection has ended.
+    /// Stops opening connections, waits until the last one has ended, and returns the outcomes of all requests.
     pub fn finish(self) -> Tally {
         self.stop_connecting();
         let mut total = Tally::new();
@@ -110,7 +110,7 @@
 
 struct Connection {
     stream: BufReader<TcpStream>,
-    /// When the last response was read; none on a new connection.
+    /// When the last response was read; `None` on a new connection.
     idle_since: Option<Instant>,
 }
 
--- a/balancer/tests/failing_calls/plays.rs
+++ b/balancer/tests/failing_calls/plays.rs
@@ -1,4 +1,4 @@
-//! One play: a balancer from start to exit, with the faults of one row from some moment on.
+//! One play: one run of a balancer from start to exit, with the faults of one row from a given moment on.
 use crate::common::state_folder;
 use crate::failure::Failure;
 use crate::fault_control::FaultControl;
@@ -12,26 +12,26 @@
 
 /// How long clients send requests before and after an event.
 const LOAD_PERIOD: Duration = Duration::from_millis(300);
-/// How long an idle process runs with faults before its end.
+/// How long an idle process runs with faults before SIGTERM.
 const IDLE_PERIOD: Duration = Duration::from_millis(150);
 const RELOAD_COUNT: u64 = 5;
-/// Lines of the log that report a broken invariant contain this.
+/// Contained in log lines that report a broken invariant.
 const VIOLATION_TEXT: &str = "invariant violated";
-/// Lines of the log that report a panic contain this.
+/// Contained in log lines that report a panic.
 const PANIC_TEXT: &str = "panicked at";
 
-/// When the faults are set, and what happens then.
+/// When the faults are set, and what happens after that.
 #[derive(Clone, Copy, Debug)]
 pub enum Moment {
     /// Before the start.
     Start,
-    /// While the process is idle. Then it ends.
+    /// While the process is idle. Then it is terminated.
     Idle,
-    /// Under load. Then it ends.
+    /// Under load. Then the process is terminated.
     Load,
-    /// Under load, before some reloads. Then it ends.
+    /// Under load, before [`RELOAD_COUNT`] reloads. Then the process is terminated.
     Reloads,
-    /// Under load, before a successor starts. Then both end, one after the other.
+    /// Under load, before a successor starts. Then the old process is terminated, and after its exit the successor.
     Handoff,
 }
 
@@ -39,7 +39,7 @@
 pub struct PlayResult {
     pub failures: Vec<Failure>,
     pub tally: Tally,
-    /// How many calls failed.
+    /// How many system calls the faults made fail.
     pub injected: u64,
     /// The logs of its processes.
     pub log: Vec<String>,
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Plays it at this moment.
+    /// Runs the play, with the faults set at this moment.
     pub fn run(mut self, moment: Moment) -> PlayResult {
         if matches!(moment, Moment::Start) {
             self.faults.set(self.row);
@@ -137,7 +137,7 @@
         self.terminate(load, balancer)
     }
 
-    /// Hands off to a successor, which then ends too. The first failure ends the play.
+    /// Hands off to a successor, which is then terminated too. The first failure ends the play.
     fn hand_off(&mut self, load: &Load, old: &mut PreloadedBalancer) -> Result<(), Failure> {
         let mut new = self.start_balancer(1);
         let result = new.wait_until_ready().and_then(|()| {
@@ -150,7 +150,7 @@
         result
     }
 
-    /// Ends the last process, while clients still send requests.
+    /// Terminates the last process while clients still send requests.
     fn terminate(&mut self, load: &Load, balancer: &mut PreloadedBalancer) -> Result<(), Failure> {
         thread::sleep(LOAD_PERIOD);
         balancer.check_running()?;
--- a/balancer/tests/failing_calls/preloaded_balancer.rs
+++ b/balancer/tests/failing_calls/preloaded_balancer.rs
@@ -18,15 +18,15 @@
 const READINESS_LIMIT: Duration = Duration::from_secs(10);
 /// SIGKILL follows SIGTERM after this time: the deadline of the settings and 0.7 s.
 const KILL_DELAY: Duration = Duration::from_millis(1700);
-/// Time within which a signal to reload must be followed.
+/// Time within which a reload must be applied after its signal.
 const RELOAD_LIMIT: Duration = Duration::from_secs(3);
 /// Time for one call of the admin endpoint.
 const ADMIN_CALL_LIMIT: Duration = Duration::from_secs(1);
-/// Pause between two looks at a process.
+/// Interval between two checks of a process.
 const POLL_INTERVAL: Duration = Duration::from_millis(5);
 const SOCKETS: usize = 1024;
 
-/// An address that no other process takes: a socket is bound to it that does not listen.
+/// An address that no other process takes, as a socket that does not listen is bound to it.
 pub struct ReservedAddress {
     pub address: SocketAddr,
     _socket: Socket,
@@ -35,9 +35,9 @@
 impl ReservedAddress {
     /// Reserves an address, at which several processes may listen if `is_shared`.
     pub fn new(is_shared: bool) -> ReservedAddress {
-        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("a socket");
-        socket.set_reuse_address(true).expect("a socket");
-        socket.set_reuse_port(is_shared).expect("a socket");
+        let socket = Socket::new(Domain::IPV4, Type::STREAM, None).expect("creates a socket");
+        socket.set_reuse_address(true).expect("sets SO_REUSEADDR");
+        socket.set_reuse_port(is_shared).expect("sets SO_REUSEPORT");
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
         socket.bind(&SockAddr::from(any_port)).expect("binds");
         let address = socket.local_addr().expect("an address");
@@ -76,7 +76,7 @@
             .and_then(|(_, path)| path)
             .expect("a configuration")
             .into();
-        let mut child = command.spawn().expect("starts");
+        let mut child = command.spawn().expect("starts the balancer");
         let log = Arc::new(Mutex::new(Vec::new()));
         let stderr = child.stderr.take().expect("its log");
         let lines = log.clone();
@@ -113,11 +113,11 @@
     /// Sends a signal.
     pub fn signal(&self, signal: Signal) {
         let process_id = i32::try_from(self.child.id()).expect("a process id");
-        // It has not been waited for, or the play has failed already.
+        // The process has not been waited for, or the play has failed already.
         let _ = kill(Pid::from_raw(process_id), signal);
     }
 
-    /// Sends the signal to reload, and waits until it has been followed.
+    /// Sends SIGHUP, and waits until the balancer has applied this many reloads.
     pub fn reload(&mut self, number: u64) -> Result<(), Failure> {
         self.signal(Signal::SIGHUP);
         let sent_at = Instant::now();
@@ -145,7 +145,7 @@
         }
     }
 
-    /// The violations of invariants in its metrics, if it still answers.
+    /// The violations of invariants in its metrics; none if its admin endpoint does not respond any more.
     pub fn violations_in_metrics(&self) -> Vec<Failure> {
         let metrics = self.call_admin("METRICS").unwrap_or_default();
         metrics
@@ -172,7 +172,7 @@
         value.parse().ok()
     }
 
-    /// The response of its admin endpoint; none if it does not respond.
+    /// The response of its admin endpoint; `None` if it does not respond.
     fn call_admin(&self, command: &str) -> Option<String> {
         let mut stream = TcpStream::connect(self.admin.address).ok()?;
         stream.set_read_timeout(Some(ADMIN_CALL_LIMIT)).ok()?;
@@ -191,7 +191,7 @@
     }
 }
 
-/// A configuration with deadlines so short that the process ends soon.
+/// A configuration with deadlines of 1 s, so that the process exits soon.
 fn configuration(address: SocketAddr, admin: SocketAddr) -> String {
     let config = balancer_config(discovery_address(), SOCKETS, endpoint_list());
     with_admin_endpoint(&config)
--- a/balancer/tests/failing_calls/rows.rs
+++ b/balancer/tests/failing_calls/rows.rs
@@ -1,18 +1,18 @@
-//! Which calls fail, and how often.
+//! The rows: which system calls fail, and how often.
 use fault_injection::control::{fail_first_calls, Fault, PROBABILITY_ONE};
 
-/// Calls that fail together.
+/// System calls that fail in the same plays.
 pub struct Row {
     /// Names the row in a report.
     pub name: &'static str,
     pub faults: &'static [Fault],
-    /// The word of each fault in the control file.
+    /// The word of each fault in the control file, which states how often it is injected.
     pub word: u64,
     /// Whether connections to upstreams fail too, so that 502 and 503 are right answers to a request.
     pub breaks_upstream_connections: bool,
 }
 
-/// Calls that fail together, while connections to upstreams do not.
+/// A row whose faults leave connections to upstreams intact.
 pub const fn row(name: &'static str, faults: &'static [Fault], word: u64) -> Row {
     Row {
         name,
@@ -22,7 +22,7 @@
     }
 }
 
-/// The word for a probability of one in `calls`.
+/// The word with which one in `calls` calls fails on average.
 pub const fn one_in(calls: u64) -> u64 {
     PROBABILITY_ONE / calls
 }
--- a/balancer/tests/failing_calls/runner.rs
+++ b/balancer/tests/failing_calls/runner.rs
@@ -12,26 +12,28 @@
 const DEFAULT_PLAYS: usize = 1;
 /// Name of the environment variable with the number of plays at once.
 const PLAYS_AT_ONCE_VARIABLE: &str = "FAILING_CALLS_AT_ONCE";
-/// Plays wait most of the time: six of them use a third of a processor.
+/// Plays wait most of the time: six at once use a third of a processor.
 const DEFAULT_PLAYS_AT_ONCE: usize = 6;
 /// How many lines of the log of a failed play are reported.
 const REPORTED_LOG_LINES: usize = 4;
 
-/// Held while a moment is played.
+/// Held while the rows are played at one moment, so that the tests run one after another.
 static RUN_LOCK: Mutex<()> = Mutex::new(());
 
-/// The plays of one row that failed.
+/// The results of the plays of one row.
 #[derive(Default)]
 struct RowReport {
+    /// The number of plays that failed.
     failed: usize,
-    /// Over all plays: the system calls that failed, and the requests.
+    /// How many system calls the faults made fail in all plays.
     injected: u64,
+    /// The requests of all plays.
     tally: Tally,
     /// Why the first play failed.
     evidence: String,
 }
 
-/// Plays all rows at this moment.
+/// Plays all rows at this moment, prints a report, and fails if a play failed.
 pub fn assert_all_rows_survive(moment: Moment) {
     let _run = RUN_LOCK.lock().unwrap_or_else(PoisonError::into_inner);
     let plays = number_from(PLAYS_VARIABLE, DEFAULT_PLAYS);
@@ -46,7 +48,7 @@
             evidence,
         } = report;
         text += &format!(
-            "\n  {}: {failed} of {plays} plays failed, {injected} calls, {tally:?}{evidence}",
+            "\n  {}: {failed} of {plays} plays failed, {injected} calls made to fail, requests {tally:?}{evidence}",
             row.name
         );
     }
@@ -101,11 +103,11 @@
         return;
     }
     report.failed += 1;
-    println!("{} seed {seed:#x}: {:?}", row.name, result.failures);
+    println!("{}, seed {seed:#x}: {:?}", row.name, result.failures);
     if report.evidence.is_empty() {
         let skipped = result.log.len().saturating_sub(REPORTED_LOG_LINES);
         report.evidence = format!(
-            ", first {:?}, requests {:?}, log {:#?}",
+            ", first failed play: {:?}, requests {:?}, log {:#?}",
             result.failures,
             result.tally,
             &result.log[skipped..]
--- a/balancer/tests/failing_calls/shared_services.rs
+++ b/balancer/tests/failing_calls/shared_services.rs
@@ -1,4 +1,5 @@
-//! The upstreams and the discovery that all plays share: long runs would otherwise leave threads behind.
+//! The upstreams and the discovery service that all plays share: with their own for each play, threads would
+//! accumulate in long runs.
 use crate::common::{active_endpoints, ok_response, ok_text, read_message, StubUpstream};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -18,7 +19,7 @@
     })
 }
 
-/// The address of a discovery that sends the list on each connection once, and then holds the calls.
+/// The address of a discovery service that sends the list once on each connection, and then does not respond.
 pub fn discovery_address() -> SocketAddr {
     static ADDRESS: OnceLock<SocketAddr> = OnceLock::new();
     *ADDRESS.get_or_init(|| {
@@ -36,7 +37,7 @@
 fn serve_discovery(stream: TcpStream) {
     let mut stream = BufReader::new(stream);
     if read_message(&mut stream).is_some() {
-        // A balancer that has disconnected calls again.
+        // An error is ignored: a balancer that has disconnected calls again.
         let _ = stream
             .get_mut()
             .write_all(ok_text(endpoint_list()).as_bytes());
