--- a/balancer/tests/asked_lists.rs
+++ b/balancer/tests/asked_lists.rs
@@ -1,4 +1,4 @@
-//! Polled endpoint lists, from a discovery that serves a fleet of balancers from one queue. Each test covers one way in
+//! Polled endpoint lists from a discovery service with one queue for a fleet of balancers. Each test covers one way in
 //! which the fleet could overload that queue.
 // A helper that fails ends its test, as an assertion does.
 #![allow(clippy::expect_used)]
@@ -8,7 +8,7 @@
 use std::net::{TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-/// How long a call waits in the queue of an overloaded discovery, which fails calls that have waited for 2 s.
+/// How long a call waits in the queue of an overloaded discovery service, which fails calls that have waited for 2 s.
 const QUEUE_TIME: Duration = Duration::from_millis(1900);
 
 fn respond(stream: &mut BufReader<TcpStream>, status: &str, body: &str) {
@@ -19,11 +19,11 @@
     stream
         .get_mut()
         .write_all(text.as_bytes())
-        .expect("it is open");
+        .expect("the connection is open");
 }
 
-/// If balancers abandoned calls after 1.2 s while discovery needs 1.4 s and more for each, discovery would process only
-/// abandoned calls, and balancers would never learn of draining upstreams.
+/// Guards against balancers that abandon calls after 1.2 s while discovery needs at least 1.4 s for each: it would
+/// process only abandoned calls, and balancers would never learn of draining upstreams.
 #[test]
 fn does_not_abandon_call_that_waits_in_discovery_queue() {
     let old = StubUpstream::start(|_| ok_response("old"));
@@ -33,8 +33,8 @@
     let config = balancer_config(discovery.local_addr().expect("an address"), 1024, &known);
     let balancer = BalancerProcess::run(balancer_command(&config), StubDiscovery::start());
     let accept_call = || {
-        let mut stream = BufReader::new(discovery.accept().expect("a call").0);
-        let call = read_message(&mut stream).expect("a call");
+        let mut stream = BufReader::new(discovery.accept().expect("a call to discovery").0);
+        let call = read_message(&mut stream).expect("a call to discovery");
         assert!(call.start_line.contains("since=1&"), "{}", call.start_line);
         stream
     };
@@ -50,7 +50,7 @@
             &[(0, old.address, "left"), (1, new.address, "active")],
         ),
     );
-    let next = read_message(&mut queued).expect("the watch goes on");
+    let next = read_message(&mut queued).expect("the watch continues");
     assert!(next.start_line.contains("since=2&"), "{}", next.start_line);
     assert_eq!(
         balancer.client().call(&get_request("r1", "5000m")).body,
@@ -58,7 +58,8 @@
     );
 }
 
-/// If a fleet that migrates together retried a new address 0.1 s after each rejection, it would keep the queue full.
+/// Guards against a queue that stays full because a fleet, migrated to a new address all at once, retries 0.1 s after
+/// each rejection.
 #[test]
 fn backs_off_from_new_address_that_rejects_calls() {
     let upstream = StubUpstream::start(|_| ok_response("x"));
@@ -72,8 +73,8 @@
         "null",
     ));
     let accept_call = || {
-        let mut stream = BufReader::new(discovery.accept().expect("a call").0);
-        let call = read_message(&mut stream).expect("a call");
+        let mut stream = BufReader::new(discovery.accept().expect("a call to discovery").0);
+        let call = read_message(&mut stream).expect("a call to discovery");
         assert!(
             call.start_line.starts_with("GET /api/targets "),
             "{}",
@@ -99,6 +100,6 @@
         "200 OK",
         &endpoint_list(1, true, &[(0, upstream.address, "active")]),
     );
-    let next = read_message(&mut retry).expect("the watch goes on");
+    let next = read_message(&mut retry).expect("the watch continues");
     assert!(next.start_line.contains("since=1&"), "{}", next.start_line);
 }
--- a/balancer/tests/bodies.rs
+++ b/balancer/tests/bodies.rs
@@ -10,7 +10,8 @@
 
 const LARGE_BODY_BYTES: usize = 3 << 20;
 
-/// Echoes request bodies, which must be `expected`, in the framing that the request's id selects.
+/// Echoes request bodies, which must equal `expected`, in the framing that the request's id
+/// selects.
 fn echo_in_every_framing(stream: &mut BufReader<TcpStream>, expected: &[u8]) {
     loop {
         let head = read_head(stream);
@@ -49,8 +50,8 @@
     }
 }
 
-/// In both directions, with and without a stated length. Connections stay open where the framing
-/// allows it.
+/// Bodies are sent in both directions, with and without a stated length. Connections stay open
+/// where the framing allows it.
 #[test]
 fn forwards_large_bodies_unchanged_in_every_framing() {
     let body = test_bytes(LARGE_BODY_BYTES);
@@ -67,7 +68,7 @@
         .to_ascii_lowercase()
         .contains(&format!("content-length: {LARGE_BODY_BYTES}")));
     assert!(read_bytes(&mut client, LARGE_BODY_BYTES) == body);
-    // The same connection; the client sends the body after `100 Continue`.
+    // On the same connection, the client sends the body after `100 Continue`.
     let framing = format!("Expect: 100-continue\r\nContent-Length: {LARGE_BODY_BYTES}");
     send_bytes(&mut client, upload_head("r1", &framing).as_bytes());
     assert!(read_head(&mut client).starts_with("HTTP/1.1 100 "));
@@ -102,8 +103,8 @@
     }
 }
 
-/// An HTTP/1.0 client gets no chunks: the response ends with its connection. A HEAD request is not
-/// served.
+/// An HTTP/1.0 client gets no chunks: closing the connection ends the response. A HEAD request is
+/// rejected, with a response without a body.
 #[test]
 fn sends_an_unchunked_response_to_an_http_1_0_client() {
     let upstream = start_raw_upstream(|stream| {
@@ -132,7 +133,9 @@
         "{response}"
     );
     let mut body = Vec::new();
-    client.read_to_end(&mut body).expect("an end");
+    client
+        .read_to_end(&mut body)
+        .expect("the connection is closed");
     assert!(body == test_bytes(LARGE_BODY_BYTES));
     let mut client = connect(balancer.address);
     send_bytes(
@@ -143,11 +146,13 @@
     );
     assert!(read_head(&mut client).starts_with("HTTP/1.1 400 "));
     let mut rest = Vec::new();
-    client.read_to_end(&mut rest).expect("an end");
-    assert!(rest.is_empty(), "a head alone");
+    client
+        .read_to_end(&mut rest)
+        .expect("the connection is closed");
+    assert!(rest.is_empty(), "the response to a HEAD request has a body");
 }
 
-/// Each side gets the first bytes before the last ones are sent.
+/// Each side gets the first byte before the other one sends the rest.
 #[test]
 fn forwards_first_bytes_at_once_in_both_directions() {
     let (first_byte_sender, first_byte) = channel();
@@ -178,7 +183,7 @@
     for line in ["node_tries 0", "node_active 0"] {
         assert!(
             metrics.lines().any(|metric| metric == line),
-            "it has not arrived completely: {metrics}"
+            "no {line} although the request has not arrived completely: {metrics}"
         );
     }
     send_bytes(&mut client, &vec![b'y'; LARGE_BODY_BYTES - 1]);
@@ -199,7 +204,7 @@
     balancer.wait_for_metric("node_ok{kind=\"pay\"} 1");
 }
 
-/// Two dozen large responses that their clients do not read.
+/// 24 clients do not read their responses of 32 MiB each.
 #[test]
 fn unread_responses_neither_fill_memory_nor_delay_others() {
     const RESPONSE_COUNT: usize = 24;
@@ -235,7 +240,8 @@
     drop(stalled);
 }
 
-/// The client notices: its connection ends before the stated length, or before the last chunk.
+/// The client can tell that the response is incomplete: its connection ends before the stated
+/// length, or before the last chunk.
 #[test]
 fn closes_the_client_connection_after_a_truncated_response() {
     let upstream = start_raw_upstream(|stream| {
@@ -264,7 +270,7 @@
     balancer.wait_for_metric("node_active 0");
 }
 
-/// A refused connection uses nothing of the body, so that another upstream gets it.
+/// A refused connection consumes nothing of the body, so that another upstream can get it.
 #[test]
 fn retries_a_large_request_after_a_refused_connection() {
     let body = test_bytes(LARGE_BODY_BYTES);
@@ -292,9 +298,9 @@
     }
 }
 
-/// An upstream rejects a request in the middle of its body: more of it was sent than is buffered,
-/// so that it cannot be retried. It has not run, and its client gets a rejection while it still
-/// sends.
+/// An upstream rejects a request in the middle of its body. The request cannot be retried, as more
+/// of its body was sent than the balancer buffers. It has not run, so its client gets a rejection
+/// while it still sends.
 #[test]
 fn rejects_a_large_request_that_its_upstream_rejected_midway() {
     let upstream = start_raw_upstream(|stream| {
@@ -339,16 +345,16 @@
     // A request that is not yet forwarded has no upstream connection to close.
     upload_start
         .recv_timeout(TEST_TIMEOUT)
-        .expect("it is forwarded");
+        .expect("the request is forwarded");
     drop(client);
     assert!(!upload_end
         .recv_timeout(TEST_TIMEOUT)
-        .expect("the connection ends"));
+        .expect("the upstream connection ends"));
     balancer.wait_for_metric("node_active 0");
     assert!(balancer.call_admin(b"METRICS\n").contains("node_tries 0\n"));
 }
 
-/// Its length is not stated: its bytes are counted as they arrive.
+/// The body has no stated length, so its bytes are counted as they arrive.
 #[test]
 fn rejects_an_endless_body() {
     let upstream = start_raw_upstream(|stream| {
--- a/balancer/tests/clients.rs
+++ b/balancer/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send invalid requests, too much, or nothing.
+//! Clients that send invalid or too large requests, open too many connections, or send nothing.
 mod common;
 use common::*;
 use std::time::{Duration, Instant};
@@ -59,10 +59,10 @@
         );
         assert!(
             client.read_response().is_none(),
-            "nothing is read behind it"
+            "bytes behind the request with {framing:?} were read"
         );
     }
-    // A chunked request alone is served, and is the last one on its connection.
+    // A request with chunked framing only is served, and is the last one on its connection.
     let head = payment_request("r2", "5000m").replace(
         "Content-Length: 4\r\n\r\nbody",
         "Transfer-Encoding: chunked\r\n\r\n",
@@ -160,7 +160,7 @@
     let balancer = BalancerProcess::start(64, &known);
     let mut kept = balancer.client();
     assert_eq!(kept.call(&get_request("r0", "10000m")).status(), 200);
-    // More than there are permits: the oldest connections without a request are evicted.
+    // There are more clients than permits: the oldest connections without a request are evicted.
     let silent: Vec<Client> = (0..200).map(|_| balancer.client()).collect();
     for i in 1..5 {
         assert_eq!(
@@ -193,7 +193,7 @@
     assert_eq!(response.status(), 503);
     let after: f64 = response
         .header("retry-after")
-        .expect("advice")
+        .expect("a Retry-After header")
         .parse()
         .expect("seconds");
     assert!(after > 0.0 && after <= 2.0, "{after}");
@@ -223,7 +223,7 @@
     assert!(balancer.wait_for_exit().success());
 }
 
-/// A pipelined request waits in the balancer: its deadline counts from its arrival.
+/// A pipelined request waits in the balancer for its turn; its deadline counts from its arrival.
 #[test]
 fn forwards_a_pipelined_request_with_its_remaining_time() {
     let upstream = StubUpstream::start(|request| match request.header("req-id") {
@@ -246,10 +246,10 @@
     let stated = second
         .header("req-deadline")
         .and_then(|deadline| deadline.strip_suffix('u'))
-        .expect("microseconds");
+        .expect("a Req-Deadline header in microseconds");
     let remaining = Duration::from_micros(stated.parse().expect("a number"));
     assert!(
         remaining <= Duration::from_millis(1450),
-        "{remaining:?} of 2 s, 0.6 s of which had passed"
+        "{remaining:?} remain of 2 s, of which 0.6 s had passed"
     );
 }
--- a/balancer/tests/disconnects.rs
+++ b/balancer/tests/disconnects.rs
@@ -1,6 +1,6 @@
-//! Clients that disconnect while their request waits: each test is one way of waiting, with every
-//! way of disconnecting, and with and without unread bytes behind the request, which hide the end
-//! of the stream from a reader.
+//! Clients that disconnect while their request waits. Each test covers one reason to wait, with
+//! every way of disconnecting, and without and with unread bytes behind the request: a reader
+//! reaches the end of the stream only after them.
 mod common;
 use common::*;
 use std::sync::mpsc::channel;
@@ -14,7 +14,7 @@
     })
 }
 
-/// A half-closed client gets this status, and nothing after that.
+/// A client that has half-closed its connection gets a response with this status, and no other.
 fn expect_only_response(client: Option<Client>, status: u16, case: &str) {
     if let Some(mut client) = client {
         assert_eq!(
@@ -24,13 +24,13 @@
         );
         assert!(
             client.read_response().is_none(),
-            "{case}: the request behind it is not read"
+            "{case}: the request behind it was read"
         );
     }
 }
 
-/// A balancer with an admin endpoint and one upstream whose connections do not open yet, and whose
-/// dial timeout is long.
+/// A balancer with an admin endpoint, a long dial timeout, and one upstream to which connections do
+/// not open yet.
 fn balancer_with_unopened_upstream(cancel: bool) -> (BalancerProcess, UnresponsiveListener) {
     let unresponsive = UnresponsiveListener::start();
     let discovery = StubDiscovery::start();
@@ -42,7 +42,8 @@
     .replace("\"idle_close\"", "\"dial_timeout\":80000,\"idle_close\"")
     .replace("\"cancel\":true", &format!("\"cancel\":{cancel}"));
     let balancer = BalancerProcess::run(balancer_command(&with_admin_endpoint(&config)), discovery);
-    // The connection to discovery is open, so that it does not count as a dial below.
+    // Once a call has arrived, the connection to discovery is open: its descriptor does not count
+    // as that of a dial below.
     balancer.discovery.next_call_path();
     (balancer, unresponsive)
 }
@@ -75,8 +76,8 @@
 fn writes_nothing_for_a_large_request_whose_client_disconnects_while_dialling() {
     for how in DISCONNECTS {
         let (balancer, unresponsive) = balancer_with_unopened_upstream(false);
-        // More than is buffered here, and no more than the system buffers: the end of the stream
-        // could not arrive behind that.
+        // More than the balancer buffers, but no more than the kernel does: the end of the stream
+        // could not arrive behind a longer body.
         let body = "x".repeat(70_000);
         let head = payment_request("gone", "60000m").replace(
             "Content-Length: 4\r\n\r\nbody",
@@ -84,13 +85,16 @@
         );
         let idle_count = balancer.descriptor_count();
         let client = balancer.client_that_sent(&format!("{head}{body}"));
-        // The client's socket and the one that dials.
-        balancer.wait_for_descriptors(|count| count >= idle_count + 2, "it does not dial");
+        // One descriptor is the client's connection, the other the socket that dials.
+        balancer.wait_for_descriptors(
+            |count| count >= idle_count + 2,
+            "the balancer does not dial",
+        );
         let client = client.disconnect(how);
         if client.is_none() {
             balancer.wait_for_descriptors(
                 |count| count <= idle_count + 1,
-                "it does not notice that the client disconnected",
+                "the balancer does not notice that the client disconnected",
             );
         }
         expect_only_response(client, 502, &format!("{how:?}"));
@@ -185,13 +189,13 @@
     }
 }
 
-/// An attempt must not start over 0.1 s after its client has disconnected.
+/// An attempt must not start more than 0.1 s after its client has disconnected.
 #[test]
 fn notices_a_disconnect_behind_unread_bytes_at_once() {
     let upstream = StubUpstream::start(|_| Reply::NeverRespond);
     let balancer = BalancerProcess::with_upstreams(&[upstream.address]);
     for how in DISCONNECTS {
-        // The best of several rounds, as a busy machine may be late.
+        // The best of several rounds counts, as a busy machine may delay some.
         let rounds = (0..5).map(|round| {
             let client =
                 balancer.client_that_sent(&payment_request(&format!("{how:?}{round}"), "60000m"));
@@ -210,7 +214,7 @@
     }
 }
 
-/// Unread bytes behind a waiting request are read after its response.
+/// Unread bytes behind a request that waits are read after its response.
 #[test]
 fn serves_pipelined_requests_in_order() {
     let (signal, reply) = hold_first_request("first", "second");
@@ -218,7 +222,7 @@
     let balancer = BalancerProcess::with_upstreams(&[upstream.address]);
     let mut client = balancer.client_that_sent(&get_request("r1", "15000m"));
     upstream.next_request();
-    // More than is read at once, so that the system buffers some of it.
+    // More than the balancer reads at once, so that the kernel buffers the rest.
     let many: String = (2..400)
         .map(|i| get_request(&format!("r{i}"), "15000m"))
         .collect();
@@ -235,8 +239,8 @@
     }
 }
 
-/// Clients that wait for a permit have written their requests. The request of one that disconnects
-/// meanwhile is not forwarded.
+/// Clients may write their requests while they wait for a permit. If one disconnects meanwhile, its
+/// request is not forwarded.
 #[test]
 fn does_not_forward_a_request_whose_client_disconnects_before_it_is_accepted() {
     for (how, behind) in disconnect_cases() {
@@ -276,7 +280,7 @@
             "{case}"
         );
         expect_only_response(client, 503, &case);
-        // A later client is served later.
+        // A client that connects afterwards is served.
         assert_eq!(
             balancer
                 .client()
--- a/balancer/tests/discovery.rs
+++ b/balancer/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery: watches, snapshots and reloads.
+//! Calls to discovery: watches, snapshots, and reloads that change its address.
 mod common;
 use common::*;
 use std::net::SocketAddr;
@@ -12,7 +12,8 @@
     );
 }
 
-/// Lists that cannot be used: a missing field, an unknown state, and no JSON.
+/// Lists that must be ignored: one without some fields, one with an unknown state, and one that is
+/// not JSON.
 fn malformed_lists(address: SocketAddr) -> [String; 3] {
     [
         "{\"version\":8,\"full\":true,\"servers\":[{\"id\":\"s-0\"}]}".to_string(),
@@ -59,13 +60,13 @@
         "old",
         "a snapshot removes an unlisted upstream"
     );
-    // Guards against asking forever for updates after a version that a restarted discovery does not
-    // know.
+    // Guards against asking forever for updates after a version that discovery does not know any
+    // more since its restart.
     discovery.respond(&endpoint_list(2, false, &[(1, new.address, "active")]));
     assert_eq!(
         discovery.next_call_path(),
         "/api/targets",
-        "a delta that does not follow causes a request for a snapshot"
+        "a delta with an older version causes a request for a snapshot"
     );
     assert_eq!(served_by("r"), "old");
     discovery.respond(&endpoint_list(2, true, &[(1, new.address, "active")]));
@@ -105,10 +106,11 @@
     let mut client = balancer.client();
     client.send(&get_request("r1", "15000m"));
     old.next_request();
-    // Guards against SIGHUP ending the process, and against an invalid file changing anything.
+    // Guards against a process that SIGHUP ends, and against an invalid file that changes anything.
     balancer.reload("{");
     balancer.wait_for_log("not reloaded");
-    // An unresponsive address, and right after it another one: nothing waits for the first.
+    // A reload to an unresponsive address, and right after it one to another address, which does
+    // not wait for the first.
     let (unresponsive, second) = (UnresponsiveListener::start(), StubDiscovery::start());
     balancer.reload(&balancer_config(unresponsive.address, 1024, "null"));
     balancer.wait_for_log(&format!("now at {}", unresponsive.address));
@@ -116,7 +118,7 @@
     assert_eq!(
         other.call(&get_request("r2", "5000m")).body,
         b"old",
-        "the list stays until there is another"
+        "the known list is used until the new address sends one"
     );
     balancer.reload(&balancer_config(second.address, 1024, "null"));
     // Versions of the old address do not apply to the new one.
@@ -130,7 +132,7 @@
         b"old",
         "the request in flight continues"
     );
-    // Another move while the watch waits.
+    // Another reload to a new address, while the watch waits.
     let third = StubDiscovery::start();
     balancer.reload(&balancer_config(third.address, 1024, "null"));
     assert_eq!(third.next_call_path(), "/api/targets");
@@ -164,6 +166,6 @@
     assert_eq!(
         balancer.log_lines(),
         Vec::<String>::new(),
-        "no call counted as failed"
+        "a closed connection was logged as a failed call"
     );
 }
--- a/balancer/tests/discovery_timing.rs
+++ b/balancer/tests/discovery_timing.rs
@@ -1,4 +1,4 @@
-//! Calls to discovery that fail, stall or break: the next call follows in time.
+//! Calls to discovery that fail, stall or are cut off: the next call follows in time.
 // A helper that fails ends its test, as an assertion does.
 #![allow(clippy::expect_used)]
 mod common;
@@ -8,7 +8,7 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// Guards against missing a release for 22 s because of one silent watch.
+/// Guards against learning of a release 22 s late because one watch gets no response.
 #[test]
 fn calls_discovery_again_when_a_watch_is_silent() {
     let (old, new) = (
@@ -28,7 +28,7 @@
                 .recv_timeout(TEST_TIMEOUT)
                 .expect("a call in time"),
         );
-        let call = read_message(&mut stream).expect("a call");
+        let call = read_message(&mut stream).expect("a call to discovery");
         assert!(
             call.start_line.starts_with("GET /api/targets?since=1&"),
             "{}",
@@ -64,13 +64,13 @@
 /// drops it.
 fn accept_calls(listener: TcpListener) -> impl Iterator<Item = (BufReader<TcpStream>, Message)> {
     std::iter::from_fn(move || {
-        let mut stream = BufReader::new(listener.accept().expect("a call").0);
-        let call = read_message(&mut stream).expect("a call");
+        let mut stream = BufReader::new(listener.accept().expect("a call to discovery").0);
+        let call = read_message(&mut stream).expect("a call to discovery");
         Some((stream, call))
     })
 }
 
-/// An update must be applied 6 s after discovery can be reached, whatever failed before.
+/// An update must be applied within 6 s after discovery can be reached, whatever failed before.
 #[test]
 fn applies_an_update_within_six_seconds_after_a_silent_call_and_a_malformed_list() {
     let (old, new) = (
@@ -82,7 +82,7 @@
     let config = balancer_config(listener.local_addr().expect("an address"), 1024, &known);
     let balancer = BalancerProcess::run(balancer_command(&config), StubDiscovery::start());
     let mut calls = accept_calls(listener);
-    let (_silent, first) = calls.next().expect("a call");
+    let (_silent, first) = calls.next().expect("a call to discovery");
     assert!(
         first.start_line.starts_with("GET /api/targets?since=1&"),
         "{}",
@@ -90,7 +90,7 @@
     );
     let called_at = Instant::now();
     let mut respond_to_next_call = |body: &str| {
-        let (mut stream, call) = calls.next().expect("a call");
+        let (mut stream, call) = calls.next().expect("a call to discovery");
         assert!(
             call.start_line.starts_with("GET /api/targets?since=1&"),
             "{}",
@@ -119,17 +119,18 @@
     drop(malformed);
 }
 
-/// The same for an address that accepts connections and never responds, while no list is known.
+/// The next call must follow within 4 s if an address accepts connections and never responds, while
+/// no list is known.
 #[test]
 fn keeps_calling_an_address_that_never_responds() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let config = balancer_config(listener.local_addr().expect("an address"), 1024, "null");
     let _balancer = BalancerProcess::run(balancer_command(&config), StubDiscovery::start());
     let mut calls = accept_calls(listener);
-    let _first = calls.next().expect("a call");
+    let _first = calls.next().expect("a call to discovery");
     for _ in 0..3 {
         let called_at = Instant::now();
-        let (_silent, call) = calls.next().expect("a call");
+        let (_silent, call) = calls.next().expect("a call to discovery");
         assert!(
             call.start_line.starts_with("GET /api/targets "),
             "{}",
@@ -143,8 +144,8 @@
     }
 }
 
-/// A list that stalls, is truncated or never ends: the known list stays, one log line names the
-/// error, and the next call follows in time.
+/// A list that stalls, is truncated or never ends: the known list stays in use, exactly one log
+/// line names the error, and the next call follows within 5 s.
 #[test]
 fn ignores_truncated_and_endless_lists_without_delay() {
     let (old, new) = (
@@ -165,18 +166,18 @@
         let config = balancer_config(listener.local_addr().expect("an address"), 1024, &known);
         let balancer = BalancerProcess::run(balancer_command(&config), StubDiscovery::start());
         let mut calls = accept_calls(listener);
-        let (mut stream, _) = calls.next().expect("a call");
+        let (mut stream, _) = calls.next().expect("a call to discovery");
         let sent_at = Instant::now();
         stream.get_mut().write_all(text.as_bytes()).expect("writes");
         if is_truncated {
             stream
                 .get_mut()
                 .shutdown(std::net::Shutdown::Both)
-                .expect("it is open");
+                .expect("the connection is open");
         }
         // The balancer closes the connection in the middle of a list that is too long.
         while is_endless && stream.get_mut().write_all(&[b' '; 1 << 16]).is_ok() {}
-        let (_next, call) = calls.next().expect("a call");
+        let (_next, call) = calls.next().expect("a call to discovery");
         assert!(
             sent_at.elapsed() < Duration::from_secs(5),
             "{:?}",
@@ -198,7 +199,8 @@
     }
 }
 
-/// Guards against a backoff that delays updates for too long.
+/// Guards against a backoff that delays updates for too long: each call follows the last one within
+/// 1.4 s.
 #[test]
 fn backoff_after_failed_calls_stays_short() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
@@ -217,8 +219,8 @@
     }
 }
 
-/// An update must be applied even if no watch is open: a balancer that reconnects late sends to
-/// draining upstreams for longer than the grace, here 0.3 s.
+/// An update must be applied in time even if its watch breaks: a balancer that reconnects late
+/// sends requests to draining upstreams for longer than the drain grace, here 0.3 s.
 #[test]
 fn reopens_a_broken_watch_within_the_drain_grace() {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
@@ -229,19 +231,20 @@
     let _balancer = BalancerProcess::run(balancer_command(&pushed_config), StubDiscovery::start());
     let mut first_call_at = None;
     for _ in 0..7 {
-        let mut stream = BufReader::new(listener.accept().expect("a call").0);
-        read_message(&mut stream).expect("a call");
+        let mut stream = BufReader::new(listener.accept().expect("a call to discovery").0);
+        read_message(&mut stream).expect("a call to discovery");
         first_call_at.get_or_insert_with(Instant::now);
         socket2::SockRef::from(stream.get_ref())
             .set_linger(Some(Duration::ZERO))
-            .expect("a socket");
+            .expect("sets SO_LINGER");
     }
-    // Six pauses.
-    let took = first_call_at.expect("a call").elapsed();
+    // Seven calls have six pauses between them.
+    let took = first_call_at.expect("a call to discovery").elapsed();
     assert!(took < Duration::from_millis(1800), "{took:?}");
 }
 
-/// After a reload an update must be applied within 4 s.
+/// An update must be applied within 4 s after a reload, so a second call to a silent address must
+/// follow within that time.
 #[test]
 fn calls_a_silent_new_address_again_in_time() {
     let balancer = BalancerProcess::start(1024, "null");
@@ -253,7 +256,9 @@
         1024,
         "null",
     ));
-    let calls: Vec<_> = (0..2).map(|_| silent.accept().expect("a call")).collect();
+    let calls: Vec<_> = (0..2)
+        .map(|_| silent.accept().expect("a call to discovery"))
+        .collect();
     assert!(
         reloaded_at.elapsed() < Duration::from_secs(4),
         "{:?}",
--- a/balancer/tests/hollow.rs
+++ b/balancer/tests/hollow.rs
@@ -1,4 +1,4 @@
-//! Hollow balancers in one process against a simulated discovery on a loopback port.
+//! Hollow balancers in one process that call a simulated discovery service on a loopback port.
 // A helper that fails ends its test, as an assertion does.
 #![allow(clippy::expect_used)]
 // The test's own runtime has timers.
@@ -22,19 +22,20 @@
 
 const BALANCER_COUNT: usize = 40;
 const ENDPOINT_COUNT: usize = 30;
-/// Longer than any time within which an agent has to deliver a change.
+/// Longer than any time within which discovery has to deliver a change.
 const MAX_UPDATE_TIME: Duration = Duration::from_secs(6);
 
-/// The endpoints by number: the version of their last change, their address and state.
+/// The endpoint list of a simulated discovery service.
 struct Endpoints {
     version: u64,
-    /// Whether the response to a watch is a complete list too.
+    /// Whether a watch too gets a complete list, not only what has changed.
     always_complete: bool,
+    /// For each endpoint number: the version of its last change, its address and its state.
     by_number: BTreeMap<usize, (u64, SocketAddr, &'static str)>,
 }
 
 impl Endpoints {
-    /// The complete list, or what is newer than a version.
+    /// The complete list, or the changes after a version.
     fn response(&self, since: Option<u64>) -> String {
         let since = since.filter(|_| !self.always_complete);
         let newer = |changed: &u64| since.is_none_or(|since| *changed > since);
@@ -49,7 +50,8 @@
     }
 }
 
-/// Responds to calls for the complete list at once, and to watches once something is newer or their time is over.
+/// A discovery service that responds to calls for the complete list at once, and to watches once there is a change
+/// after their version or their time is over.
 #[derive(Clone)]
 struct SimulatedDiscovery {
     addr: SocketAddr,
@@ -116,7 +118,7 @@
         }
     }
 
-    /// Changes one endpoint, and returns the new version.
+    /// Sets the state of one endpoint, and returns the new version.
     fn change(&self, number: usize, state: &'static str) -> u64 {
         let (endpoints, changed) = &*self.shared;
         let mut endpoints = endpoints.lock().expect("no panic");
@@ -148,15 +150,16 @@
     SocketAddr::from(([127, 0, 0, 1], 20_000 + number as u16))
 }
 
-/// The configuration of a balancer whose list is pushed or polled.
+/// The configuration of a balancer with this membership mode.
 fn parsed_config(discovery: &SimulatedDiscovery, mode: &str, cached_list: &str) -> Config {
     let text = balancer_config(discovery.addr, 64, cached_list).replace("on_request", mode);
     Config::parse(text.as_bytes()).expect("a configuration")
 }
 
-/// Balancers that report the updates they applied, with their number.
+/// Balancers that report the updates that they apply.
 struct Fleet {
     balancers: Vec<HollowBalancer>,
+    /// Each update, with the number of the balancer that applied it.
     updates: UnboundedReceiver<(usize, AppliedUpdate)>,
 }
 
@@ -166,7 +169,7 @@
         let cached_snapshot = config
             .cached_snapshot
             .as_ref()
-            .expect("a list that can be read")
+            .expect("a valid endpoint list")
             .as_ref();
         let start = |number: usize| {
             let options = HollowOptions {
@@ -178,7 +181,7 @@
             };
             let report = report.clone();
             let on_update = move |update| {
-                // The receiver is gone when the test is over.
+                // Sending fails once the test is over, as the receiver is gone.
                 let _ = report.send((number, update));
             };
             HollowBalancer::start(options, on_update).expect("valid settings")
@@ -189,7 +192,8 @@
         }
     }
 
-    /// Waits until all balancers have applied a version, and returns the update with which each of them did.
+    /// Waits until all balancers have applied this version or a newer one, and returns the update with which each of
+    /// them reached it.
     async fn wait_until_applied(&mut self, version: u64) -> Vec<AppliedUpdate> {
         let mut applied = BTreeMap::new();
         while applied.len() < self.balancers.len() {
@@ -244,7 +248,7 @@
                 let took = update
                     .applied_at
                     .duration_since(changed_at)
-                    .expect("it is applied afterwards");
+                    .expect("the update is applied after the change");
                 assert!(took < MAX_UPDATE_TIME, "{mode}: {took:?}");
             }
             assert_eq!(fleet.listed(), [listed; BALANCER_COUNT], "{mode}");
@@ -262,7 +266,7 @@
     assert_changes_reach_all_balancers("on_request");
 }
 
-/// Endpoints that a complete list does not hold are removed.
+/// Endpoints that are missing from a complete list are removed.
 #[test]
 fn complete_list_replaces_previous_one() {
     run_on_one_thread(async {
@@ -292,7 +296,7 @@
         assert_eq!(
             fleet.listed(),
             [ENDPOINT_COUNT],
-            "the snapshot is in force at once"
+            "the cached snapshot is not in force at once"
         );
         let update = fleet.wait_until_applied(version).await[0];
         assert!(!update.full && update.endpoints == 1, "{update:?}");
@@ -311,7 +315,11 @@
         let mut fleet = Fleet::start(&parsed_config(&discovery, "pushed", "null"), 1);
         let deadline = Duration::from_secs(1);
         let before = fleet.balancers[0].request(0, 0, deadline).await;
-        assert_eq!(before, RequestOutcome::Rejected, "no endpoint is known yet");
+        assert_eq!(
+            before,
+            RequestOutcome::Rejected,
+            "a request before endpoints are known"
+        );
         fleet.wait_until_applied(1).await;
         let outcome = fleet.balancers[0].request(0, 0, deadline).await;
         assert_eq!(outcome, RequestOutcome::Served);
@@ -325,7 +333,7 @@
         let mut fleet = Fleet::start(&parsed_config(&discovery, "pushed", "null"), BALANCER_COUNT);
         fleet.wait_until_applied(1).await;
         fleet.balancers.clear();
-        // The channel closes with the tasks of the last balancer.
+        // The channel closes when the tasks of the last balancer have ended.
         let ended = timeout(TEST_TIMEOUT, async {
             while fleet.updates.recv().await.is_some() {}
         })
