--- a/balancer/tests/clients.rs
+++ b/balancer/tests/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that send invalid requests, too much, or nothing.
+//! Clients that send invalid or too large requests, open too many connections, or send nothing.
 mod common;
 use common::*;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
     let mut silent = balancer.client();
     let mut partial: Vec<Client> = [half_body, half_head]
         .iter()
-        .map(|t| balancer.client_that_sent(t))
+        .map(|text| balancer.client_that_sent(text))
         .collect();
     // On a used connection, a partial request does not count as idle time.
     let mut used = balancer.client();
@@ -59,10 +59,10 @@
         );
         assert!(
             client.read_response().is_none(),
-            "nothing is read behind it"
+            "bytes behind the request with {framing:?} were read"
         );
     }
-    // A chunked request alone is served, and is the last one on its connection.
+    // A request with chunked framing only is served, and is the last one on its connection.
     let head = payment_request("r2", "5000m").replace(
         "Content-Length: 4\r\n\r\nbody",
         "Transfer-Encoding: chunked\r\n\r\n",
@@ -86,7 +86,7 @@
     let long = format!("X-Long: {}\r\n\r\n", "x".repeat(40 << 10));
     let with_body =
         get_request("r1", "5000m").replace("\r\n\r\n", "\r\nContent-Length: 4\r\n\r\nbody");
-    for (bad, status) in [
+    for (invalid, status) in [
         (get_request("r1", "soon"), 400),
         (
             get_request("r1", "5000m").replace("Req-Id: r1\r\n", ""),
@@ -106,14 +106,14 @@
             413,
         ),
     ] {
-        let mut client = balancer.client_that_sent(&format!("{bad}{behind}"));
+        let mut client = balancer.client_that_sent(&format!("{invalid}{behind}"));
         let response = client.read_response().expect("a response");
         assert_eq!(
             (response.status(), response.header("connection")),
             (status, Some("close")),
-            "{bad:.300}"
+            "{invalid:.300}"
         );
-        assert!(client.read_response().is_none(), "{bad:.300}");
+        assert!(client.read_response().is_none(), "{invalid:.300}");
     }
     assert_eq!(
         balancer
@@ -160,7 +160,7 @@
     let balancer = BalancerProcess::start(64, &known);
     let mut kept = balancer.client();
     assert_eq!(kept.call(&get_request("r0", "10000m")).status(), 200);
-    // More than there are permits: the oldest connections without a request are evicted.
+    // There are more clients than permits: the oldest connections without a request are evicted.
     let silent: Vec<Client> = (0..200).map(|_| balancer.client()).collect();
     for i in 1..5 {
         assert_eq!(
@@ -193,7 +193,7 @@
     assert_eq!(response.status(), 503);
     let after: f64 = response
         .header("retry-after")
-        .expect("advice")
+        .expect("a Retry-After header")
         .parse()
         .expect("seconds");
     assert!(after > 0.0 && after <= 2.0, "{after}");
@@ -223,10 +223,10 @@
     assert!(balancer.wait_for_exit().success());
 }
 
-/// A pipelined request waits in the balancer: its deadline counts from its arrival.
+/// A pipelined request waits in the balancer for its turn; its deadline counts from its arrival.
 #[test]
 fn forwards_a_pipelined_request_with_its_remaining_time() {
-    let upstream = StubUpstream::start(|m| match m.header("req-id") {
+    let upstream = StubUpstream::start(|request| match request.header("req-id") {
         Some("first") => {
             std::thread::sleep(Duration::from_millis(600));
             ok_response("first")
@@ -245,11 +245,11 @@
     let second = upstream.next_request();
     let stated = second
         .header("req-deadline")
-        .and_then(|d| d.strip_suffix('u'))
-        .expect("microseconds");
+        .and_then(|deadline| deadline.strip_suffix('u'))
+        .expect("a Req-Deadline header in microseconds");
     let remaining = Duration::from_micros(stated.parse().expect("a number"));
     assert!(
         remaining <= Duration::from_millis(1450),
-        "{remaining:?} of 2 s, 0.6 s of which had passed"
+        "{remaining:?} remain of 2 s, of which 0.6 s had passed"
     );
 }
--- a/balancer/tests/disconnects.rs
+++ b/balancer/tests/disconnects.rs
@@ -1,6 +1,6 @@
-//! Clients that disconnect while their request waits: each test is one way of waiting, with every
-//! way of disconnecting, and with and without unread bytes behind the request, which hide the end
-//! of the stream from a reader.
+//! Clients that disconnect while their request waits. Each test covers one reason to wait, with
+//! every way of disconnecting, and without and with unread bytes behind the request: a reader
+//! reaches the end of the stream only after them.
 mod common;
 use common::*;
 use std::sync::mpsc::channel;
@@ -14,56 +14,57 @@
     })
 }
 
-/// A half-closed client gets this status, and nothing after that.
-fn expect_only_response(client: Option<Client>, status: u16, what: &str) {
+/// A client that has half-closed its connection gets a response with this status, and no other.
+fn expect_only_response(client: Option<Client>, status: u16, case: &str) {
     if let Some(mut client) = client {
         assert_eq!(
             client.read_response().map(|response| response.status()),
             Some(status),
-            "{what}"
+            "{case}"
         );
         assert!(
             client.read_response().is_none(),
-            "{what}: the request behind it is not read"
+            "{case}: the request behind it was read"
         );
     }
 }
 
-/// A balancer with an admin endpoint and one upstream whose connections do not open yet, and whose
-/// dial timeout is long.
+/// A balancer with an admin endpoint, a long dial timeout, and one upstream to which connections do
+/// not open yet.
 fn balancer_with_unopened_upstream(cancel: bool) -> (BalancerProcess, UnresponsiveListener) {
-    let full = UnresponsiveListener::start();
+    let unresponsive = UnresponsiveListener::start();
     let discovery = StubDiscovery::start();
     let config = balancer_config(
         discovery.address,
         1024,
-        &endpoint_list(1, true, &[(0, full.address, "active")]),
+        &endpoint_list(1, true, &[(0, unresponsive.address, "active")]),
     )
     .replace("\"idle_close\"", "\"dial_timeout\":80000,\"idle_close\"")
     .replace("\"cancel\":true", &format!("\"cancel\":{cancel}"));
     let balancer = BalancerProcess::run(balancer_command(&with_admin_endpoint(&config)), discovery);
-    // The connection to discovery is open, so that it does not count as a dial below.
+    // Once a call has arrived, the connection to discovery is open: its descriptor does not count
+    // as that of a dial below.
     balancer.discovery.next_call_path();
-    (balancer, full)
+    (balancer, unresponsive)
 }
 
 #[test]
 fn writes_nothing_for_a_client_that_disconnects_while_dialling() {
     for cancel in [true, false] {
         for (how, behind) in disconnect_cases() {
-            let what = format!("{how:?}, {} bytes behind, cancel {cancel}", behind.len());
-            let (balancer, full) = balancer_with_unopened_upstream(cancel);
+            let case = format!("{how:?}, {} bytes behind, cancel {cancel}", behind.len());
+            let (balancer, unresponsive) = balancer_with_unopened_upstream(cancel);
             let client = balancer
                 .client_that_sent(&format!("{}{behind}", payment_request("gone", "60000m")));
             balancer.wait_for_metric("node_active 1");
             let client = client.disconnect(how);
             balancer.wait_for_metric("node_active 0");
-            expect_only_response(client, 502, &what);
+            expect_only_response(client, 502, &case);
             // Without cancellation the connection opens now, and nothing is written to it.
             if !cancel {
                 assert!(
-                    read_message(&mut full.accept_first_connection()).is_none(),
-                    "{what}"
+                    read_message(&mut unresponsive.accept_first_connection()).is_none(),
+                    "{case}"
                 );
             }
             balancer.wait_for_metric("node_tries 0");
@@ -74,28 +75,31 @@
 #[test]
 fn writes_nothing_for_a_large_request_whose_client_disconnects_while_dialling() {
     for how in DISCONNECTS {
-        let (balancer, full) = balancer_with_unopened_upstream(false);
-        // More than is buffered here, and no more than the system buffers: the end of the stream
-        // could not arrive behind that.
+        let (balancer, unresponsive) = balancer_with_unopened_upstream(false);
+        // More than the balancer buffers, but no more than the kernel does: the end of the stream
+        // could not arrive behind a longer body.
         let body = "x".repeat(70_000);
         let head = payment_request("gone", "60000m").replace(
             "Content-Length: 4\r\n\r\nbody",
             "Content-Length: 70000\r\n\r\n",
         );
-        let without = balancer.descriptor_count();
+        let idle_count = balancer.descriptor_count();
         let client = balancer.client_that_sent(&format!("{head}{body}"));
-        // The client's socket and the one that dials.
-        balancer.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
+        // One descriptor is the client's connection, the other the socket that dials.
+        balancer.wait_for_descriptors(
+            |count| count >= idle_count + 2,
+            "the balancer does not dial",
+        );
         let client = client.disconnect(how);
         if client.is_none() {
             balancer.wait_for_descriptors(
-                |n| n <= without + 1,
-                "it does not notice that the client disconnected",
+                |count| count <= idle_count + 1,
+                "the balancer does not notice that the client disconnected",
             );
         }
         expect_only_response(client, 502, &format!("{how:?}"));
         assert!(
-            read_message(&mut full.accept_first_connection()).is_none(),
+            read_message(&mut unresponsive.accept_first_connection()).is_none(),
             "{how:?}"
         );
     }
@@ -104,7 +108,7 @@
 #[test]
 fn does_not_retry_for_a_client_that_disconnects_during_an_attempt() {
     for (how, behind) in disconnect_cases() {
-        let what = format!("{how:?}, {} bytes behind", behind.len());
+        let case = format!("{how:?}, {} bytes behind", behind.len());
         let (signal, awaited) = channel();
         let awaited = Mutex::new(Some(awaited));
         let declined =
@@ -128,35 +132,35 @@
         assert_eq!(
             upstream.next_request().header("req-id"),
             Some("gone"),
-            "{what}"
+            "{case}"
         );
         let client = client.disconnect(how);
         balancer.wait_for_metric("node_active 0");
         signal.send(()).expect("the upstream waits");
-        expect_only_response(client, 502, &what);
+        expect_only_response(client, 502, &case);
         assert_eq!(
             balancer
                 .client()
                 .call(&get_request("next", "15000m"))
                 .status(),
             200,
-            "{what}"
+            "{case}"
         );
         assert_eq!(
             upstream.next_request().header("req-id"),
             Some("next"),
-            "{what}"
+            "{case}"
         );
-        assert_eq!(upstream.further_request_count(), 0, "{what}");
+        assert_eq!(upstream.further_request_count(), 0, "{case}");
     }
 }
 
 #[test]
 fn cancels_in_flight_attempt_when_client_disconnects() {
     for (how, behind) in disconnect_cases() {
-        let what = format!("{how:?}, {} bytes behind", behind.len());
-        let upstream = StubUpstream::start(|m| {
-            if m.header("req-id") == Some("next") {
+        let case = format!("{how:?}, {} bytes behind", behind.len());
+        let upstream = StubUpstream::start(|request| {
+            if request.header("req-id") == Some("next") {
                 ok_response("x")
             } else {
                 Reply::NeverRespond
@@ -168,30 +172,30 @@
         upstream.next_request();
         let client = client.disconnect(how);
         upstream.wait_for_closed_connection();
-        expect_only_response(client, 502, &what);
+        expect_only_response(client, 502, &case);
         assert_eq!(
             balancer
                 .client()
                 .call(&get_request("next", "15000m"))
                 .status(),
             200,
-            "{what}"
+            "{case}"
         );
         assert_eq!(
             upstream.next_request().header("req-id"),
             Some("next"),
-            "{what}"
+            "{case}"
         );
     }
 }
 
-/// An attempt must not start over 0.1 s after its client has disconnected.
+/// An attempt must not start more than 0.1 s after its client has disconnected.
 #[test]
 fn notices_a_disconnect_behind_unread_bytes_at_once() {
     let upstream = StubUpstream::start(|_| Reply::NeverRespond);
     let balancer = BalancerProcess::with_upstreams(&[upstream.address]);
     for how in DISCONNECTS {
-        // The best of several rounds, as a busy machine may be late.
+        // The best of several rounds counts, as a busy machine may delay some.
         let rounds = (0..5).map(|round| {
             let client =
                 balancer.client_that_sent(&payment_request(&format!("{how:?}{round}"), "60000m"));
@@ -210,7 +214,7 @@
     }
 }
 
-/// Unread bytes behind a waiting request are read after its response.
+/// Unread bytes behind a request that waits are read after its response.
 #[test]
 fn serves_pipelined_requests_in_order() {
     let (signal, reply) = hold_first_request("first", "second");
@@ -218,7 +222,7 @@
     let balancer = BalancerProcess::with_upstreams(&[upstream.address]);
     let mut client = balancer.client_that_sent(&get_request("r1", "15000m"));
     upstream.next_request();
-    // More than is read at once, so that the system buffers some of it.
+    // More than the balancer reads at once, so that the kernel buffers the rest.
     let many: String = (2..400)
         .map(|i| get_request(&format!("r{i}"), "15000m"))
         .collect();
@@ -235,21 +239,23 @@
     }
 }
 
-/// Clients that wait for a permit have written their requests. The request of one that disconnects
-/// meanwhile is not forwarded.
+/// Clients may write their requests while they wait for a permit. If one disconnects meanwhile, its
+/// request is not forwarded.
 #[test]
 fn does_not_forward_a_request_whose_client_disconnects_before_it_is_accepted() {
     for (how, behind) in disconnect_cases() {
-        let what = format!("{how:?}, {} bytes behind", behind.len());
+        let case = format!("{how:?}, {} bytes behind", behind.len());
         let (signal, awaited) = channel();
         let awaited = Mutex::new(Some(awaited));
         let served = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
         let upstream =
-            StubUpstream::start(move |m| match awaited.lock().expect("no panic").take() {
-                Some(awaited) => Reply::RespondAfterSignal(awaited, served.into()),
-                None if m.header("req-id") == Some("next") => ok_response("x"),
-                None => Reply::NeverRespond,
-            });
+            StubUpstream::start(
+                move |request| match awaited.lock().expect("no panic").take() {
+                    Some(awaited) => Reply::RespondAfterSignal(awaited, served.into()),
+                    None if request.header("req-id") == Some("next") => ok_response("x"),
+                    None => Reply::NeverRespond,
+                },
+            );
         let balancer = BalancerProcess::start(
             64,
             &endpoint_list(1, true, &[(0, upstream.address, "active")]),
@@ -258,12 +264,12 @@
         // after the signal.
         let mut first = balancer.client_that_sent(&payment_request("r0", "15000m"));
         upstream.next_request();
-        let busy = |i| {
+        let send_unanswered = |i| {
             let client = balancer.client_that_sent(&get_request(&format!("r{i}"), "15000m"));
             upstream.next_request();
             client
         };
-        let others: Vec<Client> = (1..20).map(busy).collect();
+        let others: Vec<Client> = (1..20).map(send_unanswered).collect();
         let client = balancer
             .client_that_sent(&format!("{}{behind}", payment_request("gone", "60000m")))
             .disconnect(how);
@@ -271,22 +277,22 @@
         assert_eq!(
             first.read_response().map(|response| response.status()),
             Some(200),
-            "{what}"
+            "{case}"
         );
-        expect_only_response(client, 503, &what);
-        // A later client is served later.
+        expect_only_response(client, 503, &case);
+        // A client that connects afterwards is served.
         assert_eq!(
             balancer
                 .client()
                 .call(&get_request("next", "15000m"))
                 .status(),
             200,
-            "{what}"
+            "{case}"
         );
         assert_eq!(
             upstream.next_request().header("req-id"),
             Some("next"),
-            "{what}"
+            "{case}"
         );
         drop(others);
     }
