--- a/balancer/tests/inherited_signals.rs
+++ b/balancer/tests/inherited_signals.rs
@@ -20,8 +20,8 @@
     let (command, config, discovery) = prepare_balancer(balancer_command);
     // A process inherits the signals that are blocked in the thread that starts it.
     let starter = thread::spawn(move || {
-        let followed = [Signal::SIGHUP, Signal::SIGTERM, Signal::SIGINT];
-        let blocked: SigSet = followed.into_iter().collect();
+        let handled = [Signal::SIGHUP, Signal::SIGTERM, Signal::SIGINT];
+        let blocked: SigSet = handled.into_iter().collect();
         blocked.thread_block().expect("blocks the signals");
         BalancerProcess::run(command, discovery)
     });
--- a/balancer/tests/lifecycle.rs
+++ b/balancer/tests/lifecycle.rs
@@ -66,11 +66,11 @@
         1024,
         &endpoint_list(1, true, &[(0, upstream.address, "active")]),
     );
-    let short = config.replace(
+    let short_config = config.replace(
         "\"objective\":1000,\"deadline\":20000",
         "\"objective\":300,\"deadline\":400",
     );
-    let mut balancer = BalancerProcess::run(balancer_command(&short), discovery);
+    let mut balancer = BalancerProcess::run(balancer_command(&short_config), discovery);
     let mut kept = balancer.client();
     assert_eq!(kept.call(&get_request("kept", "5000m")).status(), 200);
     let terminated_at = Instant::now();
@@ -91,8 +91,8 @@
     let upstream = StubUpstream::start(|_| ok_response("x"));
     let mut balancer = BalancerProcess::with_upstreams(&[upstream.address]);
     let _silent = balancer.client();
-    let mut half = balancer.client();
-    half.send("GET /api HTTP/1.1\r\nReq-Id: r1\r\n");
+    let mut incomplete = balancer.client();
+    incomplete.send("GET /api HTTP/1.1\r\nReq-Id: r1\r\n");
     assert_eq!(
         balancer.client().call(&get_request("r2", "5000m")).status(),
         200
@@ -112,7 +112,7 @@
 
 #[test]
 fn reports_an_invalid_configuration_on_one_line() {
-    let good = balancer_config(refusing_address(), 1024, "null");
+    let valid_config = balancer_config(refusing_address(), 1024, "null");
     for (from, to, field) in [
         ("\"seed\":\"8c1f30d27a5be964\"", "\"seed\":5", "seed"),
         ("127.0.0.1:0", "nowhere", "listen"),
@@ -124,7 +124,7 @@
         ("\"tip_multiple\":4", "\"other\":4", "tip_multiple"),
         ("\"sockets\":1024", "\"sockets\":-1", "limits.sockets"),
     ] {
-        let output = balancer_command(&good.replace(from, to))
+        let output = balancer_command(&valid_config.replace(from, to))
             .output()
             .expect("runs");
         let log = String::from_utf8(output.stderr).expect("text");
--- a/balancer/tests/operators.rs
+++ b/balancer/tests/operators.rs
@@ -8,8 +8,8 @@
 use std::thread;
 
 /// The value of a metric.
-fn metric(node: &BalancerProcess, name: &str) -> u64 {
-    let text = node.call_admin(b"METRICS\n");
+fn metric_value(balancer: &BalancerProcess, name: &str) -> u64 {
+    let text = balancer.call_admin(b"METRICS\n");
     let line = text
         .lines()
         .find_map(|line| line.strip_prefix(name)?.strip_prefix(' '));
@@ -21,7 +21,7 @@
 #[test]
 fn answers_commands_with_yes_or_no() {
     let upstream = StubUpstream::start(|_| ok_response(""));
-    let node = BalancerProcess::with_admin(&[upstream.address]);
+    let balancer = BalancerProcess::with_admin(&[upstream.address]);
     for (command, expected) in [
         ("STATUS\n", "YES serving\n"),
         ("STATUS\r\n", "YES serving\n"),
@@ -40,13 +40,21 @@
         ),
         ("\n", "NO the line is empty\n"),
     ] {
-        assert_eq!(node.call_admin(command.as_bytes()), expected, "{command:?}");
+        assert_eq!(
+            balancer.call_admin(command.as_bytes()),
+            expected,
+            "{command:?}"
+        );
     }
-    assert!(node.call_admin(b"status\n").starts_with("NO unknown call"));
+    assert!(balancer
+        .call_admin(b"status\n")
+        .starts_with("NO unknown call"));
     for bytes in [&b"STATUS \xff\n"[..], &[b'x'; 600]] {
-        assert!(node.call_admin(bytes).starts_with("NO a call is one line"));
+        assert!(balancer
+            .call_admin(bytes)
+            .starts_with("NO a call is one line"));
     }
-    let mut incomplete = node.admin_connection();
+    let mut incomplete = balancer.admin_connection();
     incomplete
         .get_mut()
         .write_all(b"SUSPEND s-0")
@@ -59,7 +67,7 @@
         read_all(incomplete).starts_with("NO a call is one line"),
         "an incomplete line may hold an incomplete id"
     );
-    node.wait_for_metric("node_pool_ejected 0");
+    balancer.wait_for_metric("node_pool_ejected 0");
 }
 
 fn read_all(mut from: std::io::BufReader<std::net::TcpStream>) -> String {
@@ -72,11 +80,11 @@
 #[test]
 fn silent_connections_do_not_block_admin_server() {
     let upstream = StubUpstream::start(|_| ok_response(""));
-    let node = BalancerProcess::with_admin(&[upstream.address]);
-    let silent: Vec<_> = (0..60).map(|_| node.admin_connection()).collect();
-    assert_eq!(node.call_admin(b"STATUS\n"), "YES serving\n");
+    let balancer = BalancerProcess::with_admin(&[upstream.address]);
+    let silent: Vec<_> = (0..60).map(|_| balancer.admin_connection()).collect();
+    assert_eq!(balancer.call_admin(b"STATUS\n"), "YES serving\n");
     // The server keeps a limited number of them.
-    node.wait_for_descriptors(|n| n < 45, "silent connections fill its descriptors");
+    balancer.wait_for_descriptors(|n| n < 45, "silent connections fill its descriptors");
     drop(silent);
 }
 
@@ -116,8 +124,8 @@
     );
     let mut command = balancer_command(&config);
     command.env("NODE_OPS", "127.0.0.1:0");
-    let node = BalancerProcess::run(command, discovery);
-    assert_eq!(node.call_admin(b"STATUS\n"), "YES serving\n");
+    let balancer = BalancerProcess::run(command, discovery);
+    assert_eq!(balancer.call_admin(b"STATUS\n"), "YES serving\n");
 }
 
 #[test]
@@ -132,8 +140,8 @@
         Some("bad") => empty_response("500 Internal Server Error"),
         _ => ok_response(""),
     });
-    let node = BalancerProcess::with_admin(&[upstream.address]);
-    let start = node.call_admin(b"METRICS\n");
+    let balancer = BalancerProcess::with_admin(&[upstream.address]);
+    let start = balancer.call_admin(b"METRICS\n");
     assert!(start.ends_with("END\n"), "{start}");
     for class in ["read", "order", "pay"] {
         for outcome in ["ok", "shed", "errors"] {
@@ -143,24 +151,27 @@
             );
         }
     }
-    let mut client = node.client();
+    let mut client = balancer.client();
     assert_eq!(client.call(&get_request("1", "9000m")).status(), 200);
     assert_eq!(client.call(&payment_request("bad", "9000m")).status(), 502);
-    node.wait_for_metric("node_active 0");
-    node.wait_for_metric("node_tries 2");
-    let mut waiting = node.client_that_sent(&get_request("held", "9000m"));
-    node.wait_for_metric("node_tries 3");
-    assert_eq!(metric(&node, "node_active"), 1);
+    balancer.wait_for_metric("node_active 0");
+    balancer.wait_for_metric("node_tries 2");
+    let mut waiting = balancer.client_that_sent(&get_request("held", "9000m"));
+    balancer.wait_for_metric("node_tries 3");
+    assert_eq!(metric_value(&balancer, "node_active"), 1);
     release.send(()).expect("the upstream waits");
     assert_eq!(waiting.read_response().expect("an answer").status(), 200);
-    node.wait_for_metric("node_active 0");
-    assert_eq!(node.call_admin(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
+    balancer.wait_for_metric("node_active 0");
+    assert_eq!(
+        balancer.call_admin(b"SUSPEND s-0\n"),
+        "YES s-0 is left out\n"
+    );
     assert_eq!(
         client.call(&get_request("2", "9000m")).status(),
         503,
         "no other upstream is listed"
     );
-    node.wait_for_metric("node_shed{kind=\"read\"} 1");
+    balancer.wait_for_metric("node_shed{kind=\"read\"} 1");
     for (name, expected) in [
         ("node_ok{kind=\"read\"}", 2),
         ("node_errors{kind=\"pay\"}", 1),
@@ -170,7 +181,7 @@
         ("node_pool_ejected", 1),
         ("node_config_applied", 0),
     ] {
-        assert_eq!(metric(&node, name), expected, "{name}");
+        assert_eq!(metric_value(&balancer, name), expected, "{name}");
     }
 }
 
@@ -181,17 +192,23 @@
         Some("bad") => Reply::Respond("noise\r\n\r\n".into()),
         _ => ok_response(""),
     });
-    let node = BalancerProcess::with_admin(&[upstream.address]);
-    assert_eq!(metric(&node, "node_upstream_connections_opened"), 0);
-    let mut client = node.client();
+    let balancer = BalancerProcess::with_admin(&[upstream.address]);
+    assert_eq!(
+        metric_value(&balancer, "node_upstream_connections_opened"),
+        0
+    );
+    let mut client = balancer.client();
     for id in ["1", "2"] {
         assert_eq!(client.call(&get_request(id, "9000m")).status(), 200);
     }
-    node.wait_for_metric("node_upstream_connections_opened 1");
-    node.wait_for_metric("node_upstream_connections_open 1");
+    balancer.wait_for_metric("node_upstream_connections_opened 1");
+    balancer.wait_for_metric("node_upstream_connections_open 1");
     assert_eq!(client.call(&payment_request("bad", "9000m")).status(), 502);
-    node.wait_for_metric("node_upstream_connections_open 0");
-    assert_eq!(metric(&node, "node_upstream_connections_opened"), 1);
+    balancer.wait_for_metric("node_upstream_connections_open 0");
+    assert_eq!(
+        metric_value(&balancer, "node_upstream_connections_opened"),
+        1
+    );
 }
 
 /// The endpoint list reports the upstream as active throughout. Connections to it close, and later lists do not restore
@@ -200,8 +217,8 @@
 fn suspended_upstream_receives_nothing_until_it_is_restored() {
     let suspended = StubUpstream::start(|_| ok_response("suspended"));
     let other = StubUpstream::start(|_| ok_response("other"));
-    let node = BalancerProcess::with_admin(&[suspended.address, other.address]);
-    let mut client = node.client();
+    let balancer = BalancerProcess::with_admin(&[suspended.address, other.address]);
+    let mut client = balancer.client();
     let mut id = 0;
     // Sends requests until one is served by `upstream`, and returns their number.
     let mut requests_until = |upstream: &str, limit: usize| -> usize {
@@ -219,23 +236,28 @@
         requests_until("suspended", 1000) < 1000,
         "it is used before the suspension"
     );
-    assert_eq!(node.call_admin(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
+    assert_eq!(
+        balancer.call_admin(b"SUSPEND s-0\n"),
+        "YES s-0 is left out\n"
+    );
     suspended.wait_for_closed_connection();
     assert_eq!(requests_until("suspended", 50), 50);
     let both = [
         (0, suspended.address, "active"),
         (1, other.address, "active"),
     ];
-    node.discovery.respond(&endpoint_list(2, true, &both[1..]));
-    node.discovery.respond(&endpoint_list(3, true, &both));
+    balancer
+        .discovery
+        .respond(&endpoint_list(2, true, &both[1..]));
+    balancer.discovery.respond(&endpoint_list(3, true, &both));
     // The balancer watches for what follows version 3 once that version is in force.
-    while !node.discovery.next_call_path().contains("since=3") {}
+    while !balancer.discovery.next_call_path().contains("since=3") {}
     assert_eq!(
         requests_until("suspended", 50),
         50,
         "it was removed from the list and listed again"
     );
-    assert_eq!(node.call_admin(b"RESTORE s-0\n"), "YES s-0 is in use\n");
+    assert_eq!(balancer.call_admin(b"RESTORE s-0\n"), "YES s-0 is in use\n");
     assert!(
         requests_until("suspended", 100_000) < 100_000,
         "it is used again"
@@ -255,39 +277,40 @@
         }
         _ => ok_response(""),
     });
-    let node = BalancerProcess::with_admin(&[upstream.address]);
+    let balancer = BalancerProcess::with_admin(&[upstream.address]);
     let ready = || {
-        node.client()
+        balancer
+            .client()
             .call("GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
             .status()
     };
     assert_eq!(ready(), 200);
-    let mut unused = node.client();
-    let mut used = node.client();
+    let mut unused = balancer.client();
+    let mut used = balancer.client();
     assert_eq!(used.call(&get_request("1", "9000m")).status(), 200);
-    let mut waiting = node.client_that_sent(&get_request("held", "9000m"));
+    let mut waiting = balancer.client_that_sent(&get_request("held", "9000m"));
     upstream.next_request();
     upstream.next_request();
     for _ in 0..2 {
-        assert_eq!(node.call_admin(b"PAUSE\n"), "YES paused\n");
+        assert_eq!(balancer.call_admin(b"PAUSE\n"), "YES paused\n");
     }
     assert_eq!(
-        node.call_admin(b"STATUS\n"),
+        balancer.call_admin(b"STATUS\n"),
         "YES serving, paused: clients are sent away\n"
     );
     assert_ne!(ready(), 200);
     assert!(used.read_response().is_none(), "idle connections close");
-    let mut late = node.client();
-    let answer = late.call(&get_request("2", "9000m"));
+    let mut late = balancer.client();
+    let response = late.call(&get_request("2", "9000m"));
     assert_eq!(
-        (answer.status(), answer.header("connection")),
+        (response.status(), response.header("connection")),
         (200, Some("close"))
     );
     assert!(late.read_response().is_none());
     release.send(()).expect("the upstream waits");
-    let answer = waiting.read_response().expect("an answer");
+    let response = waiting.read_response().expect("an answer");
     assert_eq!(
-        (answer.status(), answer.header("connection")),
+        (response.status(), response.header("connection")),
         (200, Some("close"))
     );
     assert!(
@@ -295,10 +318,10 @@
         "connections without a request close"
     );
     for _ in 0..2 {
-        assert_eq!(node.call_admin(b"RESUME\n"), "YES serving\n");
+        assert_eq!(balancer.call_admin(b"RESUME\n"), "YES serving\n");
     }
     assert_eq!(ready(), 200);
-    let mut kept = node.client();
+    let mut kept = balancer.client();
     for id in ["3", "4"] {
         assert_eq!(
             kept.call(&get_request(id, "9000m")).header("connection"),
@@ -311,11 +334,11 @@
 #[test]
 fn pause_leaves_new_connections_time_for_a_request() {
     let upstream = StubUpstream::start(|_| ok_response(""));
-    let node = BalancerProcess::with_admin(&[upstream.address]);
-    let mut new = node.client();
-    let mut used = node.client();
+    let balancer = BalancerProcess::with_admin(&[upstream.address]);
+    let mut new = balancer.client();
+    let mut used = balancer.client();
     assert_eq!(used.call(&get_request("1", "9000m")).status(), 200);
-    assert_eq!(node.call_admin(b"PAUSE\n"), "YES paused\n");
+    assert_eq!(balancer.call_admin(b"PAUSE\n"), "YES paused\n");
     // It has been idle for a shorter time than the other one has been connected.
     assert!(used.read_response().is_none());
     assert_eq!(new.call(&get_request("2", "9000m")).status(), 200);
@@ -324,16 +347,16 @@
 #[test]
 fn answers_all_concurrent_commands() {
     let upstream = StubUpstream::start(|_| ok_response(""));
-    let node = BalancerProcess::with_admin(&[upstream.address]);
-    let address = node.admin_address.expect("an admin address");
+    let balancer = BalancerProcess::with_admin(&[upstream.address]);
+    let address = balancer.admin_address.expect("an admin address");
     thread::scope(|scope| {
         for command in ["SUSPEND s-0\n", "RESTORE s-0\n", "METRICS\n", "STATUS\n"].repeat(2) {
             scope.spawn(move || {
                 for _ in 0..20 {
-                    let answer = call_admin(address, command.as_bytes());
+                    let response = call_admin(address, command.as_bytes());
                     assert!(
-                        answer.starts_with("YES") || answer.ends_with("END\n"),
-                        "{answer}"
+                        response.starts_with("YES") || response.ends_with("END\n"),
+                        "{response}"
                     );
                 }
             });
--- a/balancer/tests/poll_notices.rs
+++ b/balancer/tests/poll_notices.rs
@@ -34,7 +34,7 @@
 /// The value of `ask_within` where an order does not depend on it.
 const ASK_WITHIN_MS: u64 = 10_000;
 
-const AT_ONCE: Duration = Duration::ZERO;
+const NO_DELAY: Duration = Duration::ZERO;
 
 /// What the notice says of the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -65,7 +65,7 @@
 }
 
 impl Outcome {
-    fn breaks_rule(&self, notice: Notice) -> bool {
+    fn violates_rule(&self, notice: Notice) -> bool {
         let limit = DRAIN_GRACE + SLACK;
         let is_applied = self.applied.is_some_and(|applied| applied <= limit);
         let is_sent_late = self.last_arrival.is_some_and(|arrival| arrival > limit);
@@ -75,7 +75,7 @@
 
 /// An order of calls and the notice.
 #[derive(Clone, Debug)]
-struct Order {
+struct Scenario {
     notice: Notice,
     script: Vec<Step>,
     ask_within_ms: u64,
@@ -93,37 +93,37 @@
     AfterTheChange,
 }
 
-fn served() -> Reply {
+fn ok_reply() -> Reply {
     ok_response("x")
 }
 
-impl Order {
-    fn new(script: Vec<Step>) -> Order {
-        Order {
+impl Scenario {
+    fn new(script: Vec<Step>) -> Scenario {
+        Scenario {
             notice: Notice::Draining,
             script,
             ask_within_ms: ASK_WITHIN_MS,
-            reply: served,
+            reply: ok_reply,
             start: Start::BeforeTheChange,
         }
     }
 
-    fn with_reply(mut self, reply: fn() -> Reply) -> Order {
+    fn with_reply(mut self, reply: fn() -> Reply) -> Scenario {
         self.reply = reply;
         self
     }
 
-    fn with_start(mut self, start: Start) -> Order {
+    fn with_start(mut self, start: Start) -> Scenario {
         self.start = start;
         self
     }
 
-    fn with_notice(mut self, notice: Notice) -> Order {
+    fn with_notice(mut self, notice: Notice) -> Scenario {
         self.notice = notice;
         self
     }
 
-    fn with_ask_within(mut self, ask_within_ms: u64) -> Order {
+    fn with_ask_within(mut self, ask_within_ms: u64) -> Scenario {
         self.ask_within_ms = ask_within_ms;
         self
     }
@@ -131,17 +131,17 @@
     /// Plays the order with all balancers, and asserts the rule.
     fn assert_nothing_is_sent_late(&self) {
         let results: Vec<Outcome> = thread::scope(|scope| {
-            let players: Vec<_> = (0..BALANCERS)
-                .map(|seed| scope.spawn(move || self.play(seed)))
+            let workers: Vec<_> = (0..BALANCERS)
+                .map(|seed| scope.spawn(move || self.run(seed)))
                 .collect();
-            players
+            workers
                 .into_iter()
-                .map(|player| player.join().expect("a balancer plays"))
+                .map(|worker| worker.join().expect("a balancer plays"))
                 .collect()
         });
         let violations: Vec<_> = results
             .iter()
-            .filter(|outcome| outcome.breaks_rule(self.notice))
+            .filter(|outcome| outcome.violates_rule(self.notice))
             .collect();
         assert!(
             violations.is_empty(),
@@ -150,9 +150,9 @@
         );
     }
 
-    fn play(&self, seed: u64) -> Outcome {
+    fn run(&self, seed: u64) -> Outcome {
         let (arrivals, leaving) = recording_upstream(self.reply);
-        let (_, staying) = recording_upstream(served);
+        let (_, staying) = recording_upstream(ok_reply);
         let lists = self.lists(&leaving, &staying);
         let discovery = ScriptedDiscovery::start(lists.clone());
         let config = poll_config(&discovery, seed, self.ask_within_ms, &lists.before);
@@ -278,25 +278,25 @@
 }
 
 /// The first script step ends the watch: discovery is gone.
-fn outage(calls: &[CallReply], last: Step) -> Vec<Step> {
+fn outage_script(calls: &[CallReply], last: Step) -> Vec<Step> {
     let mut script: Vec<Step> = calls.iter().copied().map(Step::new).collect();
     script.push(last);
     script
 }
 
-const REJECT: CallReply = CallReply::Reject(AT_ONCE);
+const REJECT: CallReply = CallReply::Reject(NO_DELAY);
 const REJECT_AFTER_QUEUE: CallReply = CallReply::Reject(QUEUE_TIMEOUT);
 const SERVE_AFTER_QUEUE: CallReply = CallReply::Serve(Duration::from_millis(1900));
 
 #[test]
-fn notice_on_a_watch_that_stands() {
+fn notice_on_an_open_watch() {
     for notice in [
         Notice::Draining,
         Notice::Removed,
         Notice::Unlisted,
         Notice::Restarted,
     ] {
-        Order::new(vec![])
+        Scenario::new(vec![])
             .with_notice(notice)
             .assert_nothing_is_sent_late();
     }
@@ -307,66 +307,67 @@
 fn notice_while_attempts_fail_and_are_retried() {
     let declined = || empty_response("503 Service Unavailable\r\nSrv-Declined: 1");
     for reply in [declined, || Reply::Close] {
-        Order::new(vec![])
+        Scenario::new(vec![])
             .with_reply(reply)
             .assert_nothing_is_sent_late();
     }
 }
 
 #[test]
-fn one_rejection_before_discovery_returns() {
-    Order::new(outage(&[], Step::recovering_after(REJECT))).assert_nothing_is_sent_late();
+fn one_rejection_before_discovery_recovers() {
+    Scenario::new(outage_script(&[], Step::recovering_after(REJECT))).assert_nothing_is_sent_late();
 }
 
 #[test]
-fn two_rejections_before_discovery_returns() {
-    Order::new(outage(&[REJECT], Step::recovering_after(REJECT))).assert_nothing_is_sent_late();
+fn two_rejections_before_discovery_recovers() {
+    Scenario::new(outage_script(&[REJECT], Step::recovering_after(REJECT)))
+        .assert_nothing_is_sent_late();
 }
 
 #[test]
-fn three_rejections_before_discovery_returns() {
-    let order = Order::new(outage(&[REJECT; 2], Step::recovering_after(REJECT)));
-    order.assert_nothing_is_sent_late();
+fn three_rejections_before_discovery_recovers() {
+    let scenario = Scenario::new(outage_script(&[REJECT; 2], Step::recovering_after(REJECT)));
+    scenario.assert_nothing_is_sent_late();
 }
 
 #[test]
-fn three_rejections_before_discovery_returns_and_a_queue_behind_them() {
-    let mut script = outage(&[REJECT; 2], Step::recovering_after(REJECT));
+fn three_rejections_before_discovery_recovers_and_a_queue_behind_them() {
+    let mut script = outage_script(&[REJECT; 2], Step::recovering_after(REJECT));
     script.push(Step::new(SERVE_AFTER_QUEUE));
-    Order::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_nothing_is_sent_late();
 }
 
 /// The call under way when discovery comes back is rejected all the same.
 #[test]
-fn discovery_returns_during_the_first_call_that_it_rejects_late() {
-    let order = Order::new(outage(
+fn discovery_recovers_during_the_first_call_that_it_rejects_late() {
+    let scenario = Scenario::new(outage_script(
         &[REJECT],
         Step::recovering_during(REJECT_AFTER_QUEUE),
     ));
-    order.assert_nothing_is_sent_late();
+    scenario.assert_nothing_is_sent_late();
 }
 
 #[test]
-fn discovery_returns_during_the_second_call_that_it_rejects_late() {
-    let order = Order::new(outage(
+fn discovery_recovers_during_the_second_call_that_it_rejects_late() {
+    let scenario = Scenario::new(outage_script(
         &[REJECT, REJECT_AFTER_QUEUE],
         Step::recovering_during(REJECT_AFTER_QUEUE),
     ));
-    order.assert_nothing_is_sent_late();
+    scenario.assert_nothing_is_sent_late();
 }
 
 #[test]
-fn discovery_returns_during_a_call_that_it_rejects_late_and_a_queue_behind_it() {
-    let mut script = outage(&[REJECT], Step::recovering_during(REJECT_AFTER_QUEUE));
+fn discovery_recovers_during_a_call_that_it_rejects_late_and_a_queue_behind_it() {
+    let mut script = outage_script(&[REJECT], Step::recovering_during(REJECT_AFTER_QUEUE));
     script.push(Step::new(SERVE_AFTER_QUEUE));
-    Order::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_nothing_is_sent_late();
 }
 
 /// `ask_within` is a figure of the simulator: on sockets a change gets 6 s whatever it says, or less.
 #[test]
-fn discovery_returns_during_a_late_rejection_with_a_small_ask_within() {
+fn discovery_recovers_during_a_late_rejection_with_a_small_ask_within() {
     for ask_within_ms in [1000, 3000] {
-        Order::new(outage(
+        Scenario::new(outage_script(
             &[REJECT, REJECT_AFTER_QUEUE],
             Step::recovering_during(REJECT_AFTER_QUEUE),
         ))
@@ -377,89 +378,89 @@
 
 /// Failures of another kind must not make the pause after the first rejection long.
 #[test]
-fn discovery_returns_after_resets_and_its_queue_rejects_the_first_call() {
-    let mut script = outage(
+fn discovery_recovers_after_resets_and_its_queue_rejects_the_first_call() {
+    let mut script = outage_script(
         &[CallReply::Reset; 3],
         Step::recovering_after(CallReply::Reset),
     );
     script.push(Step::new(REJECT_AFTER_QUEUE));
     script.push(Step::new(CallReply::Serve(Duration::from_millis(500))));
-    Order::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_nothing_is_sent_late();
 }
 
 #[test]
-fn discovery_returns_after_resets_and_is_full_at_the_first_call() {
-    let mut script = outage(
+fn discovery_recovers_after_resets_and_is_full_at_the_first_call() {
+    let mut script = outage_script(
         &[CallReply::Reset; 3],
         Step::recovering_after(CallReply::Reset),
     );
     script.push(Step::new(REJECT));
     script.push(Step::new(CallReply::Serve(Duration::from_millis(700))));
-    Order::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_nothing_is_sent_late();
 }
 
 #[test]
-fn discovery_returns_after_it_refused_connections() {
+fn discovery_recovers_after_it_refused_connections() {
     let refused = CallReply::RefuseConnections(Duration::from_secs(4));
-    let mut script = outage(&[], Step::recovering_after(refused));
+    let mut script = outage_script(&[], Step::recovering_after(refused));
     script.push(Step::new(SERVE_AFTER_QUEUE));
-    Order::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_nothing_is_sent_late();
 }
 
 #[test]
-fn a_watch_falls_silent() {
+fn watch_stops_responding() {
     let mut script = vec![Step::recovering_during(CallReply::Ignore)];
     script.push(Step::new(SERVE_AFTER_QUEUE));
-    Order::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_nothing_is_sent_late();
 }
 
 #[test]
-fn a_watch_falls_silent_and_the_next_call_is_rejected() {
+fn watch_stops_responding_and_the_next_call_is_rejected() {
     let script = vec![
         Step::recovering_during(CallReply::Ignore),
         Step::new(REJECT),
         Step::new(CallReply::Serve(Duration::from_millis(1500))),
     ];
-    Order::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_nothing_is_sent_late();
 }
 
 /// The balancer gives a call up; discovery comes back before the next one.
 #[test]
-fn discovery_returns_during_a_call_that_is_given_up() {
-    let mut script = outage(
+fn discovery_recovers_during_a_call_that_times_out() {
+    let mut script = outage_script(
         &[REJECT, CallReply::Ignore, CallReply::Ignore],
         Step::recovering_during(CallReply::Ignore),
     );
     script.push(Step::new(CallReply::Serve(Duration::from_millis(1800))));
-    Order::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_nothing_is_sent_late();
 }
 
 #[test]
-fn half_a_list_and_an_older_one_come_before_the_change() {
+fn truncated_and_older_lists_precede_the_change() {
     let script = vec![
         Step::recovering_during(CallReply::Truncate),
         Step::new(CallReply::ServeOlderList(QUEUE_TIMEOUT)),
         Step::new(CallReply::Serve(Duration::from_secs(1))),
     ];
-    Order::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_nothing_is_sent_late();
 }
 
 /// All that can go wrong with a call, one after the other, before discovery returns.
 #[test]
-fn discovery_returns_after_failures_of_all_kinds() {
-    let script = outage(
+fn discovery_recovers_after_failures_of_all_kinds() {
+    let script = outage_script(
         &[
             REJECT,
             CallReply::Truncate,
             CallReply::Reset,
-            CallReply::ServeOlderList(AT_ONCE),
+            CallReply::ServeOlderList(NO_DELAY),
             REJECT_AFTER_QUEUE,
             CallReply::Ignore,
         ],
         Step::recovering_during(REJECT_AFTER_QUEUE),
     );
     for notice in [Notice::Draining, Notice::Removed, Notice::Restarted] {
-        Order::new(script.clone())
+        Scenario::new(script.clone())
             .with_notice(notice)
             .assert_nothing_is_sent_late();
     }
@@ -469,14 +470,14 @@
 #[test]
 fn balancer_restarts_with_a_cached_list_while_discovery_rejects_calls() {
     let scripts = [
-        outage(&[REJECT], Step::recovering_after(REJECT)),
-        outage(
+        outage_script(&[REJECT], Step::recovering_after(REJECT)),
+        outage_script(
             &[REJECT_AFTER_QUEUE],
             Step::recovering_during(REJECT_AFTER_QUEUE),
         ),
     ];
     for script in scripts {
-        Order::new(script)
+        Scenario::new(script)
             .with_start(Start::AfterTheChange)
             .assert_nothing_is_sent_late();
     }
@@ -502,22 +503,23 @@
 /// Upgrades a balancer of which the old process is notified while discovery plays `script` to the new one, and asserts
 /// that the new process sends nothing to the upstream that drains.
 fn assert_successor_sends_nothing_late(name: &str, script: &[Step]) {
-    let order = Order::new(script.to_vec());
-    let (arrivals, leaving) = recording_upstream(served);
-    let (_, staying) = recording_upstream(served);
-    let lists = order.lists(&leaving, &staying);
+    let scenario = Scenario::new(script.to_vec());
+    let (arrivals, leaving) = recording_upstream(ok_reply);
+    let (_, staying) = recording_upstream(ok_reply);
+    let lists = scenario.lists(&leaving, &staying);
     let folder = state_folder(name);
-    let at_old = ScriptedDiscovery::start(lists.clone());
-    let at_new = ScriptedDiscovery::start(lists.clone());
-    let mut old = run_in_folder(&folder, &at_old, &lists.before, None);
-    at_new.play(script);
+    let old_discovery = ScriptedDiscovery::start(lists.clone());
+    let new_discovery = ScriptedDiscovery::start(lists.clone());
+    let mut old = run_in_folder(&folder, &old_discovery, &lists.before, None);
+    new_discovery.play(script);
     let new = thread::scope(|scope| {
-        let new = scope.spawn(|| run_in_folder(&folder, &at_new, &lists.before, Some(old.address)));
+        let new = scope
+            .spawn(|| run_in_folder(&folder, &new_discovery, &lists.before, Some(old.address)));
         thread::sleep(WARM_UP);
-        at_old.play(&[]);
+        old_discovery.play(&[]);
         new.join().expect("the new process serves")
     });
-    let notified_at = at_old.notified_at().expect("the change");
+    let notified_at = old_discovery.notified_at().expect("the change");
     old.terminate();
     assert!(old.wait_for_exit().success(), "{:?}", old.log_lines());
     let load = Load::start(&new);
@@ -536,19 +538,19 @@
 
 /// Both processes of an upgrade are the same balancer: what one was notified of counts for the other.
 #[test]
-fn successor_whose_call_is_rejected_sends_nothing_to_what_its_predecessor_knows_to_drain() {
+fn successor_whose_call_is_rejected_sends_nothing_to_upstreams_its_predecessor_saw_draining() {
     assert_successor_sends_nothing_late("rejected", &[Step::new(REJECT), Step::new(REJECT)]);
 }
 
 #[test]
-fn successor_whose_call_is_rejected_late_sends_nothing_to_what_its_predecessor_knows_to_drain() {
+fn successor_whose_call_is_rejected_late_sends_nothing_to_upstreams_its_predecessor_saw_draining() {
     assert_successor_sends_nothing_late("rejected-late", &[Step::new(REJECT_AFTER_QUEUE)]);
 }
 
 /// A list in which nothing has changed confirms the cached one: the successor need not wait for another.
 #[test]
 fn successor_serves_once_its_cached_list_is_confirmed() {
-    let (_, upstream) = recording_upstream(served);
+    let (_, upstream) = recording_upstream(ok_reply);
     let before = vec![(0, upstream.address, "active")];
     let lists = ListHistory::new(&before, &before, &before);
     let folder = state_folder("confirmed");
@@ -556,14 +558,14 @@
     let old = run_in_folder(&folder, &discovery[0], &lists.before, None);
     let started_at = Instant::now();
     run_in_folder(&folder, &discovery[1], &lists.before, Some(old.address));
-    let took = started_at.elapsed();
-    assert!(took < Duration::from_secs(1), "{took:?}");
+    let elapsed = started_at.elapsed();
+    assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
 }
 
 /// Clients have nobody else: the successor serves with its cached list.
 #[test]
-fn successor_serves_at_once_when_its_predecessor_has_died() {
-    let (_, upstream) = recording_upstream(served);
+fn successor_serves_at_once_after_its_predecessor_is_killed() {
+    let (_, upstream) = recording_upstream(ok_reply);
     let before = vec![(0, upstream.address, "active")];
     let lists = ListHistory::new(&before, &before, &before);
     let folder = state_folder("died");
@@ -571,12 +573,12 @@
     let old = run_in_folder(&folder, &discovery[0], &lists.before, None);
     let address = old.address;
     discovery[1].play(&[Step::new(CallReply::Ignore); 4]);
-    let died_at = Instant::now() + WARM_UP;
+    let killed_at = Instant::now() + WARM_UP;
     thread::scope(|scope| {
         scope.spawn(|| run_in_folder(&folder, &discovery[1], &lists.before, Some(address)));
         thread::sleep(WARM_UP);
         drop(old);
     });
-    let took = died_at.elapsed();
-    assert!(took < Duration::from_secs(1), "{took:?}");
+    let elapsed = killed_at.elapsed();
+    assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
 }
--- a/balancer/tests/restarts.rs
+++ b/balancer/tests/restarts.rs
@@ -6,7 +6,7 @@
 
 /// More upstreams than any fleet has had, all at one address.
 const ENDPOINTS: usize = 1024;
-const READY_WITHIN: Duration = Duration::from_secs(10);
+const READINESS_LIMIT: Duration = Duration::from_secs(10);
 
 /// A list of [`ENDPOINTS`] endpoints at one address.
 fn endpoints_at(addr: SocketAddr) -> Vec<(usize, SocketAddr, &'static str)> {
@@ -14,12 +14,17 @@
 }
 
 /// Waits until the readiness check succeeds, which must be in time.
-fn wait_until_ready(node: &BalancerProcess, since: Instant) {
-    while node.client().call("GET /-/ready HTTP/1.1\r\n\r\n").status() != 200 {
-        assert!(since.elapsed() < READY_WITHIN, "not ready");
+fn wait_until_ready(balancer: &BalancerProcess, since: Instant) {
+    while balancer
+        .client()
+        .call("GET /-/ready HTTP/1.1\r\n\r\n")
+        .status()
+        != 200
+    {
+        assert!(since.elapsed() < READINESS_LIMIT, "not ready");
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(since.elapsed() < READY_WITHIN, "{:?}", since.elapsed());
+    assert!(since.elapsed() < READINESS_LIMIT, "{:?}", since.elapsed());
 }
 
 /// The configuration, with pushed instead of polled endpoint lists if `pushed`.
@@ -45,14 +50,14 @@
                 1024,
                 &endpoint_list(1, true, &endpoints_at(upstream.address)),
             );
-            let started = Instant::now();
-            let node = BalancerProcess::run(
+            let started_at = Instant::now();
+            let balancer = BalancerProcess::run(
                 balancer_command(&with_list_mode(config, push)),
                 StubDiscovery::start(),
             );
-            wait_until_ready(&node, started);
+            wait_until_ready(&balancer, started_at);
             assert_eq!(
-                node.client().call(&get_request("r1", "5000m")).status(),
+                balancer.client().call(&get_request("r1", "5000m")).status(),
                 200
             );
         }
@@ -66,21 +71,26 @@
         let discovery = StubDiscovery::start();
         let known = endpoint_list(1, true, &[(0, refusing_address(), "odd")]);
         let config = balancer_config(discovery.address, 1024, &known);
-        let started = Instant::now();
-        let node = BalancerProcess::run(balancer_command(&with_list_mode(config, push)), discovery);
-        assert_eq!(node.discovery.next_call_path(), "/api/targets");
-        node.discovery
+        let started_at = Instant::now();
+        let balancer =
+            BalancerProcess::run(balancer_command(&with_list_mode(config, push)), discovery);
+        assert_eq!(balancer.discovery.next_call_path(), "/api/targets");
+        balancer
+            .discovery
             .respond(&endpoint_list(3, true, &[(1, upstream.address, "active")]));
-        wait_until_ready(&node, started);
+        wait_until_ready(&balancer, started_at);
         assert_eq!(
-            node.client().call(&get_request("r1", "5000m")).status(),
+            balancer.client().call(&get_request("r1", "5000m")).status(),
             200
         );
         // The line precedes "serving on", where `log` starts. No later line mentions the list.
         assert!(
-            !node.log_lines().iter().any(|line| line.contains("known")),
+            !balancer
+                .log_lines()
+                .iter()
+                .any(|line| line.contains("known")),
             "{:?}",
-            node.log_lines()
+            balancer.log_lines()
         );
     }
 }
@@ -88,12 +98,12 @@
 #[test]
 fn updates_stale_cached_list() {
     let upstream = StubUpstream::start(|_| ok_response("x"));
-    let node = BalancerProcess::start(
+    let balancer = BalancerProcess::start(
         1024,
         &endpoint_list(1, true, &[(0, refusing_address(), "active")]),
     );
-    let started = Instant::now();
-    assert!(node
+    let started_at = Instant::now();
+    assert!(balancer
         .discovery
         .next_call_path()
         .starts_with("/api/targets?since=1&"));
@@ -101,14 +111,16 @@
         (0, refusing_address(), "left"),
         (1, upstream.address, "active"),
     ];
-    node.discovery.respond(&endpoint_list(9, false, &changes));
-    assert!(node
+    balancer
+        .discovery
+        .respond(&endpoint_list(9, false, &changes));
+    assert!(balancer
         .discovery
         .next_call_path()
         .starts_with("/api/targets?since=9&"));
-    wait_until_ready(&node, started);
+    wait_until_ready(&balancer, started_at);
     assert_eq!(
-        node.client().call(&get_request("r1", "5000m")).status(),
+        balancer.client().call(&get_request("r1", "5000m")).status(),
         200
     );
 }
@@ -121,33 +133,38 @@
     for push in [true, false] {
         let discovery = StubDiscovery::start();
         let config = balancer_config(discovery.address, 1024, "null");
-        let started = Instant::now();
-        let node = BalancerProcess::run(balancer_command(&with_list_mode(config, push)), discovery);
-        node.discovery.next_call_path();
-        node.discovery.respond(
+        let started_at = Instant::now();
+        let balancer =
+            BalancerProcess::run(balancer_command(&with_list_mode(config, push)), discovery);
+        balancer.discovery.next_call_path();
+        balancer.discovery.respond(
             &endpoint_list(1, true, &endpoints_at(old.address))
                 .replace(',', ",\n                    "),
         );
-        wait_until_ready(&node, started);
-        let mut client = node.client();
+        wait_until_ready(&balancer, started_at);
+        let mut client = balancer.client();
         for i in 0..50 {
             assert_eq!(
                 client.call(&get_request(&format!("r{i}"), "5000m")).body,
                 b"old"
             );
         }
-        assert!(node.discovery.next_call_path().contains("since=1&"));
+        assert!(balancer.discovery.next_call_path().contains("since=1&"));
         // All endpoints move to another address.
         let moved: Vec<_> = (0..ENDPOINTS).map(|n| (n, new.address, "active")).collect();
-        node.discovery.respond(&endpoint_list(2, false, &moved));
-        assert!(node.discovery.next_call_path().contains("since=2&"));
+        balancer.discovery.respond(&endpoint_list(2, false, &moved));
+        assert!(balancer.discovery.next_call_path().contains("since=2&"));
         for i in 50..100 {
             assert_eq!(
                 client.call(&get_request(&format!("r{i}"), "5000m")).body,
                 b"new"
             );
         }
-        assert!(node.resident_kb() < 32 << 10, "{} KiB", node.resident_kb());
+        assert!(
+            balancer.resident_kb() < 32 << 10,
+            "{} KiB",
+            balancer.resident_kb()
+        );
     }
 }
 
@@ -164,40 +181,40 @@
             64,
             &endpoint_list(1, true, &[(0, old.address, "active")]),
         );
-        let node = BalancerProcess::run(
+        let balancer = BalancerProcess::run(
             balancer_command(&with_list_mode(with_admin_endpoint(&config), push)),
             StubDiscovery::start(),
         );
-        let _idle: Vec<Client> = (0..200).map(|_| node.client()).collect();
+        let _idle: Vec<Client> = (0..200).map(|_| balancer.client()).collect();
         assert_eq!(
-            node.client().call(&get_request("r1", "15000m")).body,
+            balancer.client().call(&get_request("r1", "15000m")).body,
             b"old"
         );
-        assert!(node.call_admin(b"STATUS\n").starts_with("YES"));
-        let agent = TcpListener::bind(down).expect("its port is still free");
-        let returned = Instant::now();
-        let mut call = std::io::BufReader::new(agent.accept().expect("a call").0);
+        assert!(balancer.call_admin(b"STATUS\n").starts_with("YES"));
+        let listener = TcpListener::bind(down).expect("its port is still free");
+        let recovered_at = Instant::now();
+        let mut call = std::io::BufReader::new(listener.accept().expect("a call").0);
         assert!(read_message(&mut call)
             .expect("a call")
             .start_line
             .contains("since=1&"));
         let update = endpoint_list(2, true, &[(1, new.address, "active")]);
-        let answer = format!(
+        let response = format!(
             "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{update}",
             update.len()
         );
-        std::io::Write::write_all(call.get_mut(), answer.as_bytes()).expect("writes");
+        std::io::Write::write_all(call.get_mut(), response.as_bytes()).expect("writes");
         assert!(read_message(&mut call)
             .expect("the watch goes on")
             .start_line
             .contains("since=2&"));
         assert!(
-            returned.elapsed() < Duration::from_secs(6),
+            recovered_at.elapsed() < Duration::from_secs(6),
             "{:?}",
-            returned.elapsed()
+            recovered_at.elapsed()
         );
         assert_eq!(
-            node.client().call(&get_request("r2", "15000m")).body,
+            balancer.client().call(&get_request("r2", "15000m")).body,
             b"new"
         );
     }
@@ -221,7 +238,7 @@
         std::thread::sleep(Duration::from_millis(800));
         drop(occupied);
     });
-    let node = BalancerProcess::run(balancer_command(&config), discovery);
-    wait_until_ready(&node, since);
+    let balancer = BalancerProcess::run(balancer_command(&config), discovery);
+    wait_until_ready(&balancer, since);
     release.join().expect("no panic");
 }
--- a/balancer/tests/sockets.rs
+++ b/balancer/tests/sockets.rs
@@ -7,9 +7,9 @@
 /// Replies to the first request with `first`, and serves all later ones, whichever upstream they
 /// reach.
 fn first_then_ok(first: fn() -> Reply) -> impl Fn(&Message) -> Reply + Clone + Send + Sync {
-    let seen = Arc::new(AtomicUsize::new(0));
+    let request_count = Arc::new(AtomicUsize::new(0));
     move |_| {
-        if seen.fetch_add(1, Ordering::SeqCst) == 0 {
+        if request_count.fetch_add(1, Ordering::SeqCst) == 0 {
             first()
         } else {
             ok_response("served")
@@ -31,20 +31,23 @@
         (response.status(), response.body.as_slice()),
         (200, &b"the answer"[..])
     );
-    let got = upstream.next_request();
-    assert_eq!(got.start_line, "POST /api/a%20b?q=1&r HTTP/1.1");
+    let forwarded = upstream.next_request();
+    assert_eq!(forwarded.start_line, "POST /api/a%20b?q=1&r HTTP/1.1");
     assert_eq!(
-        (got.header("req-id"), got.header("idempotency-key")),
+        (
+            forwarded.header("req-id"),
+            forwarded.header("idempotency-key")
+        ),
         (Some("9b1f"), Some("5c0f"))
     );
-    assert_eq!(got.body, b"hello");
-    let wait = got
+    assert_eq!(forwarded.body, b"hello");
+    let deadline = forwarded
         .header("req-deadline")
         .and_then(|d| d.strip_suffix('u'))
         .expect("microseconds");
     assert!(
-        (1..=8_000_000).contains(&wait.parse::<u64>().expect("a number")),
-        "{wait}"
+        (1..=8_000_000).contains(&deadline.parse::<u64>().expect("a number")),
+        "{deadline}"
     );
 }
 
@@ -111,10 +114,10 @@
 
 #[test]
 fn retries_a_non_idempotent_request_only_after_a_marked_rejection() {
-    let behave = first_then_ok(|| empty_response("503 Service Unavailable\r\nSrv-Declined: 1"));
+    let reply = first_then_ok(|| empty_response("503 Service Unavailable\r\nSrv-Declined: 1"));
     let (a, b) = (
-        StubUpstream::start(behave.clone()),
-        StubUpstream::start(behave),
+        StubUpstream::start(reply.clone()),
+        StubUpstream::start(reply),
     );
     let balancer = BalancerProcess::with_upstreams(&[a.address, b.address]);
     assert_eq!(
@@ -134,10 +137,10 @@
         || Reply::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".into()),
         || Reply::RespondAndClose("garbage\r\n\r\n".into()),
     ] {
-        let behave = first_then_ok(first);
+        let reply = first_then_ok(first);
         let (a, b) = (
-            StubUpstream::start(behave.clone()),
-            StubUpstream::start(behave),
+            StubUpstream::start(reply.clone()),
+            StubUpstream::start(reply),
         );
         let balancer = BalancerProcess::with_upstreams(&[a.address, b.address]);
         // It may have run: neither a retry nor a rejection, which would invite one.
@@ -177,7 +180,7 @@
     let mut client = balancer.client();
     balancer.discovery.next_call_path();
     assert_eq!(client.call(READY_REQUEST).status(), 200);
-    let without = balancer.descriptor_count();
+    let initial_count = balancer.descriptor_count();
     for i in 0..20 {
         assert_eq!(
             client
@@ -189,14 +192,17 @@
             upstream.next_request().header("req-id"),
             Some(format!("r{i}").as_str())
         );
-        balancer.wait_for_descriptors(|n| n <= without, "the closed connection is still open here");
+        balancer.wait_for_descriptors(
+            |n| n <= initial_count,
+            "the closed connection is still open here",
+        );
     }
     assert_eq!(upstream.further_request_count(), 0);
 }
 
 #[test]
 fn deadline_produces_one_response_and_closes_the_upstream_connection() {
-    let silent = || {
+    let start_upstream = || {
         StubUpstream::start(|m| {
             if m.header("req-id") == Some("late") {
                 Reply::NeverRespond
@@ -205,7 +211,7 @@
             }
         })
     };
-    let upstream = silent();
+    let upstream = start_upstream();
     let balancer = BalancerProcess::with_upstreams(&[upstream.address]);
     let mut client = balancer.client();
     assert_eq!(client.call(&payment_request("late", "300m")).status(), 502);
@@ -250,12 +256,12 @@
     let response = client.call(&payment_request("r1", "86400000m"));
     assert_eq!(response.status(), 503);
     assert!(start.elapsed() < TEST_TIMEOUT);
-    let after: f64 = response
+    let retry_after: f64 = response
         .header("retry-after")
         .expect("advice")
         .parse()
         .expect("a number");
-    assert!(after > 0.0 && after <= 2.0, "{after}");
+    assert!(retry_after > 0.0 && retry_after <= 2.0, "{retry_after}");
 }
 
 #[test]
@@ -315,8 +321,8 @@
 
 #[test]
 fn rejects_when_the_upstream_connection_never_opens() {
-    let full = UnresponsiveListener::start();
-    let balancer = BalancerProcess::with_upstreams(&[full.address]);
+    let listener = UnresponsiveListener::start();
+    let balancer = BalancerProcess::with_upstreams(&[listener.address]);
     // Nothing was sent, so a retry is safe: a rejection, also for a non-idempotent request.
     assert_eq!(
         balancer
@@ -331,49 +337,51 @@
 fn balancer_with_unopened_upstream(
     change_config: impl Fn(String) -> String,
 ) -> (BalancerProcess, UnresponsiveListener) {
-    let full = UnresponsiveListener::start();
+    let listener = UnresponsiveListener::start();
     let discovery = StubDiscovery::start();
     let config = balancer_config(
         discovery.address,
         1024,
-        &endpoint_list(1, true, &[(0, full.address, "active")]),
+        &endpoint_list(1, true, &[(0, listener.address, "active")]),
     )
     .replace("\"idle_close\"", "\"dial_timeout\":20000,\"idle_close\"");
     let balancer = BalancerProcess::run(balancer_command(&change_config(config)), discovery);
     balancer.discovery.next_call_path();
-    (balancer, full)
+    (balancer, listener)
 }
 
 #[test]
 fn writes_nothing_for_a_request_that_ended_while_dialling() {
-    let (balancer, full) =
+    let (balancer, listener) =
         balancer_with_unopened_upstream(|c| c.replace("\"cancel\":true", "\"cancel\":false"));
-    let without = balancer.descriptor_count();
+    let initial_count = balancer.descriptor_count();
     let mut client = balancer.client();
     client.send(&payment_request("r1", "20000m"));
     // The client's socket and the one that dials.
-    balancer.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
+    balancer.wait_for_descriptors(|n| n >= initial_count + 2, "it does not dial");
     drop(client);
     balancer.wait_for_descriptors(
-        |n| n <= without + 1,
+        |n| n <= initial_count + 1,
         "it does not notice that the client disconnected",
     );
-    assert!(read_message(&mut full.accept_first_connection()).is_none());
+    assert!(read_message(&mut listener.accept_first_connection()).is_none());
 }
 
 #[test]
 fn writes_nothing_to_a_draining_upstream_after_its_grace() {
-    let (balancer, full) =
+    let (balancer, listener) =
         balancer_with_unopened_upstream(|c| c.replace("\"drain_grace\":1000", "\"drain_grace\":0"));
-    let without = balancer.descriptor_count();
+    let initial_count = balancer.descriptor_count();
     let mut client = balancer.client();
     client.send(&payment_request("r1", "20000m"));
-    balancer.wait_for_descriptors(|n| n >= without + 2, "it does not dial");
-    balancer
-        .discovery
-        .respond(&endpoint_list(2, false, &[(0, full.address, "leaving")]));
+    balancer.wait_for_descriptors(|n| n >= initial_count + 2, "it does not dial");
+    balancer.discovery.respond(&endpoint_list(
+        2,
+        false,
+        &[(0, listener.address, "leaving")],
+    ));
     assert!(balancer.discovery.next_call_path().contains("since=2&"));
-    assert!(read_message(&mut full.accept_first_connection()).is_none());
+    assert!(read_message(&mut listener.accept_first_connection()).is_none());
     // Nothing ran, and there is no other upstream.
     assert_eq!(client.read_response().expect("a response").status(), 503);
 }
--- a/balancer/tests/surplus_responses.rs
+++ b/balancer/tests/surplus_responses.rs
@@ -16,7 +16,7 @@
 const CLIENTS: usize = 4;
 const REQUESTS_PER_CLIENT: usize = 120;
 /// Longer than a connection rests before it is preferred for reuse.
-const LONG_REST: Duration = Duration::from_millis(1200);
+const LONG_IDLE_TIME: Duration = Duration::from_millis(1200);
 const SERVICE_TIME: Duration = Duration::from_millis(3);
 /// Surplus data that is later than this may reach one request before it is detected.
 const ALWAYS_DETECTED: Duration = Duration::from_millis(10);
@@ -161,7 +161,7 @@
         upstream.next_request();
         release.send(()).expect("the upstream waits");
         assert_eq!(second.read_response().expect("a response").body, b"second");
-        thread::sleep(LONG_REST);
+        thread::sleep(LONG_IDLE_TIME);
         TwoConnections {
             upstream,
             balancer,
--- a/balancer/tests/upgrade_lists.rs
+++ b/balancer/tests/upgrade_lists.rs
@@ -20,7 +20,7 @@
 /// A process is to be ready this long after its start.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(10);
 /// Time for a process to start, beside what it waits for.
-const START_TIME: Duration = Duration::from_secs(1);
+const START_ALLOWANCE: Duration = Duration::from_secs(1);
 
 fn respond(stream: &mut BufReader<TcpStream>, status: &str, body: &str) {
     let text = format!(
@@ -37,13 +37,13 @@
 /// configuration. Returns once it serves.
 fn start_successor(
     folder: &Path,
-    clients: SocketAddr,
+    client_address: SocketAddr,
     discovery: SocketAddr,
     known: &str,
 ) -> BalancerProcess {
     let config = with_admin_endpoint(&balancer_config(discovery, 1024, known)).replacen(
         "\"listen\":\"127.0.0.1:0\"",
-        &format!("\"listen\":\"{clients}\""),
+        &format!("\"listen\":\"{client_address}\""),
         1,
     );
     let mut command = balancer_command(&config);
@@ -57,7 +57,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let address = listener.local_addr().expect("an address");
     let has_responded = Arc::new(AtomicBool::new(false));
-    let responds = has_responded.clone();
+    let responded = has_responded.clone();
     thread::spawn(move || {
         let accept_call = || {
             let mut stream = BufReader::new(listener.accept().expect("a call").0);
@@ -68,7 +68,7 @@
         thread::sleep(QUEUE_TIME);
         respond(&mut rejected, "503 Service Unavailable", "");
         let mut served = accept_call();
-        responds.store(true, Ordering::SeqCst);
+        responded.store(true, Ordering::SeqCst);
         respond(&mut served, "200 OK", &list);
         // The watch stands until the balancer ends.
         while read_message(&mut served).is_some() {}
@@ -101,8 +101,8 @@
     assert!(old.wait_for_exit().success());
     let mut client = new.client();
     for id in 0..20 {
-        let answer = client.call(&get_request(&id.to_string(), "9000m"));
-        assert_eq!(answer.body, b"used");
+        let response = client.call(&get_request(&id.to_string(), "9000m"));
+        assert_eq!(response.body, b"used");
     }
     assert_eq!(left.further_request_count(), 0);
 }
@@ -118,7 +118,7 @@
     let known = active_endpoints(&[upstream.address]);
     let _new = start_successor(&folder, old.address, discovery.address, &known);
     let elapsed = started_at.elapsed();
-    assert!(elapsed < START_TIME, "{elapsed:?}");
+    assert!(elapsed < START_ALLOWANCE, "{elapsed:?}");
 }
 
 /// An outage of discovery delays an upgrade, but does not prevent it.
@@ -136,8 +136,8 @@
         elapsed >= NOTIFICATION_DEADLINE && elapsed < READINESS_TIMEOUT,
         "{elapsed:?}"
     );
-    let answer = new.client().call(&get_request("r1", "9000m"));
-    assert_eq!(answer.status(), 200);
+    let response = new.client().call(&get_request("r1", "9000m"));
+    assert_eq!(response.status(), 200);
 }
 
 /// Nobody else serves the clients then.
@@ -148,16 +148,16 @@
     let old = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
     let silent = StubDiscovery::start();
     let known = active_endpoints(&[upstream.address]);
-    let (clients, discovery) = (old.address, silent.address);
-    let new = thread::spawn(move || start_successor(&folder, clients, discovery, &known));
+    let (client_address, discovery) = (old.address, silent.address);
+    let new = thread::spawn(move || start_successor(&folder, client_address, discovery, &known));
     silent.next_call_path();
     // By then it has noticed the old process.
-    thread::sleep(START_TIME);
+    thread::sleep(START_ALLOWANCE);
     // Kills it.
     drop(old);
     let killed_at = Instant::now();
     let new = new.join().expect("it serves");
     let elapsed = killed_at.elapsed();
-    assert!(elapsed < START_TIME, "{elapsed:?}");
+    assert!(elapsed < START_ALLOWANCE, "{elapsed:?}");
     assert_eq!(new.call_admin(b"STATUS\n"), "YES serving\n");
 }
--- a/balancer/tests/upgrade_waits.rs
+++ b/balancer/tests/upgrade_waits.rs
@@ -23,12 +23,12 @@
     folder: &Path,
     silent: &StubDiscovery,
     upstream: SocketAddr,
-    clients: &str,
+    client_address: &str,
 ) -> Command {
     let known = active_endpoints(&[upstream]);
     let config = with_admin_endpoint(&balancer_config(silent.address, 1024, &known)).replacen(
         "\"listen\":\"127.0.0.1:0\"",
-        &format!("\"listen\":\"{clients}\""),
+        &format!("\"listen\":\"{client_address}\""),
         1,
     );
     let mut command = balancer_command(&config);
@@ -129,8 +129,8 @@
     let stored = folder.join("herondock-orders.json");
     let before = fs::read_to_string(&stored).expect("the stored overrides");
     let silent = StubDiscovery::start();
-    let clients = old.address.to_string();
-    let mut command = command_in(&folder, &silent, upstream.address, &clients);
+    let client_address = old.address.to_string();
+    let mut command = command_in(&folder, &silent, upstream.address, &client_address);
     let mut new = StartingBalancer(command.spawn().expect("starts"));
     silent.next_call_path();
     sleep(Duration::from_millis(300));
--- a/balancer/tests/upgrades.rs
+++ b/balancer/tests/upgrades.rs
@@ -10,15 +10,15 @@
 
 /// Sends requests until `stop` is set, on one connection for as long as it lasts. Fails if a request fails. Returns the
 /// number of requests.
-fn send_requests(to: SocketAddr, name: usize, stop: Arc<AtomicBool>) -> usize {
-    let mut client = Client::connect(to);
+fn send_requests(address: SocketAddr, client_id: usize, stop: Arc<AtomicBool>) -> usize {
+    let mut client = Client::connect(address);
     let mut requests = 0;
     while !stop.load(Ordering::SeqCst) {
-        let answer = client.call(&get_request(&format!("{name}-{requests}"), "15000m"));
-        assert_eq!(answer.status(), 200);
+        let response = client.call(&get_request(&format!("{client_id}-{requests}"), "15000m"));
+        assert_eq!(response.status(), 200);
         requests += 1;
-        if answer.header("connection") == Some("close") {
-            client = Client::connect(to);
+        if response.header("connection") == Some("close") {
+            client = Client::connect(address);
         }
     }
     requests
@@ -32,9 +32,9 @@
     let mut old = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
     let stop = Arc::new(AtomicBool::new(false));
     let clients: Vec<_> = (0..8)
-        .map(|name| {
-            let (to, stop) = (old.address, stop.clone());
-            thread::spawn(move || send_requests(to, name, stop))
+        .map(|client_id| {
+            let (address, stop) = (old.address, stop.clone());
+            thread::spawn(move || send_requests(address, client_id, stop))
         })
         .collect();
     for _ in 0..3 {
@@ -77,10 +77,10 @@
     assert_eq!(old.call_admin(b"RESTORE s-1\n"), "YES s-1 is in use\n");
     wait_for_metric(new_admin, "node_pool_ejected 1");
     assert_eq!(old.call_admin(b"PAUSE\n"), "YES paused\n");
-    let started = Instant::now();
+    let started_at = Instant::now();
     while new.call_admin(b"STATUS\n") == "YES serving\n" {
         assert!(
-            started.elapsed() < TEST_TIMEOUT,
+            started_at.elapsed() < TEST_TIMEOUT,
             "the pause does not reach the new process"
         );
     }
@@ -118,11 +118,11 @@
     });
     let folder = state_folder("ready");
     let mut old = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
-    let both = format!(
+    let requests = format!(
         "{}GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n",
         get_request("held", "9000m")
     );
-    let mut client = old.client_that_sent(&both);
+    let mut client = old.client_that_sent(&requests);
     upstream.next_request();
     let _new = BalancerProcess::in_state_folder(&folder, Some(&old), &[upstream.address]);
     old.terminate();
@@ -201,9 +201,15 @@
         "{\"version\":1,\"susp",
     )
     .expect("writes");
-    let node = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
-    assert_eq!(node.client().call(&get_request("1", "9000m")).status(), 200);
-    assert_eq!(node.call_admin(b"SUSPEND s-0\n"), "YES s-0 is left out\n");
+    let balancer = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
+    assert_eq!(
+        balancer.client().call(&get_request("1", "9000m")).status(),
+        200
+    );
+    assert_eq!(
+        balancer.call_admin(b"SUSPEND s-0\n"),
+        "YES s-0 is left out\n"
+    );
 }
 
 /// A new process that cannot write to the folder when it starts to serve registers once it can.
@@ -217,11 +223,11 @@
     let new = BalancerProcess::in_state_folder(&folder, Some(&old), &[upstream.address]);
     assert_eq!(new.call_admin(b"STATUS\n"), "YES serving\n");
     std::fs::rename(&aside, &folder).expect("renames");
-    let started = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     let overrides =
         || std::fs::read_to_string(folder.join("herondock-orders.json")).unwrap_or_default();
     while !overrides().contains("\"processes\":2") {
-        assert!(started.elapsed() < TEST_TIMEOUT, "{}", overrides());
+        assert!(started_at.elapsed() < TEST_TIMEOUT, "{}", overrides());
         std::thread::sleep(std::time::Duration::from_millis(50));
     }
 }
@@ -239,14 +245,15 @@
     let folder = state_folder("previous");
     let file = folder.join("herondock-orders.json");
     std::fs::write(&file, OVERRIDES_OF_PREVIOUS_VERSION).expect("writes");
-    let node = BalancerProcess::in_state_folder(&folder, None, &[suspended.address, used.address]);
+    let balancer =
+        BalancerProcess::in_state_folder(&folder, None, &[suspended.address, used.address]);
     assert_eq!(
-        node.call_admin(b"STATUS\n"),
+        balancer.call_admin(b"STATUS\n"),
         "YES serving, paused: clients are sent away\n"
     );
-    node.wait_for_metric("node_pool_ejected 1");
-    assert_eq!(node.call_admin(b"RESUME\n"), "YES serving\n");
-    let mut client = node.client();
+    balancer.wait_for_metric("node_pool_ejected 1");
+    assert_eq!(balancer.call_admin(b"RESUME\n"), "YES serving\n");
+    let mut client = balancer.client();
     for id in 0..50 {
         assert_eq!(
             client.call(&get_request(&id.to_string(), "9000m")).body,
@@ -262,6 +269,6 @@
             .replace("\"processes\":1", "\"processes\":2")
             .replace("\"paused\":true", "\"paused\":false")
     );
-    assert_eq!(node.call_admin(b"RESTORE s-0\n"), "YES s-0 is in use\n");
-    node.wait_for_metric("node_pool_ejected 0");
+    assert_eq!(balancer.call_admin(b"RESTORE s-0\n"), "YES s-0 is in use\n");
+    balancer.wait_for_metric("node_pool_ejected 0");
 }
--- a/balancer/tests/upstreams.rs
+++ b/balancer/tests/upstreams.rs
@@ -52,9 +52,9 @@
 
 #[test]
 fn does_not_use_a_surplus_response_for_the_next_request() {
-    let twice = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none".repeat(2);
+    let two_responses = "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none".repeat(2);
     let upstream = StubUpstream::start(move |m| match m.header("req-id") {
-        Some("r1") => Reply::Respond(twice.clone()),
+        Some("r1") => Reply::Respond(two_responses.clone()),
         _ => ok_response("two"),
     });
     let balancer = BalancerProcess::with_upstreams(&[upstream.address]);
@@ -65,11 +65,11 @@
 
 #[test]
 fn skips_informational_responses() {
-    let ahead =
+    let informational =
         "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n".repeat(3);
     let upstream = StubUpstream::start(move |_| {
         Reply::Respond(format!(
-            "{ahead}HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
+            "{informational}HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
         ))
     });
     let balancer = BalancerProcess::with_upstreams(&[upstream.address]);
