--- a/balancer/tests/inherited_signals.rs
+++ b/balancer/tests/inherited_signals.rs
@@ -1,5 +1,5 @@
-//! Signals that the parent of the balancer has blocked or ignores, as a supervisor or `nohup` may.
-// A helper that fails ends its test, as an assertion does.
+//! Signals that the balancer's parent process blocks or ignores, as a supervisor or `nohup` may.
+// A failed `expect` in a helper fails its test, as an assertion does.
 #![allow(clippy::expect_used)]
 mod common;
 
@@ -8,17 +8,17 @@
 use std::process::Command;
 use std::thread;
 
-/// The command of a balancer with an admin endpoint, its configuration and its discovery.
+/// The command, configuration and discovery of a balancer with an admin endpoint.
 fn prepare_balancer(command_for: impl Fn(&str) -> Command) -> (Command, String, StubDiscovery) {
     let discovery = StubDiscovery::start();
     let config = with_admin_endpoint(&balancer_config(discovery.address, 1024, "null"));
     (command_for(&config), config, discovery)
 }
 
-/// A balancer whose parent has blocked all signals that it follows, and its configuration.
+/// A balancer whose parent has blocked all signals that it handles, and its configuration.
 fn start_with_signals_blocked() -> (BalancerProcess, String) {
     let (command, config, discovery) = prepare_balancer(balancer_command);
-    // A process inherits the signals that are blocked in the thread that starts it.
+    // A process inherits the signal mask of the thread that starts it.
     let starter = thread::spawn(move || {
         let handled = [Signal::SIGHUP, Signal::SIGTERM, Signal::SIGINT];
         let blocked: SigSet = handled.into_iter().collect();
@@ -28,7 +28,7 @@
     (starter.join().expect("starts"), config)
 }
 
-/// A balancer whose parent ignores all signals that it follows, and its configuration.
+/// A balancer whose parent ignores all signals that it handles, and its configuration.
 fn start_with_signals_ignored() -> (BalancerProcess, String) {
     let (command, config, discovery) = prepare_balancer(balancer_command_ignoring_signals);
     (BalancerProcess::run(command, discovery), config)
@@ -48,26 +48,27 @@
     assert_eq!(balancer.wait_for_exit_in_time().code(), Some(0));
 }
 
-/// Guards against a process that waits for signals its parent has blocked.
+/// Guards against a process that never receives signals because its parent has blocked them.
 #[test]
 fn reloads_and_ends_at_sigterm_if_its_parent_blocked_the_signals() {
     assert_reloads_and_ends_at_sigterm(start_with_signals_blocked());
 }
 
-/// Guards against a process that waits for SIGINT its parent has blocked.
+/// Guards against a process that never receives SIGINT because its parent has blocked it.
 #[test]
 fn ends_at_sigint_if_its_parent_blocked_the_signals() {
     assert_ends_at_sigint(start_with_signals_blocked());
 }
 
-/// Guards against a process that never sees signals its parent ignores: the system discards an ignored signal before it
-/// can be read.
+/// Guards against a process that never receives signals because its parent ignores them: the kernel discards an ignored
+/// signal before it can be read.
 #[test]
 fn reloads_and_ends_at_sigterm_if_its_parent_ignored_the_signals() {
     assert_reloads_and_ends_at_sigterm(start_with_signals_ignored());
 }
 
-/// Guards against a process that never sees SIGINT because its parent ignores it, as a shell does for background jobs.
+/// Guards against a process that never receives SIGINT because its parent ignores it, as a shell does for background
+/// jobs.
 #[test]
 fn ends_at_sigint_if_its_parent_ignored_the_signals() {
     assert_ends_at_sigint(start_with_signals_ignored());
--- a/balancer/tests/lifecycle.rs
+++ b/balancer/tests/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Graceful shutdown, and errors at the start.
+//! Graceful shutdown, and configuration errors at startup.
 mod common;
 use common::*;
 use std::time::{Duration, Instant};
@@ -14,8 +14,8 @@
     assert_eq!(kept.call(&get_request("kept", "5000m")).status(), 200);
     let terminated_at = Instant::now();
     balancer.terminate();
-    // The balancer promises to accept for this long; on a slow machine that takes longer the check
-    // proves nothing.
+    // The balancer accepts connections for 500 ms after SIGTERM, and the test checks 400 ms. If a
+    // slow machine takes longer to get here, the check proves nothing.
     let within = |ms| terminated_at.elapsed() < Duration::from_millis(ms);
     match balancer.try_client() {
         Some(mut late) => {
@@ -23,25 +23,31 @@
             let status = late.read_response().map(|a| a.status());
             assert!(status == Some(200) || !within(400), "{status:?}");
         }
-        None => assert!(!within(400), "not accepted"),
+        None => assert!(!within(400), "connection refused within 400 ms of SIGTERM"),
     }
     // Guards against closing existing connections when accepting ends: their clients may find no
-    // other balancer. They are served, and closed between two requests in the end.
+    // other balancer. They are served until the balancer closes them between two requests.
     while balancer.try_client().is_some() {
-        assert!(within(20_000), "it still accepts");
+        assert!(
+            within(20_000),
+            "the balancer still accepts connections 20 s after SIGTERM"
+        );
         std::thread::yield_now();
     }
     let mut served = 0;
     loop {
         kept.send(&get_request("again", "5000m"));
         match kept.read_response() {
-            // Some of so many requests may be rejected, as at any other time.
+            // With so many requests some may be rejected, as at any other time.
             Some(response) => assert!(matches!(response.status(), 200 | 503), "{response:?}"),
             None => break,
         }
         served += 1;
     }
-    assert!(served > 0 || !within(2300), "closed too early");
+    assert!(
+        served > 0 || !within(2300),
+        "the kept connection closed within 2.3 s of SIGTERM without serving a request"
+    );
     signal.send(()).expect("the upstream waits");
     assert_eq!(
         early.read_response().expect("the held response").body,
@@ -76,7 +82,7 @@
     let terminated_at = Instant::now();
     balancer.terminate();
     balancer.wait_for_log("shutdown requested");
-    // The client's deadline is later than the end of the process.
+    // The process exits before the client's deadline.
     assert_eq!(kept.call(&payment_request("late", "20000m")).status(), 502);
     assert!(
         terminated_at.elapsed() < Duration::from_millis(2500),
@@ -106,7 +112,7 @@
     );
     assert!(
         !log.iter().any(|l| l.contains("at the end")),
-        "it was delayed: {log:?}"
+        "silent clients delayed the shutdown: {log:?}"
     );
 }
 
--- a/balancer/tests/many_closes.rs
+++ b/balancer/tests/many_closes.rs
@@ -1,12 +1,12 @@
-//! The balancer serves and exits in time when many connections close at once, connections cannot be watched, or the
-//! disk or the log holds it up.
-// A helper that fails ends its test, as an assertion does.
+//! The balancer serves and exits in time when many connections close at once, connections cannot be registered for
+//! events, or a lock on disk or the log blocks.
+// A failed `expect` in a helper fails its test, as an assertion does.
 #![allow(clippy::expect_used)]
 mod common;
 
 #[path = "failing_calls/fault_control.rs"]
 mod fault_control;
-#[allow(dead_code, reason = "the rows of `failing_calls` are not played here")]
+#[allow(dead_code, reason = "the rows of `failing_calls` are not used here")]
 #[path = "failing_calls/rows.rs"]
 mod rows;
 
@@ -22,7 +22,7 @@
 use std::thread::{self, sleep};
 use std::time::{Duration, Instant};
 
-/// The runtime's writes that wake its loop.
+/// Fails the runtime's writes that wake its event loop.
 const EVENT_WRITES: Row = row(
     "event write EINTR always",
     &[Fault::InterruptedEventWrite],
@@ -30,14 +30,14 @@
 );
 const REGISTRATIONS: Row = row("epoll_ctl ADD 1/2", &[Fault::EpollAdd], one_in(2));
 
-/// The runtime wakes its loop when 16 watches have ended in one turn.
+/// More than 16: the runtime wakes its event loop when 16 registrations have ended in one iteration.
 const CLIENT_COUNT: usize = 100;
 const UPSTREAM_CONNECTION_COUNT: usize = 24;
-/// Requests that arrive together take a connection each while the upstream is this slow.
+/// Slow enough that concurrent requests each take a connection.
 const UPSTREAM_DELAY: Duration = Duration::from_millis(300);
-/// A process is killed this long after SIGTERM: 3 s for the deadline of its requests, and 0.7 s.
+/// A process is killed this long after SIGTERM: 3 s for the deadline of its requests, plus 0.7 s.
 const KILL_DELAY: Duration = Duration::from_millis(3700);
-/// With `NODE_LOG=debug`, each request writes about 700 bytes: all of them write five times the 64 KiB of a pipe.
+/// With `NODE_LOG=debug`, each request logs about 700 bytes: together five times the 64 KiB that a pipe holds.
 const LOGGED_REQUEST_COUNT: usize = 500;
 
 fn start(folder: &Path, faults: &FaultControl, upstreams: &[SocketAddr]) -> BalancerProcess {
@@ -108,7 +108,8 @@
     }
 }
 
-/// Has an upstream close its idle connections, and sends requests after `pause`.
+/// Makes an upstream close its idle connections while wakes of the event loop fail, and asserts that requests sent after
+/// `pause` succeed and that the balancer exits in time.
 fn assert_survives_closed_idle_connections(name: &str, pause: Duration, request_count: usize) {
     let folder = state_folder(name);
     let faults = FaultControl::create(&folder);
@@ -123,7 +124,10 @@
     sleep(Duration::from_millis(100));
     faults.set(&EVENT_WRITES);
     let closed = upstream.close_all();
-    assert!(closed >= UPSTREAM_CONNECTION_COUNT, "only {closed} closed");
+    assert!(
+        closed >= UPSTREAM_CONNECTION_COUNT,
+        "the upstream closed only {closed} connections"
+    );
     sleep(pause);
     let statuses: Vec<_> = clients[..request_count]
         .iter_mut()
@@ -135,20 +139,20 @@
     terminate_and_expect_success(process);
 }
 
-/// Guards against a request that is lost, or an exit, when the wake of the loop fails as the pool drops its connections.
+/// Guards against a lost request, or an exit, when a wake of the event loop fails as the pool drops its connections.
 #[test]
 fn survives_an_upstream_that_closes_its_idle_connections_right_before_requests() {
     assert_survives_closed_idle_connections("closes-before", Duration::from_millis(20), 2);
 }
 
-/// Guards against the same where the pool drops its connections while no request is in flight.
+/// The same when the pool drops its connections while no request is in flight.
 #[test]
 fn survives_an_upstream_that_closes_its_idle_connections_long_before_requests() {
     assert_survives_closed_idle_connections("closes-long-before", Duration::from_millis(1500), 10);
 }
 
-/// Guards against a process that ends, or keeps connections open, when many clients disconnect at once and the wake of
-/// the loop fails.
+/// Guards against a process that exits, or keeps connections open, when many clients disconnect at once and a wake of
+/// the event loop fails.
 #[test]
 fn serves_after_a_mass_close_of_clients() {
     let folder = state_folder("mass-close");
@@ -168,14 +172,20 @@
     faults.set(&EVENT_WRITES);
     drop(clients);
     sleep(Duration::from_millis(300));
-    assert!(faults.injected(&EVENT_WRITES) > 0, "no write has failed");
-    process.wait_for_descriptors(|count| count <= descriptors, "connections stay open");
+    assert!(
+        faults.injected(&EVENT_WRITES) > 0,
+        "no event write has failed"
+    );
+    process.wait_for_descriptors(
+        |count| count <= descriptors,
+        "connections of disconnected clients stay open",
+    );
     assert_eq!(call_status(&mut remaining, "next"), Some(200));
     assert_eq!(call_status(&mut process.client(), "newcomer"), Some(200));
     terminate_and_expect_success(process);
 }
 
-/// Guards against a shutdown that waits for a change of the overrides until the process is killed.
+/// Guards against a shutdown that waits for a blocked change of the overrides until the process is killed.
 #[test]
 fn exits_in_time_beside_a_blocked_change() {
     let folder = state_folder("blocked-change");
@@ -197,7 +207,7 @@
     drop(lock);
 }
 
-/// Guards against a loop that blocks because the pipe that takes its log is full.
+/// Guards against an event loop that blocks because the pipe for its log is full.
 #[test]
 fn serves_while_nobody_reads_the_log() {
     let folder = state_folder("unread-log");
@@ -221,8 +231,8 @@
     assert!(unread > 32 << 10, "the pipe held only {unread} bytes");
 }
 
-/// Guards against requests that fail, and healthy upstreams that are ejected, because a dialled connection cannot be
-/// watched at once.
+/// Guards against failed requests and ejected healthy upstreams when a dialled connection cannot be registered for events
+/// at once.
 #[test]
 fn answers_while_connections_to_upstreams_do_not_register() {
     let folder = state_folder("registrations");
--- a/balancer/tests/operators.rs
+++ b/balancer/tests/operators.rs
@@ -1,5 +1,5 @@
-//! The admin server, and what operators do through it.
-// A helper that fails ends its test, as an assertion does.
+//! The admin server and the commands of operators.
+// A failed `expect` in a helper fails its test, as an assertion does.
 #![allow(clippy::expect_used)]
 mod common;
 
@@ -72,19 +72,19 @@
 
 fn read_all(mut from: std::io::BufReader<std::net::TcpStream>) -> String {
     let mut text = String::new();
-    std::io::Read::read_to_string(&mut from, &mut text).expect("an answer");
+    std::io::Read::read_to_string(&mut from, &mut text).expect("a response");
     text
 }
 
-/// Connections that send nothing do not keep a command out.
+/// Guards against connections that send nothing and block commands.
 #[test]
 fn silent_connections_do_not_block_admin_server() {
     let upstream = StubUpstream::start(|_| ok_response(""));
     let balancer = BalancerProcess::with_admin(&[upstream.address]);
     let silent: Vec<_> = (0..60).map(|_| balancer.admin_connection()).collect();
     assert_eq!(balancer.call_admin(b"STATUS\n"), "YES serving\n");
-    // The server keeps a limited number of them.
-    balancer.wait_for_descriptors(|n| n < 45, "silent connections fill its descriptors");
+    // The server keeps only a limited number of them open.
+    balancer.wait_for_descriptors(|n| n < 45, "too many silent connections stay open");
     drop(silent);
 }
 
@@ -134,7 +134,7 @@
     let held = std::sync::Mutex::new(Some(held));
     let upstream = StubUpstream::start(move |request| match request.header("req-id") {
         Some("held") => {
-            let held = held.lock().expect("no panic").take().expect("one is held");
+            let held = held.lock().expect("no panic").take().expect("held once");
             Reply::RespondAfterSignal(held, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
         }
         Some("bad") => empty_response("500 Internal Server Error"),
@@ -160,7 +160,7 @@
     balancer.wait_for_metric("node_tries 3");
     assert_eq!(metric_value(&balancer, "node_active"), 1);
     release.send(()).expect("the upstream waits");
-    assert_eq!(waiting.read_response().expect("an answer").status(), 200);
+    assert_eq!(waiting.read_response().expect("a response").status(), 200);
     balancer.wait_for_metric("node_active 0");
     assert_eq!(
         balancer.call_admin(b"SUSPEND s-0\n"),
@@ -169,7 +169,7 @@
     assert_eq!(
         client.call(&get_request("2", "9000m")).status(),
         503,
-        "no other upstream is listed"
+        "the only listed upstream is suspended"
     );
     balancer.wait_for_metric("node_shed{kind=\"read\"} 1");
     for (name, expected) in [
@@ -185,7 +185,7 @@
     }
 }
 
-/// Guards against paying for a connection per request unseen.
+/// Guards against opening a connection per request unnoticed.
 #[test]
 fn metrics_count_the_connections_opened_to_upstreams_and_those_open_now() {
     let upstream = StubUpstream::start(|request| match request.header("req-id") {
@@ -211,7 +211,7 @@
     );
 }
 
-/// The endpoint list reports the upstream as active throughout. Connections to it close, and later lists do not restore
+/// Connections to a suspended upstream close, although the endpoint list reports it as active. Later lists do not restore
 /// it.
 #[test]
 fn suspended_upstream_receives_nothing_until_it_is_restored() {
@@ -220,7 +220,7 @@
     let balancer = BalancerProcess::with_admin(&[suspended.address, other.address]);
     let mut client = balancer.client();
     let mut id = 0;
-    // Sends requests until one is served by `upstream`, and returns their number.
+    // Sends requests until `upstream` serves one or `limit` are sent, and returns their number.
     let mut requests_until = |upstream: &str, limit: usize| -> usize {
         let mut requests = 0;
         loop {
@@ -234,7 +234,7 @@
     };
     assert!(
         requests_until("suspended", 1000) < 1000,
-        "it is used before the suspension"
+        "it is not used before the suspension"
     );
     assert_eq!(
         balancer.call_admin(b"SUSPEND s-0\n"),
@@ -250,29 +250,29 @@
         .discovery
         .respond(&endpoint_list(2, true, &both[1..]));
     balancer.discovery.respond(&endpoint_list(3, true, &both));
-    // The balancer watches for what follows version 3 once that version is in force.
+    // The balancer asks for changes since version 3 once it has applied that version.
     while !balancer.discovery.next_call_path().contains("since=3") {}
     assert_eq!(
         requests_until("suspended", 50),
         50,
-        "it was removed from the list and listed again"
+        "its removal from the list and new listing restored it"
     );
     assert_eq!(balancer.call_admin(b"RESTORE s-0\n"), "YES s-0 is in use\n");
     assert!(
         requests_until("suspended", 100_000) < 100_000,
-        "it is used again"
+        "it is not used after it is restored"
     );
 }
 
-/// During a pause readiness checks fail, responses close their connections, idle connections are closed, and new
-/// connections are served. After the resume everything is as before.
+/// While paused, the balancer fails readiness checks, closes idle connections and those that it has responded on, and
+/// serves new connections. After the resume it keeps connections open and is ready.
 #[test]
 fn pause_sends_clients_away_until_resume() {
     let (release, held) = std::sync::mpsc::channel();
     let held = std::sync::Mutex::new(Some(held));
     let upstream = StubUpstream::start(move |request| match request.header("req-id") {
         Some("held") => {
-            let held = held.lock().expect("no panic").take().expect("one is held");
+            let held = held.lock().expect("no panic").take().expect("held once");
             Reply::RespondAfterSignal(held, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
         }
         _ => ok_response(""),
@@ -308,7 +308,7 @@
     );
     assert!(late.read_response().is_none());
     release.send(()).expect("the upstream waits");
-    let response = waiting.read_response().expect("an answer");
+    let response = waiting.read_response().expect("a response");
     assert_eq!(
         (response.status(), response.header("connection")),
         (200, Some("close"))
@@ -330,7 +330,7 @@
     }
 }
 
-/// A client that has connected and not sent its request yet is not disconnected with the idle ones.
+/// A client that has connected but not yet sent its request is not disconnected with the idle ones.
 #[test]
 fn pause_leaves_new_connections_time_for_a_request() {
     let upstream = StubUpstream::start(|_| ok_response(""));
@@ -339,7 +339,7 @@
     let mut used = balancer.client();
     assert_eq!(used.call(&get_request("1", "9000m")).status(), 200);
     assert_eq!(balancer.call_admin(b"PAUSE\n"), "YES paused\n");
-    // It has been idle for a shorter time than the other one has been connected.
+    // Its idle time is shorter than the time that the new connection has been open.
     assert!(used.read_response().is_none());
     assert_eq!(new.call(&get_request("2", "9000m")).status(), 200);
 }
--- a/balancer/tests/poll_notices.rs
+++ b/balancer/tests/poll_notices.rs
@@ -1,10 +1,10 @@
-//! Notices in poll mode: in whatever order the change of an endpoint, the calls for the list and requests come, nothing
-//! new goes to an upstream later than the drain grace after the notice counts. It counts once discovery has written it,
-//! and at the latest 6 s after discovery had it and could be reached.
+//! Notices in poll mode: regardless of how an endpoint's change, calls for the list and requests interleave, no new
+//! request is sent to an upstream later than the drain grace after the notice takes effect. It takes effect once
+//! discovery has written it, and at the latest 6 s after discovery had it and was reachable.
 //!
-//! Each test forces one order with a discovery that it scripts. Pauses between calls are random, so that each order is
-//! played by several balancers with seeds of their own.
-// A helper that fails ends its test, as an assertion does.
+//! Each test forces one interleaving with a scripted discovery. Pauses between calls are random, so several balancers
+//! with different seeds run each scenario.
+// A failed `expect` in a helper fails its test, as an assertion does.
 #![allow(clippy::expect_used)]
 mod common;
 use common::*;
@@ -15,52 +15,52 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// How many balancers play an order, each with a seed of its own.
+/// Number of balancers that run a scenario, each with its own seed.
 const BALANCERS: u64 = 12;
-/// Time between two requests of a balancer's client.
+/// Pause between two requests of a balancer's client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
 /// The drain grace of the settings.
 const DRAIN_GRACE: Duration = Duration::from_millis(300);
-/// Time that is granted for the way of a request over a busy machine.
+/// Tolerance for a request's transit time on a busy machine.
 const SLACK: Duration = Duration::from_millis(50);
-/// How long a watch stands before the change.
+/// How long a watch is open before the change.
 const WARM_UP: Duration = Duration::from_millis(500);
-/// How long requests go on after the notice counts: longer than any pause between two calls.
+/// How long requests continue after the notice takes effect: longer than any pause between two calls.
 const OBSERVATION: Duration = Duration::from_secs(4);
 /// How long discovery lets a call wait in its queue before it rejects it.
 const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long a test waits for discovery to come back.
+/// How long a test waits for discovery to recover.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(40);
-/// The value of `ask_within` where an order does not depend on it.
+/// The value of `ask_within`, in milliseconds, where a scenario does not depend on it.
 const ASK_WITHIN_MS: u64 = 10_000;
 
 const NO_DELAY: Duration = Duration::ZERO;
 
-/// What the notice says of the upstream.
+/// The change that the notice reports for the upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Notice {
     Draining,
     Removed,
-    /// Gone from the complete list, without an entry that says so.
+    /// Missing from the complete list, without an entry that reports it as removed.
     Unlisted,
-    /// Serving again after a restart just now; requests may go to it.
+    /// Serving again right after a restart; it may receive requests.
     Restarted,
 }
 
-/// When requests arrived at an upstream.
+/// Arrival times of requests at an upstream.
 type Arrivals = Arc<Mutex<Vec<Instant>>>;
 
-/// What one balancer did, in time since the notice counted.
+/// What one balancer did. Times are relative to when the notice took effect.
 #[derive(Debug)]
 struct Outcome {
-    /// The balancer's seed, for the message of a failed test.
+    /// The balancer's seed, printed when a test fails.
     #[allow(dead_code)]
     seed: u64,
-    /// When the last request arrived at the upstream; `None` if that was before the notice counted.
+    /// When the last request arrived at the upstream; `None` if that was before the notice took effect.
     last_arrival: Option<Duration>,
-    /// When the balancer showed that it has applied the change; `None` if it has not.
+    /// When the balancer confirmed that it had applied the change; `None` if it has not.
     applied: Option<Duration>,
-    /// Whether requests arrived at the upstream before the notice counted.
+    /// Whether requests arrived at the upstream before the notice took effect.
     was_used: bool,
 }
 
@@ -73,13 +73,13 @@
     }
 }
 
-/// An order of calls and the notice.
+/// A sequence of calls, and the notice.
 #[derive(Clone, Debug)]
 struct Scenario {
     notice: Notice,
     script: Vec<Step>,
     ask_within_ms: u64,
-    /// What the leaving upstream does with requests.
+    /// How the leaving upstream replies to requests.
     reply: fn() -> Reply,
     start: Start,
 }
@@ -87,9 +87,9 @@
 /// When the balancer starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Start {
-    /// Its watch stands before the change.
+    /// Its watch is open before the change.
     BeforeTheChange,
-    /// It starts after the change, with the list of before.
+    /// It starts after the change, with the list from before it.
     AfterTheChange,
 }
 
@@ -128,7 +128,7 @@
         self
     }
 
-    /// Plays the order with all balancers, and asserts the rule.
+    /// Runs the scenario with all balancers, and asserts that none sends a request late.
     fn assert_nothing_is_sent_late(&self) {
         let results: Vec<Outcome> = thread::scope(|scope| {
             let workers: Vec<_> = (0..BALANCERS)
@@ -136,7 +136,7 @@
                 .collect();
             workers
                 .into_iter()
-                .map(|worker| worker.join().expect("a balancer plays"))
+                .map(|worker| worker.join().expect("the scenario runs"))
                 .collect()
         });
         let violations: Vec<_> = results
@@ -145,7 +145,8 @@
             .collect();
         assert!(
             violations.is_empty(),
-            "{} of {BALANCERS} balancers broke the rule: {violations:#?}",
+            "{} of {BALANCERS} balancers sent a request late, missed the change or never used the upstream: \
+             {violations:#?}",
             violations.len()
         );
     }
@@ -225,14 +226,14 @@
         "\"ask_within\":{ask_within_ms},\"drain_grace\":{}",
         DRAIN_GRACE.as_millis()
     );
-    // Balancers are told seeds that differ in all bits.
+    // Spreads consecutive seeds over all bits.
     let seed = format!("{:016x}", (seed + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
     balancer_config(discovery.address, 1024, known)
         .replace("\"drain_grace\":1000", &invariants)
         .replace("8c1f30d27a5be964", &seed)
 }
 
-/// Waits until the notice has counted for [`OBSERVATION`], and returns when it counted.
+/// Waits until the notice has been in effect for [`OBSERVATION`], and returns when it took effect.
 fn observe(discovery: &ScriptedDiscovery) -> Instant {
     let started_at = Instant::now();
     loop {
@@ -242,13 +243,13 @@
         }
         assert!(
             started_at.elapsed() < RECOVERY_TIMEOUT,
-            "the script did not reach discovery's return: {:?}",
+            "discovery did not recover by its script; calls: {:?}",
             discovery.calls()
         );
     }
 }
 
-/// A client that sends requests one after the other.
+/// A client that sends sequential requests.
 struct Load {
     is_stopped: Arc<AtomicBool>,
     client: thread::JoinHandle<()>,
@@ -277,7 +278,7 @@
     }
 }
 
-/// The first script step ends the watch: discovery is gone.
+/// The script of an outage, whose first step ends the watch: these replies, then `last`.
 fn outage_script(calls: &[CallReply], last: Step) -> Vec<Step> {
     let mut script: Vec<Step> = calls.iter().copied().map(Step::new).collect();
     script.push(last);
@@ -302,7 +303,7 @@
     }
 }
 
-/// Retries after failures of the upstream that drains stay away from it as first attempts do.
+/// Retries avoid a failing upstream that drains, as first attempts do.
 #[test]
 fn notice_while_attempts_fail_and_are_retried() {
     let declined = || empty_response("503 Service Unavailable\r\nSrv-Declined: 1");
@@ -337,7 +338,7 @@
     Scenario::new(script).assert_nothing_is_sent_late();
 }
 
-/// The call under way when discovery comes back is rejected all the same.
+/// The call in flight when discovery recovers is still rejected.
 #[test]
 fn discovery_recovers_during_the_first_call_that_it_rejects_late() {
     let scenario = Scenario::new(outage_script(
@@ -363,7 +364,7 @@
     Scenario::new(script).assert_nothing_is_sent_late();
 }
 
-/// `ask_within` is a figure of the simulator: on sockets a change gets 6 s whatever it says, or less.
+/// `ask_within` only sets the deadline in the simulator: on sockets, a change has at most 6 s, regardless of the setting.
 #[test]
 fn discovery_recovers_during_a_late_rejection_with_a_small_ask_within() {
     for ask_within_ms in [1000, 3000] {
@@ -376,7 +377,7 @@
     }
 }
 
-/// Failures of another kind must not make the pause after the first rejection long.
+/// Failures of another kind must not lengthen the pause after the first rejection.
 #[test]
 fn discovery_recovers_after_resets_and_its_queue_rejects_the_first_call() {
     let mut script = outage_script(
@@ -424,7 +425,7 @@
     Scenario::new(script).assert_nothing_is_sent_late();
 }
 
-/// The balancer gives a call up; discovery comes back before the next one.
+/// The balancer abandons a call; discovery recovers before the next one.
 #[test]
 fn discovery_recovers_during_a_call_that_times_out() {
     let mut script = outage_script(
@@ -445,7 +446,7 @@
     Scenario::new(script).assert_nothing_is_sent_late();
 }
 
-/// All that can go wrong with a call, one after the other, before discovery returns.
+/// Calls fail in every way, one after the other, before discovery recovers.
 #[test]
 fn discovery_recovers_after_failures_of_all_kinds() {
     let script = outage_script(
@@ -466,7 +467,7 @@
     }
 }
 
-/// A balancer that comes back with the list of before while discovery rejects its calls.
+/// A balancer that restarts with the list from before the change while discovery rejects its calls.
 #[test]
 fn balancer_restarts_with_a_cached_list_while_discovery_rejects_calls() {
     let scripts = [
@@ -483,7 +484,7 @@
     }
 }
 
-/// A process of a balancer that can be upgraded. It listens where its predecessor does, if it has one.
+/// A process that can be upgraded. It listens at the address of its predecessor, if it has one.
 fn run_in_folder(
     folder: &Path,
     discovery: &ScriptedDiscovery,
@@ -500,8 +501,8 @@
     BalancerProcess::run(command, StubDiscovery::start())
 }
 
-/// Upgrades a balancer of which the old process is notified while discovery plays `script` to the new one, and asserts
-/// that the new process sends nothing to the upstream that drains.
+/// Upgrades a balancer whose old process is notified while the new process's discovery follows `script`. Asserts that the
+/// new process sends nothing to the draining upstream.
 fn assert_successor_sends_nothing_late(name: &str, script: &[Step]) {
     let scenario = Scenario::new(script.to_vec());
     let (arrivals, leaving) = recording_upstream(ok_reply);
@@ -536,7 +537,7 @@
     );
 }
 
-/// Both processes of an upgrade are the same balancer: what one was notified of counts for the other.
+/// Both processes of an upgrade are the same balancer: a notice to one binds the other.
 #[test]
 fn successor_whose_call_is_rejected_sends_nothing_to_upstreams_its_predecessor_saw_draining() {
     assert_successor_sends_nothing_late("rejected", &[Step::new(REJECT), Step::new(REJECT)]);
@@ -547,7 +548,7 @@
     assert_successor_sends_nothing_late("rejected-late", &[Step::new(REJECT_AFTER_QUEUE)]);
 }
 
-/// A list in which nothing has changed confirms the cached one: the successor need not wait for another.
+/// An unchanged list confirms the cached one: the successor need not wait for another.
 #[test]
 fn successor_serves_once_its_cached_list_is_confirmed() {
     let (_, upstream) = recording_upstream(ok_reply);
@@ -562,7 +563,7 @@
     assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
 }
 
-/// Clients have nobody else: the successor serves with its cached list.
+/// No other process serves the clients, so the successor serves with its cached list.
 #[test]
 fn successor_serves_at_once_after_its_predecessor_is_killed() {
     let (_, upstream) = recording_upstream(ok_reply);
--- a/balancer/tests/restarts.rs
+++ b/balancer/tests/restarts.rs
@@ -1,4 +1,5 @@
-//! Restarts: a balancer is ready within 10 s, whatever it finds.
+//! Restarts: a balancer is ready within 10 s, whatever the state of discovery, the cached list, clients and
+//! the system.
 mod common;
 use common::*;
 use std::net::{SocketAddr, TcpListener};
@@ -13,7 +14,7 @@
     (0..ENDPOINTS).map(|n| (n, addr, "active")).collect()
 }
 
-/// Waits until the readiness check succeeds, which must be in time.
+/// Waits until the readiness check succeeds, and asserts that it does within [`READINESS_LIMIT`].
 fn wait_until_ready(balancer: &BalancerProcess, since: Instant) {
     while balancer
         .client()
@@ -21,13 +22,16 @@
         .status()
         != 200
     {
-        assert!(since.elapsed() < READINESS_LIMIT, "not ready");
+        assert!(
+            since.elapsed() < READINESS_LIMIT,
+            "not ready within {READINESS_LIMIT:?}"
+        );
         std::thread::sleep(Duration::from_millis(20));
     }
     assert!(since.elapsed() < READINESS_LIMIT, "{:?}", since.elapsed());
 }
 
-/// The configuration, with pushed instead of polled endpoint lists if `pushed`.
+/// The configuration, with endpoint lists pushed instead of polled if `pushed` is true.
 fn with_list_mode(config: String, pushed: bool) -> String {
     if pushed {
         config.replace("on_request", "pushed")
@@ -83,7 +87,7 @@
             balancer.client().call(&get_request("r1", "5000m")).status(),
             200
         );
-        // The line precedes "serving on", where `log` starts. No later line mentions the list.
+        // The one line precedes "serving on", after which `log_lines` starts. No later line mentions the list.
         assert!(
             !balancer
                 .log_lines()
@@ -125,7 +129,7 @@
     );
 }
 
-/// Large lists arrive pushed and polled, also indented.
+/// Large indented lists, pushed and polled.
 #[test]
 fn applies_and_changes_list_of_over_a_thousand_upstreams() {
     let old = StubUpstream::start(|_| ok_response("old"));
@@ -168,8 +172,8 @@
     }
 }
 
-/// Silent clients use every descriptor they can get while discovery is down. Operators, upstreams and discovery, once it
-/// is back, still get theirs.
+/// Silent clients take every descriptor they can get while discovery is down. Connections of operators, to upstreams and,
+/// once it has recovered, to discovery still get descriptors.
 #[test]
 fn silent_clients_that_fill_descriptors_do_not_block_endpoint_updates() {
     let old = StubUpstream::start(|_| ok_response("old"));
@@ -205,7 +209,7 @@
         );
         std::io::Write::write_all(call.get_mut(), response.as_bytes()).expect("writes");
         assert!(read_message(&mut call)
-            .expect("the watch goes on")
+            .expect("the next call of the watch")
             .start_line
             .contains("since=2&"));
         assert!(
@@ -220,7 +224,7 @@
     }
 }
 
-/// A start-up operation that the system fails for a moment is retried; here the address is still in use.
+/// A start-up operation that fails temporarily is retried; here the address is still in use.
 #[test]
 fn retries_to_listen_while_address_is_in_use() {
     let upstream = StubUpstream::start(|_| ok_response("x"));
--- a/balancer/tests/sockets.rs
+++ b/balancer/tests/sockets.rs
@@ -4,8 +4,8 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 
-/// Replies to the first request with `first`, and serves all later ones, whichever upstream they
-/// reach.
+/// Replies to the first request with `first`, and serves all later ones. Clones share the count, so
+/// that only the first request to any of their upstreams gets `first`.
 fn first_then_ok(first: fn() -> Reply) -> impl Fn(&Message) -> Reply + Clone + Send + Sync {
     let request_count = Arc::new(AtomicUsize::new(0));
     move |_| {
@@ -194,7 +194,7 @@
         );
         balancer.wait_for_descriptors(
             |n| n <= initial_count,
-            "the closed connection is still open here",
+            "the balancer keeps the closed connection open",
         );
     }
     assert_eq!(upstream.further_request_count(), 0);
@@ -269,7 +269,7 @@
     let upstream = StubUpstream::start(|_| ok_response("x"));
     let known = endpoint_list(1, true, &[(0, upstream.address, "active")]);
     let balancer = BalancerProcess::start(64, &known);
-    // Far more connections than descriptors: the longest idle one is closed for the next.
+    // Far more connections than descriptors: the longest idle one is closed for each new one.
     let mut clients: Vec<Client> = Vec::new();
     for i in 0..100 {
         let mut client = balancer.client();
@@ -292,8 +292,8 @@
     let upstream = StubUpstream::start(|_| ok_response("x"));
     let known = endpoint_list(1, true, &[(0, upstream.address, "active")]);
     let discovery = StubDiscovery::start();
-    // The configuration states more descriptors than the system allows: accepting fails, and
-    // continues.
+    // The configuration states more descriptors than the system allows: accepting fails, and is
+    // retried.
     let limited =
         balancer_command_with_descriptors(&balancer_config(discovery.address, 1024, &known), 32);
     let balancer = BalancerProcess::run(limited, discovery);
@@ -303,7 +303,7 @@
         let status = client
             .call(&get_request(&format!("r{i}"), "10000m"))
             .status();
-        // Without a descriptor for the upstream nothing has run.
+        // A request that gets no descriptor for an upstream connection has not run: 503.
         assert!(status == 200 || status == 503, "{status}");
         clients.push(client);
     }
@@ -315,7 +315,10 @@
         .status()
         != 200
     {
-        assert!(start.elapsed() < TEST_TIMEOUT, "it does not recover");
+        assert!(
+            start.elapsed() < TEST_TIMEOUT,
+            "the balancer does not recover"
+        );
     }
 }
 
@@ -358,11 +361,11 @@
     let mut client = balancer.client();
     client.send(&payment_request("r1", "20000m"));
     // The client's socket and the one that dials.
-    balancer.wait_for_descriptors(|n| n >= initial_count + 2, "it does not dial");
+    balancer.wait_for_descriptors(|n| n >= initial_count + 2, "the balancer does not dial");
     drop(client);
     balancer.wait_for_descriptors(
         |n| n <= initial_count + 1,
-        "it does not notice that the client disconnected",
+        "the balancer does not notice that the client disconnected",
     );
     assert!(read_message(&mut listener.accept_first_connection()).is_none());
 }
@@ -374,7 +377,7 @@
     let initial_count = balancer.descriptor_count();
     let mut client = balancer.client();
     client.send(&payment_request("r1", "20000m"));
-    balancer.wait_for_descriptors(|n| n >= initial_count + 2, "it does not dial");
+    balancer.wait_for_descriptors(|n| n >= initial_count + 2, "the balancer does not dial");
     balancer.discovery.respond(&endpoint_list(
         2,
         false,
--- a/balancer/tests/surplus_responses.rs
+++ b/balancer/tests/surplus_responses.rs
@@ -15,20 +15,20 @@
 const UPSTREAMS: usize = 3;
 const CLIENTS: usize = 4;
 const REQUESTS_PER_CLIENT: usize = 120;
-/// Longer than a connection rests before it is preferred for reuse.
+/// Longer than a connection must stay idle before it is preferred for reuse.
 const LONG_IDLE_TIME: Duration = Duration::from_millis(1200);
 const SERVICE_TIME: Duration = Duration::from_millis(3);
-/// Surplus data that is later than this may reach one request before it is detected.
+/// Surplus data with at least this delay may reach one request before it is detected.
 const ALWAYS_DETECTED: Duration = Duration::from_millis(10);
 
-/// Which responses an upstream sends twice, and when the second time.
+/// How often an upstream sends a response twice, and how long after the first copy.
 #[derive(Clone, Copy, Debug)]
 struct Surplus {
     delay: Duration,
     one_in: usize,
 }
 
-/// An upstream whose responses state the request's id and the upstream's name.
+/// An upstream whose responses contain the request's id and the upstream's name.
 fn start_upstream(name: usize, surplus: Surplus) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let address = listener.local_addr().expect("an address");
@@ -49,7 +49,7 @@
         let id = request.header("req-id").unwrap_or_default();
         let text = ok_text(&format!("{id}@{name}"));
         thread::sleep(SERVICE_TIME);
-        // The other side may have closed the connection.
+        // The balancer may have closed the connection.
         let _ = writer.write_all(text.as_bytes());
         let number = served.fetch_add(1, Ordering::SeqCst);
         if number.is_multiple_of(surplus.one_in) {
@@ -62,7 +62,7 @@
     }
 }
 
-/// Sends requests one after the other. Returns the bodies of other requests' responses.
+/// Sends sequential requests. Returns the bodies of responses that belong to other requests.
 fn wrong_responses(address: SocketAddr, client: usize) -> Vec<String> {
     let mut connection = Client::connect(address);
     let mut wrong = Vec::new();
@@ -78,7 +78,7 @@
     wrong
 }
 
-/// Wrong responses by the name of the upstream that sent them.
+/// The number of wrong responses by the name of the upstream that sent them.
 fn wrong_responses_by_upstream(surplus: Surplus) -> HashMap<String, usize> {
     let upstreams: Vec<_> = (0..UPSTREAMS)
         .map(|name| start_upstream(name, surplus))
@@ -107,27 +107,28 @@
         for (upstream, count) in wrong {
             assert!(
                 count <= limit,
-                "upstream {upstream}, {delay:?}, one in {one_in}: {count}"
+                "upstream {upstream}, delay {delay:?}, one in {one_in}: {count} wrong responses"
             );
         }
     }
 }
 
-/// Guards against giving clients other clients' responses, one after the other, where an upstream
-/// sends each response twice.
+/// Guards against a shift of all later responses to the wrong clients when an upstream sends each
+/// response twice.
 #[test]
 fn an_upstream_that_sends_each_response_twice_does_so_to_one_client_at_most() {
     expect_few_wrong_responses(1);
 }
 
-/// The same where an upstream sends a response twice now and then.
+/// The same for an upstream that sends one response in ten twice.
 #[test]
 fn an_upstream_that_sends_some_responses_twice_does_so_to_one_client_at_most() {
     expect_few_wrong_responses(10);
 }
 
-/// An upstream with two idle connections that have carried a request each. The signal makes it send
-/// a surplus response on the one that is not reused next. Its first request "held" has no response.
+/// An upstream with two idle connections, each used for one request. `send_surplus` makes it send a
+/// surplus response on the one that is not reused next. It does not respond to the first request
+/// "held".
 struct TwoConnections {
     upstream: StubUpstream,
     balancer: BalancerProcess,
@@ -180,8 +181,8 @@
     }
 }
 
-/// Guards against answering a request in flight from a connection that may be one response behind:
-/// it is retried on a new connection.
+/// Guards against responding to a request in flight from a connection that may be one response
+/// behind: the request is retried on a new connection.
 #[test]
 fn retries_requests_in_flight_on_used_connections_after_a_surplus_response() {
     let connections = TwoConnections::open();
@@ -191,7 +192,8 @@
     assert_eq!(opened.load(Ordering::SeqCst), 3);
 }
 
-/// The same for a request that may not run twice: it fails. The next one gets a new connection.
+/// The same for a non-idempotent request, which must not run twice: it fails. The next request gets
+/// a new connection.
 #[test]
 fn fails_non_idempotent_requests_in_flight_on_used_connections_after_a_surplus_response() {
     let connections = TwoConnections::open();
@@ -206,7 +208,7 @@
     assert_eq!(opened.load(Ordering::SeqCst), 3);
 }
 
-/// Guards against a fault that operators cannot see: the metrics show it, and the log names the
+/// Guards against a fault that operators cannot notice: the metrics count it, and the log names the
 /// upstream.
 #[test]
 fn reports_an_upstream_that_sends_surplus_responses() {
--- a/balancer/tests/upgrade_lists.rs
+++ b/balancer/tests/upgrade_lists.rs
@@ -1,6 +1,7 @@
-//! The endpoint list of a process that takes over from another one: the old process knows the newest list and serves until
-//! the new one has it, so that an upgrade sends nothing to upstreams that the balancer knows to be gone.
-// A helper that fails ends its test, as an assertion does.
+//! The endpoint list of a process that takes over from another one: the old process has the newest list and serves
+//! until the new one has it too, so that during an upgrade nothing is sent to upstreams that the balancer knows have
+//! left.
+// A failed `expect` in a helper fails its test, as an assertion does.
 #![allow(clippy::expect_used)]
 mod common;
 
@@ -13,13 +14,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long polled discovery keeps a call in its queue before it fails the call.
+/// How long polled discovery queues a call before it rejects it.
 const QUEUE_TIME: Duration = Duration::from_secs(2);
 /// A change counts as notified this long after discovery had it and could be reached.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// A process is to be ready this long after its start.
+/// Longest time from the start of a process until it is ready.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time for a process to start, beside what it waits for.
+/// Longest time for a process to start, not counting what it waits for.
 const START_ALLOWANCE: Duration = Duration::from_secs(1);
 
 fn respond(stream: &mut BufReader<TcpStream>, status: &str, body: &str) {
@@ -30,10 +31,10 @@
     stream
         .get_mut()
         .write_all(text.as_bytes())
-        .expect("it is open");
+        .expect("the connection is open");
 }
 
-/// Starts a process beside another one that serves clients at this address, with this discovery and this list in its
+/// Starts a second process at the client address of one that serves, with this discovery and this list in its
 /// configuration. Returns once it serves.
 fn start_successor(
     folder: &Path,
@@ -51,8 +52,8 @@
     BalancerProcess::run(command, StubDiscovery::start())
 }
 
-/// Discovery that fails the first call after its time in the queue and responds to the second one with `list`. Sets the
-/// flag just before that.
+/// Discovery that rejects the first call after [`QUEUE_TIME`] and responds to the second one with `list`. Sets the
+/// returned flag just before that response.
 fn start_queueing_discovery(list: String) -> (SocketAddr, Arc<AtomicBool>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
     let address = listener.local_addr().expect("an address");
@@ -70,7 +71,7 @@
         let mut served = accept_call();
         responded.store(true, Ordering::SeqCst);
         respond(&mut served, "200 OK", &list);
-        // The watch stands until the balancer ends.
+        // The watch stays open until the balancer exits.
         while read_message(&mut served).is_some() {}
     });
     (address, has_responded)
@@ -95,7 +96,7 @@
     let new = start_successor(&folder, old.address, discovery, &known);
     assert!(
         has_responded.load(Ordering::SeqCst),
-        "it serves before discovery has sent it a list"
+        "the new process serves before discovery has sent it a list"
     );
     old.terminate();
     assert!(old.wait_for_exit().success());
@@ -140,7 +141,7 @@
     assert_eq!(response.status(), 200);
 }
 
-/// Nobody else serves the clients then.
+/// No other process serves the clients then, so it must not wait.
 #[test]
 fn new_process_takes_over_without_a_list_once_the_old_one_has_ended() {
     let upstream = StubUpstream::start(|_| ok_response(""));
@@ -151,12 +152,12 @@
     let (client_address, discovery) = (old.address, silent.address);
     let new = thread::spawn(move || start_successor(&folder, client_address, discovery, &known));
     silent.next_call_path();
-    // By then it has noticed the old process.
+    // Gives the new process time to detect the old one.
     thread::sleep(START_ALLOWANCE);
-    // Kills it.
+    // Dropping it kills the process.
     drop(old);
     let killed_at = Instant::now();
-    let new = new.join().expect("it serves");
+    let new = new.join().expect("the new process serves");
     let elapsed = killed_at.elapsed();
     assert!(elapsed < START_ALLOWANCE, "{elapsed:?}");
     assert_eq!(new.call_admin(b"STATUS\n"), "YES serving\n");
--- a/balancer/tests/upgrade_waits.rs
+++ b/balancer/tests/upgrade_waits.rs
@@ -1,6 +1,6 @@
-//! A process that waits for its endpoint list follows what happens beside it: clients are accepted soon, and SIGTERM
-//! ends it. Its discovery is silent in all tests.
-// A helper that fails ends its test, as an assertion does.
+//! A process that waits for its endpoint list still reacts to other events: it accepts clients soon after the old process
+//! stops doing so, and exits at SIGTERM. Its discovery is silent in all tests.
+// A failed `expect` in a helper fails its test, as an assertion does.
 #![allow(clippy::expect_used)]
 mod common;
 
@@ -18,7 +18,8 @@
 const REFUSAL_LIMIT: Duration = Duration::from_millis(2500);
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// Starts a balancer in this folder that listens at `clients` and whose discovery is `silent`.
+/// The command of a balancer that stores its state in this folder, listens at `client_address` and whose discovery is
+/// `silent`.
 fn command_in(
     folder: &Path,
     silent: &StubDiscovery,
@@ -36,7 +37,7 @@
     command
 }
 
-/// Starts a successor of a process that shuts down, and checks that clients are refused for a short time only.
+/// Starts a successor to a process that is shutting down, and asserts that clients are refused only briefly.
 fn assert_clients_are_accepted_soon(old: &BalancerProcess, folder: &Path, upstream: SocketAddr) {
     let silent = StubDiscovery::start();
     let command = command_in(folder, &silent, upstream, &old.address.to_string());
@@ -52,7 +53,7 @@
     let refused = refused_since.map_or(Duration::ZERO, |at| at.elapsed());
     assert!(
         refused < REFUSAL_LIMIT,
-        "clients are refused for {refused:?}"
+        "clients were refused for {refused:?}"
     );
 }
 
@@ -69,7 +70,10 @@
     fn wait_for_exit(&mut self) {
         let start = Instant::now();
         while self.0.try_wait().expect("its status").is_none() {
-            assert!(start.elapsed() < TEST_TIMEOUT, "it does not exit");
+            assert!(
+                start.elapsed() < TEST_TIMEOUT,
+                "the starting balancer does not exit"
+            );
             sleep(POLL_INTERVAL);
         }
     }
@@ -82,7 +86,7 @@
     }
 }
 
-/// Guards against taking a folder that is missing for another process that serves.
+/// Guards against mistaking a missing state folder for a sign of another process that serves.
 #[test]
 fn lone_process_whose_folder_is_missing_is_ready_soon() {
     let upstream = StubUpstream::start(|_| ok_response(""));
@@ -95,7 +99,7 @@
     assert!(elapsed < START_OR_EXIT_LIMIT, "ready after {elapsed:?}");
 }
 
-/// Guards against a successor that waits for its list while the old process still waits for a response.
+/// Guards against a successor that keeps waiting for its list while the old process drains and waits for a response.
 #[test]
 fn clients_are_accepted_while_the_old_process_drains() {
     let unresponsive = StubUpstream::start(|_| Reply::NeverRespond);
@@ -107,7 +111,8 @@
     assert_clients_are_accepted_soon(&old, &folder, unresponsive.address);
 }
 
-/// Guards against a successor that waits for its list while the old process relays to a client that does not read.
+/// Guards against a successor that keeps waiting for its list while the old process relays a response to a client that
+/// does not read.
 #[test]
 fn clients_are_accepted_while_the_old_process_relays() {
     let large = ok_text(&"x".repeat(32 << 20));
@@ -120,7 +125,8 @@
     assert_clients_are_accepted_soon(&old, &folder, upstream.address);
 }
 
-/// Guards against a successor that follows signals only once it serves, or that counts as one although it ended before.
+/// Guards against a successor that handles signals only once it serves, or that stays registered although it exited
+/// before.
 #[test]
 fn successor_that_waits_follows_sigterm() {
     let upstream = StubUpstream::start(|_| ok_response(""));
@@ -140,6 +146,9 @@
     let elapsed = terminated_at.elapsed();
     assert!(elapsed < START_OR_EXIT_LIMIT, "exits after {elapsed:?}");
     let after = fs::read_to_string(&stored).expect("the stored overrides");
-    assert_eq!(after, before, "it is registered");
+    assert_eq!(
+        after, before,
+        "the stored overrides changed: the exited successor is registered"
+    );
     assert_eq!(old.call_admin(b"STATUS\n"), "YES serving\n");
 }
--- a/balancer/tests/upgrades.rs
+++ b/balancer/tests/upgrades.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::Instant;
 
-/// Sends requests until `stop` is set, on one connection for as long as it lasts. Fails if a request fails. Returns the
-/// number of requests.
+/// Sends requests until `stop` is set, and reconnects when the balancer closes the connection. Panics if a request fails.
+/// Returns the number of requests.
 fn send_requests(address: SocketAddr, client_id: usize, stop: Arc<AtomicBool>) -> usize {
     let mut client = Client::connect(address);
     let mut requests = 0;
@@ -24,7 +24,7 @@
     requests
 }
 
-/// No client's connection is idle for long, so that none is closed while a request is in transit.
+/// No client's connection is idle for long: otherwise the old process could close it while a request is in transit.
 #[test]
 fn upgrade_fails_no_request() {
     let upstream = StubUpstream::start(|_| ok_response(""));
@@ -55,7 +55,7 @@
     }
 }
 
-/// Overrides hold for both processes, whether they were set before the upgrade, at the old process or at the new one.
+/// Overrides apply to both processes, whether set before the upgrade, at the old process or at the new one.
 #[test]
 fn overrides_hold_for_both_processes_and_after_old_process_ends() {
     let suspended = StubUpstream::start(|_| ok_response("suspended"));
@@ -70,7 +70,7 @@
     assert!(
         new.call_admin(b"METRICS\n")
             .contains("node_pool_ejected 1\n"),
-        "an override from before its start holds"
+        "the new process ignores an override from before its start"
     );
     assert_eq!(new.call_admin(b"SUSPEND s-1\n"), "YES s-1 is left out\n");
     wait_for_metric(old_admin, "node_pool_ejected 2");
@@ -81,7 +81,7 @@
     while new.call_admin(b"STATUS\n") == "YES serving\n" {
         assert!(
             started_at.elapsed() < TEST_TIMEOUT,
-            "the pause does not reach the new process"
+            "the new process does not apply the pause"
         );
     }
     old.terminate();
@@ -104,14 +104,14 @@
     assert_eq!(suspended.further_request_count(), 0);
 }
 
-/// A readiness check on a kept connection must not make the front avoid the new process.
+/// Guards against a failed readiness check on a kept connection that makes the front avoid the new process.
 #[test]
 fn old_process_stays_ready_during_handoff() {
     let (release, held) = std::sync::mpsc::channel();
     let held = std::sync::Mutex::new(Some(held));
     let upstream = StubUpstream::start(move |request| match request.header("req-id") {
         Some("held") => {
-            let held = held.lock().expect("no panic").take().expect("one is held");
+            let held = held.lock().expect("no panic").take().expect("held once");
             Reply::RespondAfterSignal(held, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n".into())
         }
         _ => ok_response(""),
@@ -128,7 +128,7 @@
     old.terminate();
     old.wait_for_log("shutdown requested");
     release.send(()).expect("the upstream waits");
-    assert_eq!(client.read_response().expect("an answer").status(), 200);
+    assert_eq!(client.read_response().expect("a response").status(), 200);
     assert_eq!(
         client
             .read_response()
@@ -139,14 +139,14 @@
     assert!(old.wait_for_exit().success());
 }
 
-/// If the process exited by its schedule, it would cut the response off itself. It leaves that to SIGKILL.
+/// Guards against an exit on schedule that truncates a response still being relayed: only SIGKILL may do that.
 #[test]
 fn relayed_response_delays_exit() {
     const LARGE: usize = 1 << 20;
     let (release, held) = std::sync::mpsc::channel();
     let held = std::sync::Mutex::new(Some(held));
     let upstream = StubUpstream::start(move |_| {
-        let held = held.lock().expect("no panic").take().expect("one is held");
+        let held = held.lock().expect("no panic").take().expect("held once");
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
         Reply::RespondInTwoParts(text, held, "x".repeat(LARGE))
     });
@@ -156,10 +156,13 @@
     upstream.next_request();
     old.wait_for_metric("node_tries 1");
     old.terminate();
-    // Everything else has ended by then.
+    // Logged once everything else has ended.
     old.wait_for_log("1 responses are still being relayed");
     release.send(()).expect("the upstream waits");
-    assert_eq!(client.read_response().expect("an answer").body.len(), LARGE);
+    assert_eq!(
+        client.read_response().expect("a response").body.len(),
+        LARGE
+    );
     assert!(old.wait_for_exit().success());
 }
 
@@ -212,7 +215,7 @@
     );
 }
 
-/// A new process that cannot write to the folder when it starts to serve registers once it can.
+/// A new process that cannot write to the state folder when it starts to serve registers once it can.
 #[test]
 fn new_process_registers_once_folder_can_be_written_again() {
     let upstream = StubUpstream::start(|_| ok_response(""));
@@ -232,8 +235,8 @@
     }
 }
 
-/// The file as the version before the rename of the overrides wrote it after these commands: `SUSPEND s-1`,
-/// `RESTORE s-1`, `SUSPEND s-0`, `PAUSE`. Processes of both versions share it during an upgrade.
+/// The overrides file as written by the version before overrides were renamed, after the commands `SUSPEND s-1`,
+/// `RESTORE s-1`, `SUSPEND s-0`, `PAUSE`. Processes of both versions share the file during an upgrade.
 const OVERRIDES_OF_PREVIOUS_VERSION: &str =
     "{\"version\":1,\"revision\":5,\"processes\":1,\"paused\":true,\
     \"suspended\":[\"s-0\"],\"restored\":{\"s-1\":1796291300171.371}}";
@@ -261,7 +264,7 @@
         );
     }
     assert_eq!(suspended.further_request_count(), 0);
-    // The previous version reads what this one wrote: the process has registered, and the pause is over.
+    // The previous version can read what this one wrote: the process has registered, and the pause is over.
     assert_eq!(
         std::fs::read_to_string(&file).expect("reads"),
         OVERRIDES_OF_PREVIOUS_VERSION
--- a/balancer/tests/upstreams.rs
+++ b/balancer/tests/upstreams.rs
@@ -4,8 +4,8 @@
 use std::sync::mpsc::channel;
 use std::time::Duration;
 
-/// A non-idempotent request that may have run is not retried: the client gets a failure, and the
-/// connection is closed.
+/// Asserts that a non-idempotent request that may have run is not retried: the client gets a 502,
+/// and the upstream connection is closed.
 fn expect_failed_attempt(response: &str) {
     let text = response.to_string();
     let upstream = StubUpstream::start(move |m| match m.header("req-id") {
@@ -79,8 +79,8 @@
     }
 }
 
-/// A forwarded 429 would promise the client that nothing has run, but only a marked rejection
-/// proves that.
+/// A forwarded 429 would tell the client that nothing has run, but only a marked rejection proves
+/// that.
 #[test]
 fn reports_an_unmarked_rejection_as_failure() {
     for unmarked in [
@@ -99,7 +99,11 @@
             "{unmarked}"
         );
         assert_eq!(upstream.next_request().header("req-id"), Some("r1"));
-        assert_eq!(upstream.further_request_count(), 0, "it is not retried");
+        assert_eq!(
+            upstream.further_request_count(),
+            0,
+            "the request was retried"
+        );
     }
 }
 
@@ -111,7 +115,7 @@
     });
     let balancer = BalancerProcess::with_upstreams(&[upstream.address]);
     let mut client = balancer.client();
-    // It is not retried, though it is idempotent, and the client gets the status.
+    // The request is not retried although it is idempotent, and the client gets the status.
     assert_eq!(client.call(&get_request("odd", "15000m")).status(), 404);
     assert_eq!(
         balancer.client().call(&get_request("next", "15000m")).body,
@@ -122,8 +126,8 @@
     assert_eq!(upstream.further_request_count(), 0);
 }
 
-/// An upstream responds to a request twice, some milliseconds apart: the second response is not the
-/// next request's.
+/// An upstream responds to a request twice, some milliseconds apart: the second response must not
+/// become the next request's.
 #[test]
 fn does_not_use_a_late_second_response_for_the_next_request() {
     let upstream = StubUpstream::start(|m| {
