--- a/scale/src/balancer/configuration.rs
+++ b/scale/src/balancer/configuration.rs
@@ -49,7 +49,7 @@
 }
 
 #[derive(Serialize)]
-struct File<'a> {
+struct ConfigurationFile<'a> {
     name: &'a str,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -140,7 +140,7 @@
 impl Configuration {
     /// The configuration file of a balancer that listens on this address.
     pub fn to_json(&self, listen: SocketAddr) -> Vec<u8> {
-        let file = File {
+        let file = ConfigurationFile {
             name: &self.name,
             listen,
             discovery: self.discovery,
--- a/scale/src/error.rs
+++ b/scale/src/error.rs
@@ -79,7 +79,7 @@
     },
     /// The process table could not be read.
     #[error("process {pid}: {source}")]
-    Process {
+    UsageUnreadable {
         /// The process.
         pid: u32,
         /// The cause.
@@ -87,7 +87,7 @@
     },
     /// The size of the machine's memory could not be read.
     #[error("the machine's memory: {0}")]
-    Machine(#[source] procfs::ProcError),
+    MemoryUnreadable(#[source] procfs::ProcError),
     /// All processes together use more memory than a run may use.
     #[error("{used_mb:.0} MB are in use and {allowed_mb:.0} MB, half of the machine's memory, are allowed")]
     TooMuchMemory {
@@ -104,7 +104,7 @@
     Interrupted,
     /// A socket of the stand-ins failed.
     #[error("sockets: {0}")]
-    Socket(#[from] io::Error),
+    Io(#[from] io::Error),
     /// A task panicked.
     #[error("a task failed: {0}")]
     Task(#[from] tokio::task::JoinError),
--- a/scale/src/experiment/validation.rs
+++ b/scale/src/experiment/validation.rs
@@ -13,8 +13,8 @@
 /// Estimated memory of a balancer for each endpoint in its list.
 const ENDPOINT_MB: f64 = 0.001;
 /// Estimated memory of a hollow balancer, without its endpoints.
-const HOLLOW_MB: f64 = 0.2;
-const MAX_HOLLOW: u32 = 10_000;
+const HOLLOW_BALANCER_MB: f64 = 0.2;
+const MAX_HOLLOW_BALANCERS: u32 = 10_000;
 const MAX_DEPTH: u32 = 25;
 const MAX_INSTANCES: u32 = 100;
 const MAX_ENDPOINTS: u32 = 10_000;
@@ -24,16 +24,16 @@
 const MAX_BODY_BYTES: u32 = 64 << 10;
 const MAX_DEADLINE_MS: u32 = 60_000;
 const MAX_ATTEMPTS: u32 = 100;
-const MAX_SERVICE_SIZE: u32 = 10_000;
+const MAX_CORES_OR_QUEUE: u32 = 10_000;
 const MAX_MEAN_SERVICE_TIME_MS: f64 = 10_000.0;
 const MAX_HISTORY: f64 = 1e6;
 const MIN_MEASURE_SECONDS: f64 = 0.5;
 
 impl Experiment {
     pub(super) fn validate(&self) -> Result<(), ScaleError> {
-        let is_plain = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
-        let has_plain_name = !self.name.is_empty() && self.name.chars().all(is_plain);
-        require(has_plain_name, "name", "must be letters, digits, - and _")?;
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
+        let has_valid_name = !self.name.is_empty() && self.name.chars().all(is_allowed);
+        require(has_valid_name, "name", "must be letters, digits, - and _")?;
         AllowedRange::new(1, MAX_REPEATS).check("repeats", self.repeats)?;
         AllowedRange::new(0.0, MAX_RUN_SECONDS).check("warmup_seconds", self.warmup_seconds)?;
         AllowedRange::new(MIN_MEASURE_SECONDS, MAX_RUN_SECONDS)
@@ -86,8 +86,8 @@
 
     fn validate_instances(&self) -> Result<(), ScaleError> {
         AllowedRange::new(1, MAX_INSTANCES).check("calls.instances", self.instances)?;
-        AllowedRange::new(1, MAX_SERVICE_SIZE).check("calls.cores", self.cores)?;
-        AllowedRange::new(0, MAX_SERVICE_SIZE).check("calls.queue", self.queue)?;
+        AllowedRange::new(1, MAX_CORES_OR_QUEUE).check("calls.cores", self.cores)?;
+        AllowedRange::new(0, MAX_CORES_OR_QUEUE).check("calls.queue", self.queue)?;
         AllowedRange::new(0.0, MAX_MEAN_SERVICE_TIME_MS)
             .check("calls.answer_ms", self.mean_service_time_ms)
     }
@@ -105,7 +105,7 @@
 
     fn validate_balancers(&self) -> Result<(), ScaleError> {
         AllowedRange::new(0, MAX_PROCESSES).check("control.real_balancers", self.real_balancers)?;
-        AllowedRange::new(0, MAX_HOLLOW)
+        AllowedRange::new(0, MAX_HOLLOW_BALANCERS)
             .check("control.hollow_balancers", self.hollow_balancers)?;
         require(
             self.balancers() > 0,
@@ -124,7 +124,7 @@
             self.real_balancers + self.hollow_processes,
             endpoints,
         )?;
-        let hollow_mb = HOLLOW_MB + ENDPOINT_MB * f64::from(endpoints);
+        let hollow_mb = HOLLOW_BALANCER_MB + ENDPOINT_MB * f64::from(endpoints);
         let needed_mb = f64::from(self.hollow_balancers) * hollow_mb;
         require_memory_fits("control.hollow_balancers", needed_mb)
     }
--- a/scale/src/machine.rs
+++ b/scale/src/machine.rs
@@ -42,7 +42,7 @@
 impl Usage {
     /// Reads the usage of a running process.
     pub fn of(pid: u32) -> Result<Usage, ScaleError> {
-        let failed = |source| ScaleError::Process { pid, source };
+        let failed = |source| ScaleError::UsageUnreadable { pid, source };
         let process = Process::new(pid as i32).map_err(failed)?;
         let mut processor = Duration::ZERO;
         for task in process.tasks().map_err(failed)? {
@@ -65,6 +65,6 @@
 }
 
 fn total_memory_mb() -> Result<f64, ScaleError> {
-    let meminfo = Meminfo::current().map_err(ScaleError::Machine)?;
+    let meminfo = Meminfo::current().map_err(ScaleError::MemoryUnreadable)?;
     Ok(meminfo.mem_total as f64 / BYTES_PER_MB)
 }
--- a/scale/src/report/metrics.rs
+++ b/scale/src/report/metrics.rs
@@ -8,7 +8,7 @@
 /// Names of the metrics of added time: the median, the 99th and the 99.9th percentile.
 type PercentileNames = [&'static str; 3];
 
-const ADDED: PercentileNames = ["added_p50_us", "added_p99_us", "added_p999_us"];
+const ADDED_TO_ALL_CALLS: PercentileNames = ["added_p50_us", "added_p99_us", "added_p999_us"];
 const ADDED_TO_READS: PercentileNames = [
     "added_get_idle_p50_us",
     "added_get_idle_p99_us",
@@ -45,7 +45,7 @@
         if let Some(attempts) = self.attempts_per_call.last() {
             metrics.push(Metric::new("attempts_at_bottom_per_call", *attempts));
         }
-        metrics.extend(self.added_metrics());
+        metrics.extend(self.added_time_metrics());
         metrics
     }
 
@@ -67,19 +67,23 @@
     }
 
     /// The time that the balancers add to calls, where the same load was sent directly.
-    fn added_metrics(&self) -> Vec<Metric> {
+    fn added_time_metrics(&self) -> Vec<Metric> {
         let Some(direct) = &self.direct else {
             return Vec::new();
         };
         let balanced = &self.balanced;
-        let mut metrics = added(ADDED, &balanced.outside_service, &direct.outside_service);
+        let mut metrics = percentile_differences(
+            ADDED_TO_ALL_CALLS,
+            &balanced.outside_service,
+            &direct.outside_service,
+        );
         for (kind, names) in [
             (CallKind::Read, ADDED_TO_READS),
             (CallKind::Order, ADDED_TO_ORDERS),
         ] {
             let groups = (balanced.idle_group(kind), direct.idle_group(kind));
             if let (Some(balanced), Some(direct)) = groups {
-                metrics.extend(added(
+                metrics.extend(percentile_differences(
                     names,
                     &balanced.outside_service,
                     &direct.outside_service,
@@ -100,7 +104,11 @@
 }
 
 /// Each percentile through the balancers less the same one directly.
-fn added(names: PercentileNames, balanced: &Percentiles, direct: &Percentiles) -> Vec<Metric> {
+fn percentile_differences(
+    names: PercentileNames,
+    balanced: &Percentiles,
+    direct: &Percentiles,
+) -> Vec<Metric> {
     let [p50, p99, p999] = names;
     vec![
         Metric::new(p50, balanced.p50_us - direct.p50_us),
@@ -114,14 +122,14 @@
     pub fn metrics(&self) -> Vec<Metric> {
         let mut metrics = usage_metrics(&REAL_USAGE, &self.real);
         metrics.extend(usage_metrics(&HOLLOW_USAGE, &self.hollow));
-        metrics.extend(self.exchange_metrics());
+        metrics.extend(self.discovery_metrics());
         if self.changes > 0 {
             metrics.extend(self.in_force_metrics());
         }
         metrics
     }
 
-    fn exchange_metrics(&self) -> [Metric; 6] {
+    fn discovery_metrics(&self) -> [Metric; 6] {
         let not_in_force = self.changes - self.changes_in_force_at_all;
         [
             Metric::new("all_watch_after_seconds", self.all_watch_after_seconds),
--- a/scale/src/report/table.rs
+++ b/scale/src/report/table.rs
@@ -28,7 +28,7 @@
         let label = control_label(&point.size);
         rows.extend(point.spread.iter().map(|spread| row(&label, spread)));
     }
-    aligned(&rows)
+    align_columns(&rows)
 }
 
 fn calls_label(size: &CallsSize) -> String {
@@ -72,18 +72,18 @@
     [
         label.to_string(),
         spread.name.to_string(),
-        number(spread.min),
-        number(spread.median),
-        number(spread.max),
+        format_number(spread.min),
+        format_number(spread.median),
+        format_number(spread.max),
     ]
 }
 
-fn number(value: f64) -> String {
+fn format_number(value: f64) -> String {
     format!("{value:.3}")
 }
 
 /// Lines with text on the left and numbers on the right.
-fn aligned(rows: &[Row]) -> String {
+fn align_columns(rows: &[Row]) -> String {
     let width = |column: usize| rows.iter().map(|row| row[column].len()).max().unwrap_or(0);
     let widths: [usize; COLUMNS] = std::array::from_fn(width);
     let line = |row: &Row| {
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -17,15 +17,16 @@
 use std::time::{Duration, Instant};
 use tokio::signal::unix::{signal, SignalKind};
 
-/// A run may take this many times the time of its measurements, and [`OVERTIME`] more.
-const OVERTIME_FACTOR: f64 = 2.0;
-const OVERTIME: Duration = Duration::from_secs(120);
+/// A run may take this many times the time of its measurements, and [`TIME_LIMIT_ALLOWANCE`] more.
+const TIME_LIMIT_FACTOR: f64 = 2.0;
+const TIME_LIMIT_ALLOWANCE: Duration = Duration::from_secs(120);
 
 /// Runs an experiment. When it returns, and also after a signal or an error, every process that it started has ended.
 pub async fn run(experiment: Experiment, deployment: Deployment) -> Result<Report, ScaleError> {
     let mut interrupt = signal(SignalKind::interrupt())?;
     let mut terminate = signal(SignalKind::terminate())?;
-    let limit = Duration::from_secs_f64(experiment.planned_seconds() * OVERTIME_FACTOR) + OVERTIME;
+    let limit = Duration::from_secs_f64(experiment.planned_seconds() * TIME_LIMIT_FACTOR)
+        + TIME_LIMIT_ALLOWANCE;
     let context = Context::new(experiment, deployment)?;
     tokio::select! {
         report = measure(context) => report,
--- a/scale/src/run/control.rs
+++ b/scale/src/run/control.rs
@@ -18,7 +18,7 @@
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
 const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Fraction of balancers for `in_force_at_99_percent`.
-const NEARLY_ALL: f64 = 0.99;
+const NINETY_NINE_PERCENT: f64 = 0.99;
 
 pub(super) async fn measure(
     context: &Context,
@@ -133,7 +133,7 @@
 ) -> ControlMeasurement {
     let count = balancers as f64;
     let seconds = (window.ended_at - window.started_at).as_secs_f64();
-    let nearly_all = (count * NEARLY_ALL).ceil() as usize;
+    let ninety_nine_percent = (count * NINETY_NINE_PERCENT).ceil() as usize;
     let in_force_at_all = changes
         .iter()
         .filter(|change| change.acknowledged_after.len() >= balancers)
@@ -148,7 +148,7 @@
         changes: changes.len() as u64,
         balancers: balancers as u64,
         changes_in_force_at_all: in_force_at_all as u64,
-        in_force_at_99_percent: times_in_force(changes, nearly_all).percentiles(),
+        in_force_at_99_percent: times_in_force(changes, ninety_nine_percent).percentiles(),
         in_force_at_all: times_in_force(changes, balancers).percentiles(),
     }
 }
--- a/scale/src/run/control_balancers.rs
+++ b/scale/src/run/control_balancers.rs
@@ -158,7 +158,7 @@
         after: &Usages,
         length: Duration,
     ) -> Vec<BalancerUsage> {
-        used(&before.real, &after.real, length)
+        balancer_usages(&before.real, &after.real, length)
     }
 
     /// What the mean balancer of each hollow process used between two moments.
@@ -167,20 +167,24 @@
         after: &Usages,
         length: Duration,
     ) -> Vec<BalancerUsage> {
-        used(&before.hollow, &after.hollow, length)
+        balancer_usages(&before.hollow, &after.hollow, length)
     }
 }
 
-fn used(before: &[ProcessUsage], after: &[ProcessUsage], length: Duration) -> Vec<BalancerUsage> {
+fn balancer_usages(
+    before: &[ProcessUsage],
+    after: &[ProcessUsage],
+    length: Duration,
+) -> Vec<BalancerUsage> {
     before
         .iter()
         .zip(after)
-        .map(|(before, after)| used_by_balancer(before, after, length))
+        .map(|(before, after)| mean_balancer_usage(before, after, length))
         .collect()
 }
 
 /// What one of a process's balancers used between two moments.
-fn used_by_balancer(
+fn mean_balancer_usage(
     before: &ProcessUsage,
     after: &ProcessUsage,
     length: Duration,
--- a/scale/src/service.rs
+++ b/scale/src/service.rs
@@ -23,7 +23,7 @@
 const REQUEST_KIND: &str = "req-kind";
 const REQUEST_DEADLINE: &str = "req-deadline";
 /// Marks a rejection: the call has not run.
-const DECLINED: &str = "srv-declined";
+const REJECTED_HEADER: &str = "srv-declined";
 const MICROS_PER_MILLI: f64 = 1000.0;
 const MICROS_PER_SECOND: f64 = 1e6;
 
@@ -148,8 +148,8 @@
 }
 
 /// The random part of a call.
-struct CallFate {
-    busy: Duration,
+struct SimulatedWork {
+    service_time: Duration,
     fails: bool,
 }
 
@@ -194,26 +194,29 @@
 
     /// Keeps a core busy for the service time. Returns whether the call succeeds.
     async fn work(&self) -> bool {
-        let fate = self.draw_fate();
+        let work = self.draw_work();
         // The semaphore is never closed, so acquiring cannot fail.
         let _core = self.cores.acquire().await;
-        if !fate.busy.is_zero() {
-            tokio::time::sleep(fate.busy).await;
+        if !work.service_time.is_zero() {
+            tokio::time::sleep(work.service_time).await;
         }
-        !fate.fails
+        !work.fails
     }
 
-    fn draw_fate(&self) -> CallFate {
+    fn draw_work(&self) -> SimulatedWork {
         let mut random = self.random.lock().unwrap_or_else(PoisonError::into_inner);
         let fails = random.random_bool(self.settings.failure_fraction);
         let mean_seconds = self.settings.mean_service_time.as_secs_f64();
-        let busy = match Exp::new(1.0 / mean_seconds) {
+        let service_time = match Exp::new(1.0 / mean_seconds) {
             Ok(distribution) if mean_seconds > 0.0 => {
                 Duration::from_secs_f64(distribution.sample(&mut *random))
             }
             _ => Duration::ZERO,
         };
-        CallFate { busy, fails }
+        SimulatedWork {
+            service_time,
+            fails,
+        }
     }
 
     /// Passes a call on to the next service, if there is one. Returns whether it succeeds.
@@ -238,6 +241,6 @@
     let mut rejection = response(StatusCode::SERVICE_UNAVAILABLE, "");
     rejection
         .headers_mut()
-        .insert(DECLINED, HeaderValue::from_static("1"));
+        .insert(REJECTED_HEADER, HeaderValue::from_static("1"));
     rejection
 }
--- a/scale/src/timing.rs
+++ b/scale/src/timing.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 /// Separates the times from the padding in a response body.
-const HEAD_END: u8 = b'\n';
+const TIMES_END: u8 = b'\n';
 const PADDING: u8 = b'.';
 
 /// A clock that clients and services of a run share.
@@ -48,14 +48,14 @@
     pub fn to_body(&self, min_bytes: usize) -> Vec<u8> {
         // Durations always serialize.
         let mut body = serde_json::to_vec(self).unwrap_or_default();
-        body.push(HEAD_END);
+        body.push(TIMES_END);
         body.resize(body.len().max(min_bytes), PADDING);
         body
     }
 
     /// The times at the start of a response body.
     pub fn from_body(body: &[u8]) -> Option<ServiceTimes> {
-        let head = body.split(|&byte| byte == HEAD_END).next()?;
+        let head = body.split(|&byte| byte == TIMES_END).next()?;
         serde_json::from_slice(head).ok()
     }
 
--- a/scale/tests/command.rs
+++ b/scale/tests/command.rs
@@ -40,7 +40,7 @@
 }
 
 /// An empty directory of one test.
-fn directory(name: &str) -> PathBuf {
+fn empty_directory(name: &str) -> PathBuf {
     let directory = Path::new(env!("CARGO_TARGET_TMPDIR")).join(name);
     let _ = fs::remove_dir_all(&directory);
     fs::create_dir_all(&directory).expect("a directory");
@@ -48,13 +48,13 @@
 }
 
 /// The smoke experiment with one text in it replaced.
-fn changed_smoke(name: &str, from: &str, to: &str) -> PathBuf {
+fn smoke_with_replacement(name: &str, from: &str, to: &str) -> PathBuf {
     let smoke = fs::read_to_string(root().join(SMOKE)).expect("the smoke experiment");
     assert!(
         smoke.contains(from),
         "{from:?} stands in the smoke experiment"
     );
-    let path = directory(name).join("experiment.toml");
+    let path = empty_directory(name).join("experiment.toml");
     fs::write(&path, smoke.replacen(from, to, 1)).expect("writes");
     path
 }
@@ -91,7 +91,7 @@
 #[test]
 fn runs_smoke_experiment_from_end_to_end() {
     build_balancer();
-    let out = directory("smoke-report");
+    let out = empty_directory("smoke-report");
     let output = scale(Path::new(SMOKE))
         .arg("--out")
         .arg(&out)
@@ -135,7 +135,7 @@
 
 #[test]
 fn rejects_unknown_key() {
-    let experiment = changed_smoke("unknown-key", "cores =", "corse =");
+    let experiment = smoke_with_replacement("unknown-key", "cores =", "corse =");
     let output = scale(&experiment).output().expect("runs");
     assert_rejected(&output, "corse");
     assert_rejected(&output, "line 12");
@@ -189,7 +189,7 @@
         ),
         ("name = \"smoke\"", "name = \"../smoke\"", "name"),
     ] {
-        let experiment = changed_smoke("impossible", from, to);
+        let experiment = smoke_with_replacement("impossible", from, to);
         let output = scale(&experiment).output().expect("runs");
         assert_rejected(&output, &format!("{key}: "));
     }
@@ -199,14 +199,14 @@
 fn rejects_faults_while_not_implemented() {
     let fault =
         "[[faults]]\nkind = \"zone_lost\"\nzone = 1\nat_seconds = 1.0\nfor_seconds = 2.0\n\n[control]";
-    let experiment = changed_smoke("faults", "[control]", fault);
+    let experiment = smoke_with_replacement("faults", "[control]", fault);
     let output = scale(&experiment).output().expect("runs");
     assert_rejected(&output, "faults: ");
 }
 
 #[test]
 fn rejects_missing_build() {
-    let elsewhere = directory("no-build");
+    let elsewhere = empty_directory("no-build");
     fs::create_dir_all(elsewhere.join("deploy")).expect("a directory");
     fs::copy(root().join(DEPLOYMENT), elsewhere.join(DEPLOYMENT)).expect("copies");
     let output = scale(Path::new(SMOKE))
@@ -262,7 +262,7 @@
 
 #[test]
 fn ends_every_process_on_error() {
-    let elsewhere = directory("bad-program");
+    let elsewhere = empty_directory("bad-program");
     fs::create_dir_all(elsewhere.join("deploy")).expect("a directory");
     // The first balancer exits before it is ready.
     let deployment = "build = \"true\"\nrun = \"exec bin/program\"\n";
--- a/scale/tests/stand_ins.rs
+++ b/scale/tests/stand_ins.rs
@@ -23,7 +23,7 @@
 
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-fn run(test: impl std::future::Future<Output = ()>) {
+fn run_with_timeout(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .worker_threads(2)
         .enable_all()
@@ -36,7 +36,7 @@
     });
 }
 
-async fn get(address: SocketAddr, path: &str) -> Value {
+async fn get_json(address: SocketAddr, path: &str) -> Value {
     let stream = tokio::net::TcpStream::connect(address)
         .await
         .expect("connects");
@@ -65,7 +65,7 @@
         .collect()
 }
 
-fn states(listing: &Value) -> Vec<&str> {
+fn endpoint_states(listing: &Value) -> Vec<&str> {
     let servers = listing["servers"].as_array().expect("servers");
     servers
         .iter()
@@ -76,19 +76,19 @@
 /// The changes since a version, without waiting for one.
 async fn changes_since(discovery: &Discovery, version: u64) -> Value {
     let path = format!("/api/targets?since={version}&timeout_ms=0");
-    get(discovery.address(), &path).await
+    get_json(discovery.address(), &path).await
 }
 
 #[test]
 fn discovery_responds_with_snapshots_and_deltas() {
-    run(async {
+    run_with_timeout(async {
         let discovery = Discovery::start(endpoints(3), 2).expect("starts");
-        let snapshot = get(discovery.address(), "/api/targets").await;
+        let snapshot = get_json(discovery.address(), "/api/targets").await;
         assert_eq!(
             (&snapshot["version"], &snapshot["full"]),
             (&1.into(), &true.into())
         );
-        assert_eq!(states(&snapshot), ["active"; 3]);
+        assert_eq!(endpoint_states(&snapshot), ["active"; 3]);
 
         discovery.registry().advance_endpoint(1);
         let delta = changes_since(&discovery, 1).await;
@@ -96,36 +96,36 @@
             (&delta["version"], &delta["full"]),
             (&2.into(), &false.into())
         );
-        assert_eq!(states(&delta), ["leaving"]);
+        assert_eq!(endpoint_states(&delta), ["leaving"]);
         assert_eq!(delta["servers"][0]["id"], "s-00000001");
     });
 }
 
 #[test]
 fn discovery_lists_removed_endpoints_in_deltas_only() {
-    run(async {
+    run_with_timeout(async {
         let discovery = Discovery::start(endpoints(3), 2).expect("starts");
-        let snapshot = get(discovery.address(), "/api/targets").await;
-        assert_eq!(states(&snapshot), ["active"; 3]);
+        let snapshot = get_json(discovery.address(), "/api/targets").await;
+        assert_eq!(endpoint_states(&snapshot), ["active"; 3]);
         discovery.registry().advance_endpoint(1);
         let delta = changes_since(&discovery, 1).await;
-        assert_eq!(states(&delta), ["leaving"]);
+        assert_eq!(endpoint_states(&delta), ["leaving"]);
 
         discovery.registry().advance_endpoint(1);
         let delta = changes_since(&discovery, 1).await;
         assert_eq!(
-            states(&delta),
+            endpoint_states(&delta),
             ["left"],
             "an endpoint that changed twice appears once, in its present state"
         );
-        let snapshot = get(discovery.address(), "/api/targets").await;
-        assert_eq!(states(&snapshot), ["active"; 2]);
+        let snapshot = get_json(discovery.address(), "/api/targets").await;
+        assert_eq!(endpoint_states(&snapshot), ["active"; 2]);
     });
 }
 
 #[test]
 fn discovery_responds_with_snapshot_to_unknown_version() {
-    run(async {
+    run_with_timeout(async {
         let discovery = Discovery::start(endpoints(3), 2).expect("starts");
         discovery.registry().advance_endpoint(1);
         discovery.registry().advance_endpoint(1);
@@ -147,22 +147,24 @@
 
 #[test]
 fn watch_waits_for_a_change() {
-    run(async {
+    run_with_timeout(async {
         let discovery = Discovery::start(endpoints(2), 10).expect("starts");
         let address = discovery.address();
-        let watch =
-            tokio::spawn(
-                async move { get(address, "/api/targets?since=1&timeout_ms=15000").await },
-            );
+        let watch = tokio::spawn(async move {
+            get_json(address, "/api/targets?since=1&timeout_ms=15000").await
+        });
         while discovery.traffic().bytes() == 0 {
             tokio::task::yield_now().await;
         }
         discovery.registry().advance_endpoint(0);
         let delta = watch.await.expect("a response");
-        assert_eq!((&delta["version"], states(&delta).len()), (&2.into(), 1));
-        let unchanged = get(address, "/api/targets?since=2&timeout_ms=1").await;
         assert_eq!(
-            (&unchanged["full"], states(&unchanged).len()),
+            (&delta["version"], endpoint_states(&delta).len()),
+            (&2.into(), 1)
+        );
+        let unchanged = get_json(address, "/api/targets?since=2&timeout_ms=1").await;
+        assert_eq!(
+            (&unchanged["full"], endpoint_states(&unchanged).len()),
             (&false.into(), 0)
         );
     });
@@ -178,7 +180,7 @@
     }
 }
 
-fn service(settings: ServiceSettings) -> (ServiceInstance, Arc<ServiceCounters>) {
+fn start_service(settings: ServiceSettings) -> (ServiceInstance, Arc<ServiceCounters>) {
     let counters = Arc::new(ServiceCounters::default());
     let instance =
         ServiceInstance::start(settings, counters.clone(), RunClock::start(), 1).expect("starts");
@@ -198,17 +200,17 @@
 
 #[test]
 fn service_calls_next_service_and_fails_with_it() {
-    run(async {
+    run_with_timeout(async {
         for (failure_fraction, expected) in [
             (0.0, StatusCode::OK),
             (1.0, StatusCode::INTERNAL_SERVER_ERROR),
         ] {
-            let (leaf, leaf_counters) = service(ServiceSettings {
+            let (leaf, leaf_counters) = start_service(ServiceSettings {
                 failure_fraction,
                 ..instant_service()
             });
             let next = Some(Arc::new(ConnectionPool::new(leaf.address(), 1)));
-            let (top, top_counters) = service(ServiceSettings {
+            let (top, top_counters) = start_service(ServiceSettings {
                 next,
                 ..instant_service()
             });
@@ -226,8 +228,8 @@
 
 #[test]
 fn rejects_call_when_queue_is_full() {
-    run(async {
-        let (blocked, _) = service(ServiceSettings {
+    run_with_timeout(async {
+        let (blocked, _) = start_service(ServiceSettings {
             cores: 0,
             queue: 1,
             ..instant_service()
@@ -277,7 +279,7 @@
 /// Clients that wait for a response before they send the next call would never get one here.
 #[test]
 fn clients_send_planned_calls_while_earlier_ones_are_unanswered() {
-    run(async {
+    run_with_timeout(async {
         const SIMULTANEOUS_CALLS: usize = 20;
         let server = server_that_waits_for(SIMULTANEOUS_CALLS);
         let plan = LoadPlan {
