--- a/scale/src/balancer.rs
+++ b/scale/src/balancer.rs
@@ -15,13 +15,13 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-/// The platform's deployment file, below the root.
+/// The platform's deployment file, relative to the repository's root.
 const DEPLOYMENT_FILE: &str = "deploy/balancer.toml";
 /// Time allowed for a balancer to become ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(20);
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(20);
 const READY_PATH: &str = "/-/ready";
-/// Balancers listen on this address. Outgoing connections use another one and so take none of its ports.
+/// Balancers listen on this address. Outgoing connections have another source address, so they take none of its ports.
 const LISTEN_ADDRESS: Ipv4Addr = Ipv4Addr::new(127, 0, 0, 2);
 
 /// How the platform builds and starts the program.
--- a/scale/src/balancer/configuration.rs
+++ b/scale/src/balancer/configuration.rs
@@ -38,11 +38,11 @@
     pub balancers: u32,
     /// Its index among them.
     pub index: u32,
-    /// Calls a second of the tenant over all balancers of the tier.
+    /// The tenant's quota in calls per second, over all balancers of the tier.
     pub quota_per_second: f64,
     /// Maximum number of attempts for one call.
     pub max_attempts: u32,
-    /// How long a client waits.
+    /// How long a client waits, in milliseconds.
     pub deadline_ms: u32,
     /// How it receives the endpoint list.
     pub discovery_mode: DiscoveryMode,
--- a/scale/src/cli.rs
+++ b/scale/src/cli.rs
@@ -35,12 +35,12 @@
         #[arg(long, default_value = ".")]
         root: PathBuf,
     },
-    /// Runs hollow balancers; a run starts this itself.
+    /// Runs hollow balancers. The `run` command starts this as a child process.
     #[command(hide = true)]
     Hollow {
-        /// Their configuration.
+        /// The configuration file of the hollow balancers.
         configuration: PathBuf,
-        /// How many there are.
+        /// Number of hollow balancers.
         balancers: u32,
     },
 }
--- a/scale/src/client.rs
+++ b/scale/src/client.rs
@@ -15,9 +15,9 @@
 pub const TENANT: &str = "tenant";
 /// The path of all calls.
 const PATH: &str = "/api";
-/// Spreads consecutive numbers over all request ids (the golden ratio in 64 bits).
+/// Multiplier that spreads consecutive numbers over all request ids (2^64 divided by the golden ratio).
 const ID_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
-/// The seed of a pool stands in the bits of its request numbers from here on.
+/// Request numbers hold the seed of their pool from this bit upwards; the bits below count requests.
 const SEED_SHIFT: u32 = 40;
 
 /// Whether a call is idempotent; decides its class and its method.
--- a/scale/src/error.rs
+++ b/scale/src/error.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ScaleError {
     /// A required file cannot be read.
-    #[error("{}: {source}", path.display())]
+    #[error("cannot read {}: {source}", path.display())]
     Unreadable {
         /// The file.
         path: PathBuf,
@@ -27,7 +27,7 @@
     /// A value of the experiment is invalid.
     #[error("{key}: {requirement}")]
     InvalidValue {
-        /// The key at fault.
+        /// The key whose value is invalid.
         key: &'static str,
         /// What the value must be.
         requirement: String,
@@ -40,8 +40,8 @@
         /// The command that builds it.
         build: String,
     },
-    /// A file cannot be written.
-    #[error("{}: {source}", path.display())]
+    /// A file or directory cannot be written.
+    #[error("cannot write {}: {source}", path.display())]
     Unwritable {
         /// The file.
         path: PathBuf,
@@ -49,7 +49,7 @@
         source: io::Error,
     },
     /// The configuration of hollow balancers is not valid.
-    #[error("configuration: {0}")]
+    #[error("invalid configuration of hollow balancers: {0}")]
     Configuration(#[source] Box<dyn Error + Send + Sync>),
     /// A process could not be started.
     #[error("{name} did not start: {source}")]
@@ -70,15 +70,15 @@
         log: String,
     },
     /// Balancers did not become ready.
-    #[error("{name} was not ready within {seconds} s")]
+    #[error("not ready within {seconds} s: {name}")]
     NotReady {
-        /// Its name.
+        /// Which balancers.
         name: String,
         /// The time allowed.
         seconds: u64,
     },
-    /// The process table could not be read.
-    #[error("process {pid}: {source}")]
+    /// The resource usage of a process could not be read.
+    #[error("cannot read the resource usage of process {pid}: {source}")]
     UsageUnreadable {
         /// The process.
         pid: u32,
@@ -86,29 +86,29 @@
         source: procfs::ProcError,
     },
     /// The size of the machine's memory could not be read.
-    #[error("the machine's memory: {0}")]
+    #[error("cannot read the size of the machine's memory: {0}")]
     MemoryUnreadable(#[source] procfs::ProcError),
     /// All processes together use more memory than a run may use.
-    #[error("{used_mb:.0} MB are in use and {allowed_mb:.0} MB, half of the machine's memory, are allowed")]
+    #[error("the run uses {used_mb:.0} MB; the limit is {allowed_mb:.0} MB, half of the machine's memory")]
     TooMuchMemory {
-        /// Memory in use.
+        /// Memory in use, in MiB.
         used_mb: f64,
-        /// Memory allowed.
+        /// Memory allowed, in MiB.
         allowed_mb: f64,
     },
     /// The run exceeded its time limit, in seconds.
-    #[error("not finished after {0} s")]
+    #[error("the run exceeded its time limit of {0} s")]
     TimeLimit(u64),
     /// The process received SIGINT or SIGTERM.
     #[error("interrupted")]
     Interrupted,
-    /// A socket of the stand-ins failed.
-    #[error("sockets: {0}")]
+    /// An operation on a socket, signal, process or temporary directory failed.
+    #[error("I/O error: {0}")]
     Io(#[from] io::Error),
     /// A task panicked.
     #[error("a task failed: {0}")]
     Task(#[from] tokio::task::JoinError),
     /// The report could not be serialized.
-    #[error("report: {0}")]
+    #[error("cannot serialize the report: {0}")]
     Report(#[from] serde_json::Error),
 }
--- a/scale/src/experiment.rs
+++ b/scale/src/experiment.rs
@@ -13,15 +13,15 @@
 #[derive(Clone, Debug, Deserialize, Serialize)]
 #[serde(deny_unknown_fields)]
 pub struct Experiment {
-    /// Names the report's file.
+    /// The name of the report's file, without `.json`.
     pub name: String,
     /// What the experiment is to show.
     pub purpose: String,
     /// Number of measurements of each point.
     pub repeats: u32,
-    /// Time at the start of each measurement that is not evaluated.
+    /// Time at the start of each measurement that is not evaluated, in seconds.
     pub warmup_seconds: f64,
-    /// Time of each measurement that is evaluated.
+    /// Time of each measurement that is evaluated, in seconds.
     pub measure_seconds: f64,
     /// Seed of all random choices.
     #[serde(default = "default_seed")]
@@ -41,7 +41,7 @@
 pub struct Calls {
     /// Length of the chain of services. A list.
     pub depth: Vec<u32>,
-    /// Calls from the clients. A list.
+    /// Calls per second from all clients. A list.
     pub calls_per_second: Vec<f64>,
     /// Percentage of calls that the last service fails. A list.
     pub leaf_failing_percent: Vec<f64>,
@@ -51,22 +51,22 @@
     pub cores: u32,
     /// Calls that wait at an instance; one more is rejected.
     pub queue: u32,
-    /// Mean time that a core is busy with a call; the distribution is exponential.
+    /// Mean time that a core is busy with a call, in milliseconds; the distribution is exponential.
     #[serde(rename = "answer_ms")]
     pub mean_service_time_ms: f64,
     /// Percentage of idempotent calls (GET); the others must not run twice (POST).
     pub get_percent: f64,
     /// Percentage of the clients' calls on a new connection; the others reuse an idle one.
     pub new_connection_percent: f64,
-    /// Size of the bodies of POST calls.
+    /// Size of the bodies of POST calls, in bytes.
     pub body_bytes: u32,
-    /// Size of responses.
+    /// Minimum size of response bodies, in bytes.
     #[serde(rename = "answer_bytes")]
     pub response_bytes: u32,
     /// Maximum number of attempts that a balancer makes for one call.
     #[serde(rename = "attempts_cap")]
     pub max_attempts: u32,
-    /// How long a client waits for its response.
+    /// How long a client waits for its response, in milliseconds.
     pub deadline_ms: u32,
     /// Whether the same load is also sent directly to the first service, to separate the time that balancers add.
     #[serde(rename = "straight")]
@@ -82,7 +82,7 @@
 pub struct Control {
     /// Number of endpoints in discovery's list. A list.
     pub endpoints: Vec<u32>,
-    /// Changes of an endpoint's state, at a constant rate. A list.
+    /// Changes of endpoint states per minute, at a constant rate. A list.
     pub changes_per_minute: Vec<f64>,
     /// Balancers that are processes of the deployed program.
     #[serde(default)]
@@ -118,25 +118,25 @@
     ZoneLost {
         /// The zone.
         zone: u32,
-        /// When, counted from the start of the measurement.
+        /// Time from the start of the measurement until the fault, in seconds.
         at_seconds: f64,
-        /// For how long.
+        /// Duration of the fault, in seconds.
         for_seconds: f64,
     },
     /// A region is cut off from all others.
     RegionCutOff {
         /// The region.
         region: u32,
-        /// When, counted from the start of the measurement.
+        /// Time from the start of the measurement until the fault, in seconds.
         at_seconds: f64,
-        /// For how long.
+        /// Duration of the fault, in seconds.
         for_seconds: f64,
     },
     /// Many balancers are restarted at once.
     MassRestart {
         /// Percentage of all balancers.
         percent: f64,
-        /// When, counted from the start of the measurement.
+        /// Time from the start of the measurement until the fault, in seconds.
         at_seconds: f64,
     },
 }
@@ -146,7 +146,7 @@
 pub struct CallsSize {
     /// Length of the chain of services.
     pub depth: u32,
-    /// Calls from the clients.
+    /// Calls per second from all clients.
     pub calls_per_second: f64,
     /// Percentage of calls that the last service fails.
     pub leaf_failing_percent: f64,
@@ -157,7 +157,7 @@
 pub struct ControlSize {
     /// Number of endpoints.
     pub endpoints: u32,
-    /// Changes of an endpoint's state.
+    /// Changes of endpoint states per minute.
     pub changes_per_minute: f64,
 }
 
@@ -173,7 +173,7 @@
         Ok(experiment)
     }
 
-    /// Time of all measurements together, without starts and stops.
+    /// Time of all measurements together, in seconds, without starting and stopping processes.
     pub fn planned_seconds(&self) -> f64 {
         let loads = self.calls.as_ref().map_or(0, Calls::loads);
         let control_points = self
--- a/scale/src/experiment/validation.rs
+++ b/scale/src/experiment/validation.rs
@@ -3,16 +3,16 @@
 use crate::error::ScaleError;
 use crate::machine;
 
-/// Longest run, by the times in the file.
+/// Longest planned run, as computed from the times in the file.
 const MAX_RUN_SECONDS: f64 = 1200.0;
 const MAX_REPEATS: u32 = 100;
 /// Maximum number of balancer processes at a time.
 const MAX_PROCESSES: u32 = 200;
-/// Estimated memory of a balancer process, without its endpoints.
+/// Estimated memory of a balancer process, without its endpoints, in MiB.
 const PROCESS_MB: f64 = 16.0;
-/// Estimated memory of a balancer for each endpoint in its list.
+/// Estimated memory of a balancer for each endpoint in its list, in MiB.
 const ENDPOINT_MB: f64 = 0.001;
-/// Estimated memory of a hollow balancer, without its endpoints.
+/// Estimated memory of a hollow balancer, without its endpoints, in MiB.
 const HOLLOW_BALANCER_MB: f64 = 0.2;
 const MAX_HOLLOW_BALANCERS: u32 = 10_000;
 const MAX_DEPTH: u32 = 25;
@@ -33,7 +33,11 @@
     pub(super) fn validate(&self) -> Result<(), ScaleError> {
         let is_allowed = |c: char| c.is_ascii_alphanumeric() || c == '-' || c == '_';
         let has_valid_name = !self.name.is_empty() && self.name.chars().all(is_allowed);
-        require(has_valid_name, "name", "must be letters, digits, - and _")?;
+        require(
+            has_valid_name,
+            "name",
+            "must consist of ASCII letters, digits, - and _",
+        )?;
         AllowedRange::new(1, MAX_REPEATS).check("repeats", self.repeats)?;
         AllowedRange::new(0.0, MAX_RUN_SECONDS).check("warmup_seconds", self.warmup_seconds)?;
         AllowedRange::new(MIN_MEASURE_SECONDS, MAX_RUN_SECONDS)
@@ -41,7 +45,7 @@
         require(
             self.faults.is_empty(),
             "faults",
-            "zones lost, cuts and mass restarts are not implemented yet",
+            "fault injection is not implemented",
         )?;
         require(
             self.calls.is_some() || self.control.is_some(),
@@ -61,7 +65,7 @@
         if (0.0..=MAX_RUN_SECONDS).contains(&self.planned_seconds()) {
             return Ok(());
         }
-        let requirement = format!("all points together may take {MAX_RUN_SECONDS} s at most");
+        let requirement = format!("all measurements together may take at most {MAX_RUN_SECONDS} s");
         Err(invalid("measure_seconds", requirement))
     }
 }
@@ -172,14 +176,14 @@
     }
 }
 
-/// Checks that so many processes with so many endpoints each stay within a run's limits.
+/// Checks that this number of processes, each with this number of endpoints, stays within a run's limits.
 fn require_processes_fit(
     key: &'static str,
     processes: u32,
     endpoints: u32,
 ) -> Result<(), ScaleError> {
     if processes > MAX_PROCESSES {
-        let requirement = format!("needs {processes} processes and {MAX_PROCESSES} may run");
+        let requirement = format!("needs {processes} processes; at most {MAX_PROCESSES} may run");
         return Err(invalid(key, requirement));
     }
     let process_mb = PROCESS_MB + ENDPOINT_MB * f64::from(endpoints);
@@ -191,8 +195,9 @@
     if needed_mb <= allowed_mb {
         return Ok(());
     }
-    let requirement =
-        format!("needs {needed_mb:.0} MB and {allowed_mb:.0} MB, half of the memory, may be used");
+    let requirement = format!(
+        "needs {needed_mb:.0} MB; the limit is {allowed_mb:.0} MB, half of the machine's memory"
+    );
     Err(invalid(key, requirement))
 }
 
--- a/scale/src/load.rs
+++ b/scale/src/load.rs
@@ -30,7 +30,7 @@
     pub new_connection_fraction: f64,
     /// Body of calls that must not run twice.
     pub body: Bytes,
-    /// How long a client waits.
+    /// How long a client waits for its response.
     pub timeout: Duration,
     /// Seed of the random choices.
     pub seed: u64,
@@ -41,7 +41,7 @@
 pub enum CallOutcome {
     /// Status 200.
     Served,
-    /// Status 429 or 503: a retry does no harm.
+    /// Status 429 or 503: a retry is safe.
     Rejected,
     /// Any other status.
     Failed,
--- a/scale/src/machine.rs
+++ b/scale/src/machine.rs
@@ -15,7 +15,7 @@
 pub struct Machine {
     /// Number of processors.
     pub processors: usize,
-    /// Memory.
+    /// Total memory, in MiB.
     pub memory_mb: f64,
 }
 
@@ -35,7 +35,7 @@
 pub struct Usage {
     /// Processor time of all threads.
     pub processor: Duration,
-    /// Resident memory now.
+    /// Resident memory now, in MiB.
     pub resident_mb: f64,
 }
 
@@ -59,7 +59,7 @@
     }
 }
 
-/// Memory that all processes of a run together may use.
+/// Memory that all processes of a run together may use, in MiB.
 pub fn allowed_memory_mb() -> Result<f64, ScaleError> {
     Ok(total_memory_mb()? * MEMORY_FRACTION)
 }
--- a/scale/src/report.rs
+++ b/scale/src/report.rs
@@ -25,7 +25,7 @@
     pub commit: Option<String>,
     /// Where it ran.
     pub machine: Machine,
-    /// Wall time of the whole run.
+    /// Wall-clock time of the whole run, in seconds.
     pub seconds: f64,
     /// Measurements of calls.
     pub calls: Vec<Point<CallsSize, CallsMeasurement>>,
--- a/scale/src/report/growth.rs
+++ b/scale/src/report/growth.rs
@@ -6,7 +6,7 @@
 
 /// The depth that the growth is extrapolated to.
 const EXTRAPOLATED_DEPTH: u32 = 25;
-/// Fewer depths than this determine no line.
+/// Minimum number of depths, and of samples, for a fitted line with an error of its slope.
 const MIN_DEPTHS: usize = 3;
 /// Half the width of a 95% confidence interval of normally distributed errors, in standard errors.
 const NORMAL_95: f64 = 1.96;
@@ -19,7 +19,7 @@
 pub struct Growth {
     /// Percentage of calls that the last service fails.
     pub leaf_failing_percent: f64,
-    /// Calls from the clients.
+    /// Calls per second from all clients.
     pub calls_per_second: f64,
     /// Attempts at depth 1 by the fitted line.
     pub at_depth_1: f64,
--- a/scale/src/report/measurement.rs
+++ b/scale/src/report/measurement.rs
@@ -57,9 +57,9 @@
     /// The same load sent directly to the first service.
     #[serde(rename = "straight")]
     pub direct: Option<LoadMeasurement>,
-    /// Processor time of the first balancer for each call of the clients.
+    /// Processor time of the first balancer for each call of the clients, in microseconds.
     pub processor_us_per_call: f64,
-    /// Memory of the first balancer.
+    /// Resident memory of the first balancer at the end, in MiB.
     pub resident_mb: f64,
     /// Attempts that reached each service for each call of the clients, the first service first.
     pub attempts_per_call: Vec<f64>,
@@ -70,9 +70,9 @@
 pub struct BalancerUsage {
     /// Processor time as a percentage of one core.
     pub processor_percent: f64,
-    /// Processor time from the balancer's start until the measurement began.
+    /// Processor time from the balancer's start until the evaluated time began, in milliseconds.
     pub start_processor_ms: f64,
-    /// Memory at the end.
+    /// Resident memory at the end, in MiB.
     pub resident_mb: f64,
 }
 
@@ -83,15 +83,15 @@
     pub real: Vec<BalancerUsage>,
     /// The mean balancer of each process of hollow balancers.
     pub hollow: Vec<BalancerUsage>,
-    /// From the start of the first balancer until all watched.
+    /// From the start of the first balancer until all balancers watched discovery, in seconds.
     pub all_watch_after_seconds: f64,
-    /// Bytes for each balancer until all watched.
+    /// Bytes for each balancer until all balancers watched discovery.
     pub start_bytes_per_balancer: f64,
-    /// Bytes a second for each balancer.
+    /// Bytes per second for each balancer.
     pub bytes_per_second: f64,
-    /// Requests to discovery a second for each balancer.
+    /// Requests to discovery per second for each balancer.
     pub messages_per_second: f64,
-    /// Changes that were observed.
+    /// Changes that were published during the evaluated time.
     pub changes: u64,
     /// Balancers that follow discovery.
     pub balancers: u64,
--- a/scale/src/report/point.rs
+++ b/scale/src/report/point.rs
@@ -8,7 +8,7 @@
 pub struct Point<S, M> {
     /// The sizes.
     pub size: S,
-    /// The spread of each main metric over the repeats.
+    /// The spread over the repeats of each metric that the table shows.
     pub spread: Vec<Spread>,
     /// Every measurement.
     pub repeats: Vec<M>,
--- a/scale/src/run.rs
+++ b/scale/src/run.rs
@@ -17,7 +17,7 @@
 use std::time::{Duration, Instant};
 use tokio::signal::unix::{signal, SignalKind};
 
-/// A run may take this many times the time of its measurements, and [`TIME_LIMIT_ALLOWANCE`] more.
+/// A run may take this many times the planned time of its measurements, plus [`TIME_LIMIT_ALLOWANCE`].
 const TIME_LIMIT_FACTOR: f64 = 2.0;
 const TIME_LIMIT_ALLOWANCE: Duration = Duration::from_secs(120);
 
--- a/scale/src/run/calls.rs
+++ b/scale/src/run/calls.rs
@@ -69,7 +69,7 @@
     summarize(&records, context.warmup())
 }
 
-/// What a chain did during the time that is evaluated.
+/// Snapshots of a chain at the start and the end of the evaluated time.
 struct Window {
     before: ChainSnapshot,
     after: ChainSnapshot,
--- a/scale/src/run/chain.rs
+++ b/scale/src/run/chain.rs
@@ -14,11 +14,12 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Tenants' quotas exceed the load by this factor, so that no balancer rejects calls for them.
+/// The tenant's quota exceeds the load by this factor, so that no balancer rejects calls because of the quota.
 const QUOTA_FACTOR: f64 = 4.0;
 /// Changes that a chain's discovery remembers; its list never changes.
 const HISTORY: usize = 1;
-/// Distances between seeds; there are fewer tiers and instances.
+/// Distances between the seeds of repeats and of tiers. Each is at least the number of seeds in between, so that
+/// instances of different repeats and tiers have different seeds.
 const SEEDS_PER_REPEAT: u64 = 10_000;
 const SEEDS_PER_TIER: u64 = 100;
 const MILLIS_PER_SECOND: f64 = 1000.0;
@@ -42,7 +43,7 @@
     discovery: Discovery,
 }
 
-/// What a chain has done up to a moment.
+/// The usage and counters of a chain at one time, since its start.
 pub(super) struct ChainSnapshot {
     pub(super) first_balancer: Usage,
     /// Attempts that reached each service, the first service first.
--- a/scale/src/run/context.rs
+++ b/scale/src/run/context.rs
@@ -6,7 +6,8 @@
 use crate::hollow::HollowProcess;
 use std::time::Duration;
 
-/// Distance between the seeds of two experiment seeds; there are fewer repeats.
+/// Distance between the seeds derived from two experiment seeds. It is larger than the number of repeats, so that the
+/// seeds of their repeats differ.
 const SEEDS_PER_EXPERIMENT: u64 = 1000;
 
 /// The experiment, and everything that is needed to start its processes.
--- a/scale/src/run/control.rs
+++ b/scale/src/run/control.rs
@@ -14,7 +14,7 @@
 /// Endpoints have loopback addresses without a listener. Nothing is sent to them.
 const UNUSED_NETWORK: u32 = u32::from_be_bytes([127, 100, 0, 0]);
 const UNUSED_PORT: u16 = 9;
-/// Time after the measurement for balancers to have its last changes in force.
+/// Time allowed after the measurement until all balancers have its last changes in force.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
 const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Fraction of balancers for `in_force_at_99_percent`.
@@ -55,7 +55,7 @@
     Endpoint::new(number as usize, SocketAddr::from((address, UNUSED_PORT)))
 }
 
-/// What the start of all balancers took.
+/// The time and traffic until all balancers watched discovery.
 struct StartMeasurement {
     all_watch_after: Duration,
     /// Bytes exchanged with discovery.
--- a/scale/src/run/control_balancers.rs
+++ b/scale/src/run/control_balancers.rs
@@ -11,10 +11,11 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-/// Time allowed for all balancers to fetch their first list and to watch.
+/// Time allowed until all balancers have fetched their first endpoint list and watch for changes.
 const WATCH_TIMEOUT: Duration = Duration::from_secs(60);
 const WATCH_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Distance between the seeds of two repeats; there are fewer balancers.
+/// Distance between the seeds of two repeats. It is larger than the number of balancers, so that the balancers of
+/// different repeats have different seeds.
 const SEEDS_PER_REPEAT: u64 = 100_000;
 /// The settings of a balancer that carries no calls.
 const QUOTA_PER_SECOND: f64 = 1000.0;
@@ -89,7 +90,7 @@
         Ok(())
     }
 
-    /// What each process has used up to now.
+    /// The usage of each process since its start.
     pub(super) fn usages(&self) -> Result<Usages, ScaleError> {
         let mut usages = Usages {
             real: Vec::new(),
@@ -139,20 +140,20 @@
     balancers / processes + u32::from(process < balancers % processes)
 }
 
-/// What each process has used up to a moment.
+/// The usage of each process since its start.
 pub(super) struct Usages {
     real: Vec<ProcessUsage>,
     hollow: Vec<ProcessUsage>,
 }
 
-/// What one process has used, and the number of its balancers.
+/// The usage of one process since its start, and the number of its balancers.
 struct ProcessUsage {
     usage: Usage,
     balancers: u32,
 }
 
 impl Usages {
-    /// What each real balancer used between two moments.
+    /// The usage of each real balancer between two snapshots.
     pub(super) fn used_by_real(
         before: &Usages,
         after: &Usages,
@@ -161,7 +162,7 @@
         balancer_usages(&before.real, &after.real, length)
     }
 
-    /// What the mean balancer of each hollow process used between two moments.
+    /// The mean usage per balancer of each hollow process between two snapshots.
     pub(super) fn used_by_hollow(
         before: &Usages,
         after: &Usages,
@@ -183,7 +184,7 @@
         .collect()
 }
 
-/// What one of a process's balancers used between two moments.
+/// The mean usage per balancer of one process between two snapshots.
 fn mean_balancer_usage(
     before: &ProcessUsage,
     after: &ProcessUsage,
--- a/scale/src/server.rs
+++ b/scale/src/server.rs
@@ -14,7 +14,7 @@
 use tokio::net::{TcpListener, TcpSocket};
 use tokio::task::{AbortHandle, JoinSet};
 
-/// Connections that may wait to be accepted: thousands of balancers may connect at once.
+/// Length of the accept queue. Thousands of balancers may connect at once.
 const BACKLOG: u32 = 4096;
 
 /// A response of a stand-in.
--- a/scale/src/service.rs
+++ b/scale/src/service.rs
@@ -38,7 +38,7 @@
     pub mean_service_time: Duration,
     /// Fraction of calls that the instance fails by itself, from 0 to 1.
     pub failure_fraction: f64,
-    /// Size of responses.
+    /// Minimum size of the bodies of successful responses, in bytes.
     pub response_bytes: usize,
     /// The balancer through which the instance calls the next service, if there is one.
     pub next: Option<Arc<ConnectionPool>>,
@@ -147,7 +147,7 @@
     Duration::try_from_secs_f64(micros / MICROS_PER_SECOND).ok()
 }
 
-/// The random part of a call.
+/// The random properties of a call.
 struct SimulatedWork {
     service_time: Duration,
     fails: bool,
--- a/scale/src/statistics.rs
+++ b/scale/src/statistics.rs
@@ -3,12 +3,12 @@
 use serde::Serialize;
 use std::time::Duration;
 
-/// Longest time that a distribution holds.
+/// Longest time that a distribution records; longer ones count as this time.
 const MAX_TIME: Duration = Duration::from_secs(120);
 const SIGNIFICANT_DIGITS: u8 = 3;
 const NANOS_PER_MICRO: f64 = 1000.0;
 
-/// A distribution of times in a few numbers.
+/// A summary of a distribution of times.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub struct Percentiles {
     /// How many times there are.
@@ -131,7 +131,7 @@
     }
 }
 
-/// The median of sorted values; not a number where there are none.
+/// The median of sorted values; NaN where there are none.
 fn median(sorted: &[f64]) -> f64 {
     let middle = sorted.len() / 2;
     match sorted.len() {
--- a/scale/tests/command.rs
+++ b/scale/tests/command.rs
@@ -189,7 +189,7 @@
         ),
         ("name = \"smoke\"", "name = \"../smoke\"", "name"),
     ] {
-        let experiment = smoke_with_replacement("impossible", from, to);
+        let experiment = smoke_with_replacement("out-of-range", from, to);
         let output = scale(&experiment).output().expect("runs");
         assert_rejected(&output, &format!("{key}: "));
     }
--- a/scale/tests/stand_ins.rs
+++ b/scale/tests/stand_ins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins by themselves: their responses, by the protocol's description.
+//! The stand-ins without balancers: their responses follow the protocol.
 // A helper that fails ends its test, as an assertion does.
 #![allow(clippy::expect_used)]
 use bytes::Bytes;
@@ -276,7 +276,8 @@
     .expect("starts")
 }
 
-/// Clients that wait for a response before they send the next call would never get one here.
+/// Guards against a closed-loop load: the server responds only once several calls have arrived, so clients that wait
+/// for a response before they send the next call would never get one.
 #[test]
 fn clients_send_planned_calls_while_earlier_ones_are_unanswered() {
     run_with_timeout(async {
