--- a/scale/src/balancer/configuration.rs
+++ b/scale/src/balancer/configuration.rs
@@ -38,18 +38,18 @@
     pub balancers: u32,
     /// Its index among them.
     pub index: u32,
-    /// Calls a second of the tenant over all balancers of the tier.
+    /// The tenant's quota in calls per second, over all balancers of the tier.
     pub quota_per_second: f64,
     /// Maximum number of attempts for one call.
     pub max_attempts: u32,
-    /// How long a client waits.
+    /// How long a client waits, in milliseconds.
     pub deadline_ms: u32,
     /// How it receives the endpoint list.
     pub discovery_mode: DiscoveryMode,
 }
 
 #[derive(Serialize)]
-struct File<'a> {
+struct ConfigurationFile<'a> {
     name: &'a str,
     listen: SocketAddr,
     discovery: SocketAddr,
@@ -140,7 +140,7 @@
 impl Configuration {
     /// The configuration file of a balancer that listens on this address.
     pub fn to_json(&self, listen: SocketAddr) -> Vec<u8> {
-        let file = File {
+        let file = ConfigurationFile {
             name: &self.name,
             listen,
             discovery: self.discovery,
--- a/scale/src/machine.rs
+++ b/scale/src/machine.rs
@@ -15,7 +15,7 @@
 pub struct Machine {
     /// Number of processors.
     pub processors: usize,
-    /// Memory.
+    /// Total memory, in MiB.
     pub memory_mb: f64,
 }
 
@@ -35,14 +35,14 @@
 pub struct Usage {
     /// Processor time of all threads.
     pub processor: Duration,
-    /// Resident memory now.
+    /// Resident memory now, in MiB.
     pub resident_mb: f64,
 }
 
 impl Usage {
     /// Reads the usage of a running process.
     pub fn of(pid: u32) -> Result<Usage, ScaleError> {
-        let failed = |source| ScaleError::Process { pid, source };
+        let failed = |source| ScaleError::UsageUnreadable { pid, source };
         let process = Process::new(pid as i32).map_err(failed)?;
         let mut processor = Duration::ZERO;
         for task in process.tasks().map_err(failed)? {
@@ -59,12 +59,12 @@
     }
 }
 
-/// Memory that all processes of a run together may use.
+/// Memory that all processes of a run together may use, in MiB.
 pub fn allowed_memory_mb() -> Result<f64, ScaleError> {
     Ok(total_memory_mb()? * MEMORY_FRACTION)
 }
 
 fn total_memory_mb() -> Result<f64, ScaleError> {
-    let meminfo = Meminfo::current().map_err(ScaleError::Machine)?;
+    let meminfo = Meminfo::current().map_err(ScaleError::MemoryUnreadable)?;
     Ok(meminfo.mem_total as f64 / BYTES_PER_MB)
 }
