--- a/soak/src/balancer.rs
+++ b/soak/src/balancer.rs
@@ -35,7 +35,8 @@
 const READINESS_REQUEST_TIMEOUT: Duration = Duration::from_secs(1);
 /// Pause between two readiness checks of a process that starts.
 const READINESS_INTERVAL: Duration = Duration::from_millis(20);
-/// Time within which a process with a successor must exit: the longest deadline of the settings plus 0.65 s and a reserve.
+/// Time within which a process with a successor must exit: the longest deadline of the settings
+/// (2 s) plus 0.65 s, and a reserve of 1.05 s.
 const HANDOFF_TIMEOUT: Duration = Duration::from_millis(3700);
 
 /// Folder of the balancer's temporary files, where it keeps the overrides.
@@ -90,7 +91,8 @@
         self.address
     }
 
-    /// Sets the probability of a system call fault, in millionths, or the offset of the wall clock, in milliseconds.
+    /// Sets the value of a system call fault: its probability in millionths, the number of first calls that fail (as
+    /// `fail_first_calls` encodes it), or, for the wall clock, its offset in milliseconds.
     pub fn set_syscall_fault(&self, fault: SyscallFault, value: i64) -> Result<(), BalancerError> {
         self.control_file
             .write_all_at(&value.to_le_bytes(), fault.offset())
@@ -115,7 +117,7 @@
         BalancerError::file(self.folder.join(CONTROL_FILE_NAME), source)
     }
 
-    /// Writes a configuration with this address of discovery and this list (JSON, `null` for none).
+    /// Writes a configuration with this address of discovery and this startup list (JSON, `null` for none).
     pub fn configure(&self, discovery: SocketAddr, known_list: &str) -> Result<(), BalancerError> {
         let text = configuration::format_configuration(
             &self.fleet,
--- a/soak/src/balancer/admin.rs
+++ b/soak/src/balancer/admin.rs
@@ -26,7 +26,7 @@
         source: io::Error,
     },
     /// The response did not arrive in time.
-    #[error("no response from the admin endpoint {address} in time")]
+    #[error("no response from the admin endpoint {address} within {limit:?}", limit = COMMAND_TIMEOUT)]
     Timeout {
         /// The admin endpoint.
         address: SocketAddr,
--- a/soak/src/balancer/configuration.rs
+++ b/soak/src/balancer/configuration.rs
@@ -15,7 +15,7 @@
     pub program: PathBuf,
     /// The fault injection library.
     pub library: PathBuf,
-    /// The folder in which each balancer has one for its configuration, log and overrides.
+    /// The folder that contains a subfolder for each balancer, with its configuration, log and overrides.
     pub folder: PathBuf,
     /// How balancers learn of the endpoint list.
     pub mode: DiscoveryMode,
@@ -28,7 +28,7 @@
 /// The settings that a run draws or checks.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSettings {
-    /// Requests a second of the one tenant, over all balancers.
+    /// Quota of the only tenant, in requests a second over all balancers.
     pub quota_per_second: f64,
     /// Time after which upstreams close idle connections.
     pub idle_close_timeout: Duration,
--- a/soak/src/balancer/error.rs
+++ b/soak/src/balancer/error.rs
@@ -1,4 +1,5 @@
 //! Why a balancer could not be prepared, started or upgraded.
+use super::READINESS_TIMEOUT;
 use std::io;
 use std::path::PathBuf;
 
@@ -41,16 +42,16 @@
     #[error(transparent)]
     Start(#[from] BalancerError),
     /// The successor exited.
-    #[error("the new process exited: {status}")]
+    #[error("the successor exited before it served: {status}")]
     SuccessorExited {
         /// Its exit status.
         status: String,
     },
     /// The successor did not serve in time.
-    #[error("the new process did not serve in time")]
+    #[error("the successor did not serve within {READINESS_TIMEOUT:?}")]
     SuccessorNotReady,
     /// The old process did not exit with code 0 in time.
-    #[error("the old process did not shut down cleanly: exit code {exit_code:?}")]
+    #[error("the old process did not exit with code 0 in time: exit code {exit_code:?} (None: killed by a signal, or still running)")]
     OldProcessFailed {
         /// Its exit code; none if it was killed or did not exit in time.
         exit_code: Option<i32>,
--- a/soak/src/balancer/signal.rs
+++ b/soak/src/balancer/signal.rs
@@ -15,6 +15,7 @@
 }
 
 impl Signal {
+    /// The option of the `kill` program that selects this signal.
     fn option(self) -> &'static str {
         match self {
             Signal::Terminate => "-TERM",
--- a/soak/src/checker/attempts.rs
+++ b/soak/src/checker/attempts.rs
@@ -80,15 +80,16 @@
                 continue;
             }
             let details = format!(
-                "{id}: attempt {} started before the previous one ended (recorded end: {previous_ended_at:?})",
-                index + 1
+                "{id}: attempt {} started before the previous one ended (recorded end in s: {:?})",
+                index + 1,
+                previous_ended_at.map(|ended_at| self.seconds(ended_at))
             );
             violations.push(self.violation(Rule::ConcurrentAttempts, next.started_at, details));
         }
         violations
     }
 
-    /// Checks that a request that may have been executed is repeated only where that is safe.
+    /// Checks that a request that may have been executed is repeated only if its idempotency allows that.
     pub(super) fn check_duplicate_executions(&self, id: &str, request: &Request) -> Vec<Violation> {
         let mut violations = Vec::new();
         let mut executed_at: Option<Instant> = None;
@@ -97,8 +98,8 @@
                 .is_some_and(|executed_at| !self.may_repeat(request, attempt, executed_at));
             if is_unsafe {
                 let details = format!(
-                    "{id}: attempt {number} may execute the request again; attempts: {:?}",
-                    request.attempts
+                    "{id}: attempt {number} may execute the request again, {}",
+                    self.describe_attempts(request)
                 );
                 violations.push(self.violation(
                     Rule::DuplicateExecution,
@@ -120,6 +121,7 @@
             Idempotency::IdempotencyKey => {
                 attempt.started_at < executed_at + self.limits.repeat_window + SCHEDULING_SLACK
             }
+            // An attempt that did not arrive completely cannot have been executed.
             Idempotency::NonIdempotent => attempt.received_at.is_none(),
         }
     }
--- a/soak/src/checker/availability.rs
+++ b/soak/src/checker/availability.rs
@@ -5,7 +5,7 @@
 use crate::rules::{Rule, Violation};
 
 impl Checker<'_> {
-    /// Checks that no attempt goes to an upstream that is unavailable for any cause.
+    /// Checks that no attempt goes to an upstream that is unavailable, whatever the cause.
     pub(super) fn check_unavailable_upstreams(
         &self,
         id: &str,
@@ -38,7 +38,7 @@
             .iter()
             .find(|period| self.is_within(attempt, period))?;
         let details = format!(
-            "{id}: balancer {} used upstream {} {:?} after it was considered notified that it is unavailable ({cause:?}: {:?} at {:.3} s)",
+            "{id}: balancer {} used upstream {} {:?} after the balancer was considered notified that the upstream is unavailable ({cause:?}: {:?} at {:.3} s)",
             route.balancer,
             route.upstream,
             attempt.started_at - period.start,
--- a/soak/src/checker/responses.rs
+++ b/soak/src/checker/responses.rs
@@ -29,7 +29,7 @@
         Some(self.violation(rule, ended_at, details))
     }
 
-    /// Whether the balancer was down at any time between the request and `until`.
+    /// Whether the balancer was down at any time from the sending of the request to `until`.
     fn was_interrupted(&self, request: &Request, until: Instant) -> bool {
         let period = Period {
             start: request.sent_at,
@@ -77,6 +77,19 @@
         outcome: ClientOutcome,
         ended_at: Instant,
     ) -> String {
+        let attempts = self.describe_attempts(request);
+        format!(
+            "{id}: balancer {}, sent at {:.3} s, deadline {:?}, response expected within {:?}, ended {outcome:?} after {:?}, {attempts}",
+            request.start.balancer,
+            self.seconds(request.sent_at),
+            request.start.deadline,
+            request.start.response_timeout + RESPONSE_SLACK + SCHEDULING_SLACK,
+            ended_at - request.sent_at,
+        )
+    }
+
+    /// Lists the attempts of a request with times in seconds from the start of the run.
+    pub(super) fn describe_attempts(&self, request: &Request) -> String {
         let attempts: Vec<_> = request
             .attempts
             .iter()
@@ -91,17 +104,12 @@
                 )
             })
             .collect();
-        format!(
-            "{id}: balancer {}, sent at {:.3} s, deadline {:?}, ended {outcome:?} after {:?}, attempts (upstream, start in s, outcome and end in s) {attempts:?}",
-            request.start.balancer,
-            self.seconds(request.sent_at),
-            request.start.deadline,
-            ended_at - request.sent_at,
-        )
+        format!("attempts (upstream, start in s, outcome and end in s) {attempts:?}")
     }
 }
 
-/// Whether a response states that a non-idempotent request was not executed although it may have been.
+/// Whether a response states that a non-idempotent request was not executed although an attempt may have
+/// executed it.
 fn is_falsely_rejected(request: &Request, outcome: ClientOutcome) -> bool {
     matches!(outcome, ClientOutcome::Response(429 | 503))
         && request.start.idempotency == Idempotency::NonIdempotent
--- a/soak/src/checker/tests.rs
+++ b/soak/src/checker/tests.rs
@@ -115,8 +115,9 @@
 fn counts_slow_start_requests_over_the_overload_window() {
     let start = Instant::now();
     let limits = limits().slow_start;
-    // At its start the upstream serves a tenth of ten requests a second. The overload factor of 4 makes the limit
-    // 4 requests; the tolerance of 3 * sqrt(4) + 3 = 9 requests raises it to 13.
+    // At its start the upstream can serve 1 request a second, a tenth of its 10. The overload factor of 4 makes the limit
+    // 4 requests in the window of 1 s; the tolerance of 3 * sqrt(4) + 3 = 9 requests raises it to 13. The 14 requests
+    // exceed it, the first 12 do not.
     let at_once: Vec<Instant> = (0..14).map(|n| start + Duration::from_millis(n)).collect();
     assert!(find_overload(&at_once[..12], start, &limits).is_none());
     assert!(find_overload(&at_once, start, &limits).is_some());
@@ -145,5 +146,6 @@
     assert_eq!(violations.len(), 1);
     let details = &violations[0].details;
     assert!(details.contains("EndpointList: ListResponse"), "{details}");
+    // The attempt starts 2 s after the earliest notice.
     assert!(details.contains(" 2."), "{details}");
 }
--- a/soak/src/client.rs
+++ b/soak/src/client.rs
@@ -57,6 +57,7 @@
     /// Sends requests until the group is stopped.
     pub async fn run(mut self) {
         while !self.group.is_stopped() {
+            // Exponentially distributed with mean 1.
             let pause_factor = -(1.0 - self.random.random::<f64>()).ln();
             let pause_seconds = pause_factor / self.group.request_rate();
             sleep(Duration::from_secs_f64(
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Connects unless the client has a connection. Returns whether it has one then.
+    /// Connects unless the client has a connection. Returns whether the client has a connection afterwards.
     async fn connect(&mut self) -> bool {
         if self.connection.is_some() {
             return true;
--- a/soak/src/client/exchange.rs
+++ b/soak/src/client/exchange.rs
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Checks that a response belongs to its request.
+    /// Records a wrong response if the body of a response with status 200 is not the one expected for the request.
+    /// Returns the outcome.
     fn accept_response(&self, request_id: &str, response: &Message) -> ClientOutcome {
         let status = response.status().unwrap_or(0);
         if status == 200 && response.body != expected_body(request_id).as_bytes() {
--- a/soak/src/client/group.rs
+++ b/soak/src/client/group.rs
@@ -45,7 +45,8 @@
 impl ClientGroup {
     /// Creates the group of a balancer that listens at `address`.
     ///
-    /// Each client sends `request_rate` requests a second while it has none in flight, until `stopped` is set.
+    /// While a client has no request in flight, it starts requests at a mean rate of `request_rate` a second, until
+    /// `stopped` is set.
     pub fn new(
         balancer: BalancerId,
         address: SocketAddr,
@@ -79,7 +80,7 @@
         &self.recorder
     }
 
-    /// Requests a second of one client while it has none in flight.
+    /// Mean rate, in requests a second, at which a client starts requests while it has none in flight.
     pub fn request_rate(&self) -> f64 {
         if self.in_burst.load(Ordering::Relaxed) {
             self.request_rate * BURST_FACTOR
--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -35,7 +35,7 @@
 }
 
 impl Discovery {
-    /// Lists these upstreams as active and past their slow start.
+    /// Creates a discovery whose list contains these upstreams, active and past their slow start.
     ///
     /// In poll mode, one request that starts a watch or wants a snapshot takes `service_time`.
     pub fn new(
--- a/soak/src/discovery/agent.rs
+++ b/soak/src/discovery/agent.rs
@@ -66,7 +66,7 @@
     },
 }
 
-/// Serves one connection of a balancer.
+/// Serves one connection between a balancer and its agent.
 struct Agent {
     discovery: Arc<Discovery>,
     balancer: BalancerId,
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Waits in the queue for a request's turn, in poll mode. Returns whether it is served.
+    /// Waits in the queue for a request's turn, in poll mode. Returns false if the queue rejects the request.
     async fn wait_for_turn(&self) -> bool {
         if self.discovery.mode == DiscoveryMode::Push {
             return true;
@@ -182,6 +182,7 @@
                 return false;
             }
             Some(Admission::Rejected) => return false,
+            // Discovery is down: `decide` acts on its condition. A rejection comes only after `QUEUE_TIMEOUT`.
             None => {
                 let condition = self.discovery.state().condition;
                 if condition == DiscoveryCondition::Rejecting {
--- a/soak/src/discovery/condition.rs
+++ b/soak/src/discovery/condition.rs
@@ -1,11 +1,12 @@
 //! What discovery does with requests: its condition and the faults in its responses.
 
-/// What discovery does with requests.
+/// What discovery does with requests. In push mode requests get no response until discovery is up, whatever the
+/// condition.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryCondition {
     /// It responds.
     Up,
-    /// It rejects them; those that need a turn in the queue, after a while.
+    /// It rejects them. Those that need a turn in the queue are rejected after 2 s (`QUEUE_TIMEOUT`).
     Rejecting,
     /// It accepts them and does not respond.
     Unresponsive,
--- a/soak/src/discovery/endpoint_list.rs
+++ b/soak/src/discovery/endpoint_list.rs
@@ -14,7 +14,7 @@
     Active,
     /// It takes no new requests and will be removed.
     Draining,
-    /// It is gone.
+    /// It has been removed and takes no requests.
     Removed,
 }
 
--- a/soak/src/discovery/queue.rs
+++ b/soak/src/discovery/queue.rs
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Admits a request. A request that times out takes its service time all the same.
+    /// Decides how a request waits for its turn. One that times out occupies the queue for its service time all the same.
     pub(super) fn admit(&mut self, now: Instant) -> Admission {
         let turn = self.free_at.max(now);
         let wait = turn - now;
--- a/soak/src/discovery/state.rs
+++ b/soak/src/discovery/state.rs
@@ -9,7 +9,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Time after which balancers are considered notified of a change, once discovery is reachable.
+/// Time after which balancers are considered notified: in poll mode, of a change, once discovery is reachable; in push
+/// mode, of the changes that silent watches did not send.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 
 /// The list, discovery's condition and its faults.
@@ -24,7 +25,8 @@
     silent_watches_before: Option<Instant>,
     /// From this time on, balancers are considered notified of the changes that silent watches did not send.
     silent_watches_until: Instant,
-    /// For each balancer, when its process started or may first use its new address.
+    /// For each balancer, the time from which it counts as able to get the list: the start of its process, or the latest
+    /// time at which it uses a new address of discovery.
     notifies_from: Vec<Instant>,
 }
 
@@ -79,7 +81,8 @@
         self.silent_watches_until = Instant::now() + NOTIFICATION_DEADLINE;
     }
 
-    /// Sets the time before which a balancer gets no list at its new process or from its new address.
+    /// Sets the time from which a balancer counts as able to get the list, after a start of its process or a change of
+    /// its address of discovery.
     pub(super) fn set_notifies_from(&mut self, balancer: BalancerId, from: Instant) {
         self.notifies_from[balancer.0] = from;
     }
--- a/soak/src/fault.rs
+++ b/soak/src/fault.rs
@@ -25,15 +25,15 @@
     SilentWatches,
     /// Discovery's responses are malformed, split or missing.
     MalformedLists,
-    /// Reads and writes of a balancer are short.
+    /// Reads and writes of a balancer transfer fewer bytes than it asked for.
     ShortTransfers,
     /// System calls of a balancer are interrupted.
     Interrupted,
     /// `accept`, `connect` and `socket` of a balancer fail.
     FailingSockets,
-    /// Connections of a balancer break with unusual errors.
+    /// Reads on a balancer's connections fail with unusual errors.
     BrokenReads,
-    /// The wall clock of a balancer steps.
+    /// The wall clock of a balancer repeatedly jumps forward or back.
     ClockStep,
     /// A balancer starts with a wrong wall clock.
     ClockOffset,
@@ -45,13 +45,13 @@
     Burst,
     /// Idle clients use up a balancer's descriptors.
     IdleConnections,
-    /// A successor process replaces a balancer's process after it has served beside it.
+    /// A successor process serves beside a balancer's process for a while, then replaces it.
     Upgrade,
     /// A balancer gets several reloads in a row, and then several signals while it shuts down.
     SignalSeries,
     /// A balancer's calls on its event counter, timers and signal descriptors fail while it reloads and shuts down.
     EventDescriptors,
-    /// A balancer's `epoll_ctl` fails to add, modify and remove descriptors.
+    /// A balancer's `epoll_ctl` fails to add and to modify descriptors.
     Registrations,
     /// A balancer's writes to its log fail.
     FailingLog,
@@ -60,7 +60,8 @@
 }
 
 impl Fault {
-    /// The kinds that a seed draws by position. Seeds of known failures rely on their number and order.
+    /// The kinds that a seed draws by position. Their number and order must stay, so that the seeds of known failures draw
+    /// the same faults.
     pub const GENERAL: [Fault; 22] = [
         Fault::Restart,
         Fault::Kill,
@@ -86,7 +87,8 @@
         Fault::SignalSeries,
     ];
 
-    /// Faults of a balancer's own descriptors, which a seed draws after the general ones.
+    /// Faults of the descriptors that a balancer creates for itself, such as epoll, event and timer descriptors and its
+    /// log, not those of connections. A seed draws them after the general ones.
     pub const OWN_DESCRIPTORS: [Fault; 4] = [
         Fault::EventDescriptors,
         Fault::Registrations,
@@ -99,8 +101,8 @@
         Fault::GENERAL.into_iter().chain(Fault::OWN_DESCRIPTORS)
     }
 
-    /// The name for `--only` and in the report. Some names differ from the variant's: they are older, and stay for the
-    /// commands that use them.
+    /// The name for `--only`, `--without` and the report. It stays even where it differs from the variant's name, as
+    /// existing commands use it.
     pub fn name(self) -> &'static str {
         match self {
             Fault::Restart => "restart",
--- a/soak/src/injector/overrides.rs
+++ b/soak/src/injector/overrides.rs
@@ -28,7 +28,11 @@
             let balancer = self.testbed.lock_balancer(id).await;
             for fault in [SyscallFault::DiskWrite, SyscallFault::DiskRead] {
                 let probability = self.random.random_range(DISK_FAILURE_PROBABILITY);
-                report_failure(balancer.set_syscall_fault(fault, in_millionths(probability)));
+                report_failure(
+                    id,
+                    format_args!("set the system call fault {fault:?}"),
+                    balancer.set_syscall_fault(fault, in_millionths(probability)),
+                );
             }
         }
         self.change_overrides_at(id).await;
@@ -37,7 +41,11 @@
             self.testbed.start_after_kill(id, killed_at).await;
         }
         let balancer = self.testbed.lock_balancer(id).await;
-        report_failure(balancer.clear_syscall_faults());
+        report_failure(
+            id,
+            format_args!("clear the system call faults"),
+            balancer.clear_syscall_faults(),
+        );
     }
 
     /// Repeatedly suspends and restores one endpoint at one balancer.
--- a/soak/src/injector/own_descriptors.rs
+++ b/soak/src/injector/own_descriptors.rs
@@ -41,7 +41,11 @@
             let balancer = self.testbed.lock_balancer(id).await;
             for fault in CREATION_FAILURES {
                 let calls = self.random.random_range(FAILING_FIRST_CALLS);
-                report_failure(balancer.set_syscall_fault(fault, fail_first_calls(calls) as i64));
+                report_failure(
+                    id,
+                    format_args!("set the system call fault {fault:?}"),
+                    balancer.set_syscall_fault(fault, fail_first_calls(calls) as i64),
+                );
             }
         }
         self.testbed.start_after_kill(id, killed_at).await;
--- a/soak/src/injector/system_calls.rs
+++ b/soak/src/injector/system_calls.rs
@@ -5,6 +5,7 @@
 use crate::ids::BalancerId;
 use fault_injection::control::{Fault as SyscallFault, PROBABILITY_ONE};
 use rand::RngExt;
+use std::fmt;
 use std::ops::Range;
 use tokio::time::{sleep, Instant};
 
@@ -31,14 +32,22 @@
         let balancer = self.testbed.lock_balancer(id).await;
         for &fault in calls.faults {
             let probability = self.random.random_range(0.0..calls.max_probability);
-            report_failure(balancer.set_syscall_fault(fault, in_millionths(probability)));
+            report_failure(
+                id,
+                format_args!("set the system call fault {fault:?}"),
+                balancer.set_syscall_fault(fault, in_millionths(probability)),
+            );
         }
     }
 
     /// Ends all system call faults of a balancer.
     pub(super) async fn end_failing_calls(&self, id: BalancerId) {
         let balancer = self.testbed.lock_balancer(id).await;
-        report_failure(balancer.clear_syscall_faults());
+        report_failure(
+            id,
+            format_args!("clear the system call faults"),
+            balancer.clear_syscall_faults(),
+        );
     }
 
     /// Repeatedly steps the wall clock of one balancer.
@@ -67,14 +76,22 @@
     async fn restart_with_clock_offset(&self, id: BalancerId, offset_ms: i64) {
         let killed_at = self.testbed.kill(id).await;
         if let Ok(balancer) = self.testbed.try_lock_balancer(id) {
-            report_failure(balancer.set_syscall_fault(SyscallFault::ClockOffset, offset_ms));
+            report_failure(
+                id,
+                format_args!("set the offset of the wall clock"),
+                balancer.set_syscall_fault(SyscallFault::ClockOffset, offset_ms),
+            );
         }
         self.testbed.start_after_kill(id, killed_at).await;
     }
 
     async fn set_clock_offset(&self, id: BalancerId, offset_ms: i64) {
         let balancer = self.testbed.lock_balancer(id).await;
-        report_failure(balancer.set_syscall_fault(SyscallFault::ClockOffset, offset_ms));
+        report_failure(
+            id,
+            format_args!("set the offset of the wall clock"),
+            balancer.set_syscall_fault(SyscallFault::ClockOffset, offset_ms),
+        );
     }
 
     fn draw_clock_offset_ms(&mut self) -> i64 {
@@ -89,9 +106,14 @@
     (probability * PROBABILITY_ONE as f64) as i64
 }
 
-/// Reports a fault that could not be set or cleared. The run goes on without it.
-pub(super) fn report_failure(result: Result<(), BalancerError>) {
+/// Reports that a fault or the offset of the wall clock of a balancer could not be set or cleared. The run goes on
+/// without the change.
+pub(super) fn report_failure(
+    id: BalancerId,
+    change: fmt::Arguments<'_>,
+    result: Result<(), BalancerError>,
+) {
     if let Err(error) = result {
-        eprintln!("cannot set or clear a system call fault: {error}");
+        eprintln!("balancer {id}: cannot {change}: {error}");
     }
 }
--- a/soak/src/limits.rs
+++ b/soak/src/limits.rs
@@ -9,7 +9,8 @@
 pub const DISCONNECT_SLACK: Duration = Duration::from_millis(100);
 /// How much the deadline forwarded to an upstream may exceed the time that the client has left.
 pub const FORWARDED_DEADLINE_SLACK: Duration = Duration::from_millis(150);
-/// Time after an attempt starts within which the end of the previous attempt may still reach that one's upstream.
+/// Time after the start of an attempt within which the upstream of the previous attempt may still observe the end of
+/// that previous attempt.
 pub const OVERLAP_SLACK: Duration = Duration::from_millis(100);
 /// Maximum number of attempts for one request. The balancers' settings contain the same number.
 pub const MAX_ATTEMPTS: usize = 5;
--- a/soak/src/observations.rs
+++ b/soak/src/observations.rs
@@ -56,7 +56,7 @@
             .map(|(id, request)| (id.as_str(), request))
     }
 
-    /// The periods in which a balancer may not use an upstream for one cause.
+    /// The periods in which a balancer may not use an upstream, for the cause that the route names.
     pub fn unavailable_periods(&self, route: Route) -> &[UnavailablePeriod] {
         self.unavailable.get(&route).map_or(&[], Vec::as_slice)
     }
@@ -113,7 +113,7 @@
         self.requests.insert(id.to_string(), request);
     }
 
-    /// Records that a client has written the last byte of a request.
+    /// Records that a client has written the last byte of a request, or failed to write it.
     pub fn record_request_sent(&mut self, id: &str) {
         if let Some(request) = self.requests.get_mut(id) {
             request.sent_at = Instant::now();
@@ -127,8 +127,8 @@
         }
     }
 
-    /// Records that an attempt has started. Returns its number among the request's attempts; none if no client has sent
-    /// the request.
+    /// Records that an attempt has started. Returns its number among the request's attempts, counted from zero; none if
+    /// no client has sent the request.
     pub fn record_attempt(
         &mut self,
         request_id: &str,
@@ -175,7 +175,7 @@
         self.surplus.record_process_start(balancer);
     }
 
-    /// Records that an upstream sends the response to a request again, this long after the first time.
+    /// Records that an upstream sends the response to a request again, `delay` after the first response.
     pub fn record_surplus_response(
         &mut self,
         request_id: &str,
@@ -241,7 +241,7 @@
         });
     }
 
-    /// Records that an upstream starts now and needs a slow start.
+    /// Records that an upstream restarts now and needs a slow start.
     pub fn record_upstream_start(&mut self, upstream: UpstreamId) {
         let starts = self.upstream_starts.entry(upstream).or_default();
         starts.push(Instant::now());
--- a/soak/src/observations/period.rs
+++ b/soak/src/observations/period.rs
@@ -19,7 +19,7 @@
     ];
 }
 
-/// A balancer's use of an upstream, with one of the causes that may make it unavailable.
+/// The use of an upstream by a balancer, as one cause may restrict it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Route {
     /// The balancer.
@@ -33,9 +33,9 @@
 /// Why a balancer is considered notified that it may not use an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoticeSource {
-    /// Discovery has sent the list to one of its processes.
+    /// Discovery has sent the list to one of the balancer's processes.
     ListResponse,
-    /// The list was in the configuration that its process started with.
+    /// The list was in the configuration that the balancer's process started with.
     StartupList,
     /// Discovery has had the change, and has been reachable, for as long as a notification may take.
     Deadline,
--- a/soak/src/observations/request.rs
+++ b/soak/src/observations/request.rs
@@ -51,13 +51,13 @@
     TruncatedResponse,
     /// The connection closed without a byte of a response.
     ConnectionClosed,
-    /// The client disconnected.
+    /// The client disconnected, or the connection ended before the balancer had to read the request.
     Disconnected,
     /// No response arrived before the client stopped waiting, some time after the deadline.
     NoResponse,
 }
 
-/// The properties of a request that its client knows before it sends it.
+/// The properties of a request that its client knows before sending it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestStart {
     /// Whether it may be executed more than once.
@@ -78,9 +78,9 @@
 /// A request and everything observed of it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The properties that its client knew before it sent it.
+    /// The properties that its client knew before sending it.
     pub start: RequestStart,
-    /// When its last byte was written; until then, when the client began to write it.
+    /// When its last byte was written, or writing it failed; until then, when the client began to write it.
     pub sent_at: Instant,
     /// How and when it ended at its client.
     pub outcome: Option<(ClientOutcome, Instant)>,
--- a/soak/src/observations/surplus.rs
+++ b/soak/src/observations/surplus.rs
@@ -3,11 +3,13 @@
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
-/// Shortest delay after which a surplus response may reach one client, before the balancer's process knows that the
-/// upstream sends such responses. A balancer must always detect one with a shorter delay.
+/// Shortest delay of a surplus response that may reach a client: one response for each upstream and process of a
+/// balancer, as the process does not yet know that the upstream sends such responses. A balancer must always detect a
+/// surplus response with a shorter delay.
 const MIN_UNDETECTED_DELAY: Duration = Duration::from_millis(10);
 
-/// One process of a balancer, identified by how many of the balancer's processes had started by then.
+/// One process of a balancer. Its number is how many processes of the balancer have started when it passes on a
+/// response; during an upgrade the old process has the number of its successor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct BalancerProcess {
     balancer: BalancerId,
@@ -28,6 +30,7 @@
     /// By the id of the request that the response belongs to.
     sent: HashMap<String, SurplusResponse>,
     process_counts: HashMap<BalancerId, usize>,
+    /// The upstreams of which a process has already passed on a surplus response to a client.
     passed_on: HashSet<(UpstreamId, BalancerProcess)>,
 }
 
--- a/soak/src/options.rs
+++ b/soak/src/options.rs
@@ -9,7 +9,7 @@
 pub struct RunOptions {
     /// Seed of everything that the run draws.
     pub seed: u64,
-    /// How long clients send requests, and over which faults are spread.
+    /// Length of the run: clients send requests for this long, and faults are spread over it.
     pub length: Duration,
     /// How balancers learn of the endpoint list.
     pub mode: DiscoveryMode,
--- a/soak/src/plan/tests.rs
+++ b/soak/src/plan/tests.rs
@@ -12,7 +12,8 @@
 
 #[test]
 fn a_seed_keeps_its_general_faults() {
-    // The faults in the report of seed 5033 before the faults of own descriptors were added.
+    // The general faults that seed 5033 draws at intensity 2. They must stay, although the seed also draws faults of own
+    // descriptors.
     let expected = "release, reload, brokenreads, burst, failingsockets, shorttransfers, burst, reload, spoiltlists, \
          release, idlecrowd, spoiltlists, release, interrupted, silentwatches, \
          upgrade, signalseries, burst";
--- a/soak/src/run.rs
+++ b/soak/src/run.rs
@@ -12,7 +12,7 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// Interval between two checks of which changes balancers are considered notified of by now.
+/// Interval at which the run records the notifications that are overdue.
 const NOTIFICATION_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Time for which the run waits, at its end, for each client to finish its requests.
 const CLIENT_SHUTDOWN_TIMEOUT: Duration = Duration::from_secs(5);
--- a/soak/src/testbed/lifecycle.rs
+++ b/soak/src/testbed/lifecycle.rs
@@ -61,8 +61,8 @@
     }
 
     /// Shuts a balancer down gracefully, sends it these signals after SIGTERM, and starts it again. Clients use
-    /// their open connections until it has exited, or until it is killed, [`KILL_DELAY`] after SIGTERM, the earliest time
-    /// that the operators allow.
+    /// their open connections until the balancer has exited. If it has not exited [`KILL_DELAY`] after SIGTERM, the
+    /// earliest time at which operators may kill it, it is killed.
     pub async fn restart_with(&self, id: BalancerId, further_signals: &[Signal]) {
         let mut balancer = self.lock_balancer(id).await;
         if !balancer.has_process() {
@@ -81,7 +81,7 @@
         let exited_at = Instant::now();
         if exit_code != Some(0) {
             let details = format!(
-                "balancer {id} did not shut down cleanly: exit code {exit_code:?}, {:?} after SIGTERM",
+                "balancer {id} did not exit with code 0 in time: exit code {exit_code:?} (None: killed by a signal, or still running), {:?} after SIGTERM",
                 signalled_at.elapsed()
             );
             self.record_violation(Rule::Crash, details);
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for upstreams, which misbehave in the ways that the protocol page allows for real ones.
+//! Stand-ins for upstreams, which misbehave in the ways that the protocol allows for real upstreams.
 mod connection;
 mod profile;
 mod state;
@@ -62,7 +62,7 @@
         self.state.set_draining(draining);
     }
 
-    /// Stops it: connections are reset and new ones refused until [`Upstream::restart`].
+    /// Stops it until [`Upstream::restart`]: new connections are refused, and open ones are reset at their next request.
     pub fn stop(&self) {
         self.state.start_generation();
         if let Some(accept_task) = self.accept_task().take() {
--- a/soak/src/upstream/connection.rs
+++ b/soak/src/upstream/connection.rs
@@ -18,7 +18,7 @@
 
 /// Longest time for which a request without a response, or an unresponsive connection, stays open.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(8);
-/// Pause before a second response to the same request, in milliseconds.
+/// Pause before a surplus response, in milliseconds.
 const DUPLICATE_RESPONSE_PAUSE_MS: RangeInclusive<u64> = 1..=1000;
 /// Longest time to respond, in milliseconds.
 const MAX_LATENCY_MS: f64 = 2000.0;
@@ -58,7 +58,7 @@
     state: Arc<State>,
     random: StdRng,
     writer: OwnedWriteHalf,
-    /// A second response to an earlier request that is still to be sent.
+    /// A surplus response to an earlier request that is still to be sent.
     surplus: Option<SurplusResponse>,
     /// The upstream's generation when the connection was accepted.
     generation: u64,
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Draws what happens to a request. A draining upstream rejects it without a draw.
+    /// Draws what happens to a request. An upstream that rejects new requests rejects it without a draw.
     fn draw_action(&mut self) -> ResponseAction {
         let profile = self.state.profile();
         if self.state.is_draining() {
--- a/soak/src/upstream/state.rs
+++ b/soak/src/upstream/state.rs
@@ -17,7 +17,8 @@
     profile: Mutex<UpstreamProfile>,
     /// Whether new requests are rejected.
     draining: AtomicBool,
-    /// Number of stops so far. Connections of an earlier generation are dead.
+    /// Number of stops so far. A connection of an earlier generation is reset when its next request has
+    /// arrived.
     generation: AtomicU64,
     seed: u64,
     accepted_connections: AtomicU64,
@@ -69,7 +70,7 @@
         self.generation.load(Ordering::Relaxed)
     }
 
-    /// Marks all connections of this generation as dead.
+    /// Starts a new generation, so that the connections of the current one are reset at their next request.
     pub(super) fn start_generation(&self) {
         self.generation.fetch_add(1, Ordering::Relaxed);
     }
--- a/soak/src/wire/message.rs
+++ b/soak/src/wire/message.rs
@@ -54,7 +54,8 @@
             .is_some_and(|coding| coding.eq_ignore_ascii_case("chunked"))
     }
 
-    /// Whether the body, which has no stated length, ends with the connection.
+    /// Whether the body of a message without a stated length ends with the connection: it does in a response with status
+    /// 200. Other messages without a length have no body.
     pub(super) fn ends_with_connection(&self) -> bool {
         self.start_line.starts_with("HTTP/") && self.status() == Some(200)
     }
--- a/soak/tests/smoke.rs
+++ b/soak/tests/smoke.rs
@@ -1,4 +1,4 @@
-//! Short runs of the soak on real balancers of the workspace's build, with the system call faults that once lost requests.
+//! Short runs of the soak on real balancers of the workspace's build, with faults of system calls.
 // A helper function that fails ends its test, as a failed assertion does.
 #![allow(clippy::expect_used)]
 use std::path::{Path, PathBuf};
@@ -14,7 +14,8 @@
         .expect("the workspace's root")
 }
 
-/// Builds the programs of a run. With the arguments of the deployment file this finds what `.ci/run` has built.
+/// Builds the programs of a run. It uses the arguments of the deployment file, so that cargo reuses what
+/// `.ci/run` has built.
 fn build_soak() -> PathBuf {
     let cargo = std::env::var_os("CARGO").expect("tests are run by cargo");
     let arguments = ["build", "--release", "--locked", "--workspace"];
@@ -23,7 +24,7 @@
         .current_dir(workspace_root())
         .status()
         .expect("cargo runs");
-    assert!(status.success(), "the workspace is built");
+    assert!(status.success(), "`cargo build` failed: {status}");
     workspace_root().join("target/release/soak")
 }
 
