--- a/soak/src/balancer.rs
+++ b/soak/src/balancer.rs
@@ -118,7 +118,11 @@
     }
 
     /// Writes a configuration with this address of discovery and this startup list (JSON, `null` for none).
-    pub fn configure(&self, discovery: SocketAddr, known_list: &str) -> Result<(), BalancerError> {
+    pub fn configure(
+        &self,
+        discovery: SocketAddr,
+        startup_list: &str,
+    ) -> Result<(), BalancerError> {
         let text = configuration::format_configuration(
             &self.fleet,
             self.id,
@@ -127,7 +131,7 @@
                 admin: self.admin.address(),
                 discovery,
             },
-            known_list,
+            startup_list,
         );
         let path = self.folder.join(CONFIGURATION_FILE_NAME);
         let new_path = self.folder.join("config.new");
@@ -175,12 +179,12 @@
     pub async fn upgrade(
         &mut self,
         discovery: SocketAddr,
-        known_list: &str,
+        startup_list: &str,
         seed: u64,
     ) -> Result<(), UpgradeError> {
         let successor_admin = AdminClient::new(free_address()?);
         let old_admin = std::mem::replace(&mut self.admin, successor_admin);
-        self.configure(discovery, known_list)?;
+        self.configure(discovery, startup_list)?;
         let old_child = self.child.take();
         let started_at = Instant::now();
         self.start(seed)?;
--- a/soak/src/balancer/configuration.rs
+++ b/soak/src/balancer/configuration.rs
@@ -48,9 +48,9 @@
     fleet: &Fleet,
     balancer: BalancerId,
     addresses: Addresses,
-    known_list: &str,
+    startup_list: &str,
 ) -> String {
-    let known_list: Value = serde_json::from_str(known_list).unwrap_or_default();
+    let startup_list: Value = serde_json::from_str(startup_list).unwrap_or_default();
     json!({
         "name": format!("b{balancer}"),
         "listen": addresses.clients,
@@ -58,7 +58,7 @@
         "ops": addresses.admin,
         "seed": format!("{:016x}", balancer.0 as u64 + 1),
         "limits": { "cores": 1.0, "memory_mb": 192, "sockets": 512 },
-        "known": known_list,
+        "known": startup_list,
         "settings": settings(fleet, balancer),
     })
     .to_string()
--- a/soak/src/balancer/signal.rs
+++ b/soak/src/balancer/signal.rs
@@ -16,7 +16,7 @@
 
 impl Signal {
     /// The option of the `kill` program that selects this signal.
-    fn option(self) -> &'static str {
+    fn kill_option(self) -> &'static str {
         match self {
             Signal::Terminate => "-TERM",
             Signal::Hangup => "-HUP",
@@ -28,7 +28,7 @@
     /// Sends the signal to a process. A failure is ignored: the process may have exited.
     pub(super) fn send(self, process_id: u32) {
         let _ = Command::new("kill")
-            .args([self.option(), &process_id.to_string()])
+            .args([self.kill_option(), &process_id.to_string()])
             .status();
     }
 }
--- a/soak/src/checker/attempts.rs
+++ b/soak/src/checker/attempts.rs
@@ -48,7 +48,7 @@
 
     /// Checks that no upstream gets a deadline later than the client's.
     pub(super) fn check_forwarded_deadlines(&self, id: &str, request: &Request) -> Vec<Violation> {
-        let expires_at = request.sent_at + request.start.deadline;
+        let expires_at = request.sent_at + request.properties.deadline;
         let mut violations = Vec::new();
         for (number, attempt) in request.attempts.iter().enumerate() {
             let remaining = expires_at.saturating_duration_since(attempt.started_at);
@@ -92,10 +92,12 @@
     /// Checks that a request that may have been executed is repeated only if its idempotency allows that.
     pub(super) fn check_duplicate_executions(&self, id: &str, request: &Request) -> Vec<Violation> {
         let mut violations = Vec::new();
-        let mut executed_at: Option<Instant> = None;
+        let mut first_possible_execution_at: Option<Instant> = None;
         for (number, attempt) in request.attempts.iter().enumerate() {
-            let is_unsafe = executed_at
-                .is_some_and(|executed_at| !self.may_repeat(request, attempt, executed_at));
+            let is_unsafe =
+                first_possible_execution_at.is_some_and(|first_possible_execution_at| {
+                    !self.may_repeat(request, attempt, first_possible_execution_at)
+                });
             if is_unsafe {
                 let details = format!(
                     "{id}: attempt {number} may execute the request again, {}",
@@ -108,18 +110,25 @@
                 ));
             }
             if attempt.may_have_executed() {
-                executed_at.get_or_insert(attempt.started_at);
+                first_possible_execution_at.get_or_insert(attempt.started_at);
             }
         }
         violations
     }
 
-    /// Whether an attempt may follow another one that started at `executed_at` and may have executed the request.
-    fn may_repeat(&self, request: &Request, attempt: &Attempt, executed_at: Instant) -> bool {
-        match request.start.idempotency {
+    /// Whether an attempt may follow another one that started at `first_possible_execution_at` and may have executed
+    /// the request.
+    fn may_repeat(
+        &self,
+        request: &Request,
+        attempt: &Attempt,
+        first_possible_execution_at: Instant,
+    ) -> bool {
+        match request.properties.idempotency {
             Idempotency::Idempotent => true,
             Idempotency::IdempotencyKey => {
-                attempt.started_at < executed_at + self.limits.repeat_window + SCHEDULING_SLACK
+                attempt.started_at
+                    < first_possible_execution_at + self.limits.repeat_window + SCHEDULING_SLACK
             }
             // An attempt that did not arrive completely cannot have been executed.
             Idempotency::NonIdempotent => attempt.received_at.is_none(),
--- a/soak/src/checker/availability.rs
+++ b/soak/src/checker/availability.rs
@@ -1,7 +1,7 @@
 //! Checks that balancers send nothing to upstreams that drain, were removed or are suspended.
 use super::Checker;
 use crate::limits::SCHEDULING_SLACK;
-use crate::observations::{Attempt, Request, Route, UnavailabilityCause, UnavailablePeriod};
+use crate::observations::{Attempt, Request, UnavailabilityCause, UnavailablePeriod, UpstreamUse};
 use crate::rules::{Rule, Violation};
 
 impl Checker<'_> {
@@ -27,20 +27,20 @@
         attempt: &Attempt,
         cause: UnavailabilityCause,
     ) -> Option<Violation> {
-        let route = Route {
-            balancer: request.start.balancer,
+        let upstream_use = UpstreamUse {
+            balancer: request.properties.balancer,
             upstream: attempt.upstream,
             cause,
         };
         let period = self
             .observations
-            .unavailable_periods(route)
+            .unavailable_periods(upstream_use)
             .iter()
-            .find(|period| self.is_within(attempt, period))?;
+            .find(|period| self.starts_after_grace_in(attempt, period))?;
         let details = format!(
             "{id}: balancer {} used upstream {} {:?} after the balancer was considered notified that the upstream is unavailable ({cause:?}: {:?} at {:.3} s)",
-            route.balancer,
-            route.upstream,
+            upstream_use.balancer,
+            upstream_use.upstream,
             attempt.started_at - period.start,
             period.source,
             self.seconds(period.start)
@@ -49,7 +49,7 @@
     }
 
     /// Whether an attempt starts after the grace period at the start of an unavailable period, and before its end.
-    fn is_within(&self, attempt: &Attempt, period: &UnavailablePeriod) -> bool {
+    fn starts_after_grace_in(&self, attempt: &Attempt, period: &UnavailablePeriod) -> bool {
         let grace = self.limits.drain_grace + SCHEDULING_SLACK;
         attempt.started_at > period.start + grace
             && period.end.is_none_or(|end| attempt.started_at < end)
--- a/soak/src/checker/responses.rs
+++ b/soak/src/checker/responses.rs
@@ -10,12 +10,14 @@
     /// Checks that a request got a final response in time, and that a rejected request was not executed.
     pub(super) fn check_response(&self, id: &str, request: &Request) -> Option<Violation> {
         let (outcome, ended_at) = request.outcome?;
-        let due_at =
-            request.sent_at + request.start.response_timeout + RESPONSE_SLACK + SCHEDULING_SLACK;
+        let due_at = request.sent_at
+            + request.properties.response_timeout
+            + RESPONSE_SLACK
+            + SCHEDULING_SLACK;
         if outcome == ClientOutcome::Disconnected {
             return None;
         }
-        if !request.start.complete || self.was_interrupted(request, ended_at.max(due_at)) {
+        if !request.properties.complete || self.was_balancer_down(request, ended_at.max(due_at)) {
             return None;
         }
         let rule = if self.is_lost(request, outcome, ended_at, due_at) {
@@ -30,12 +32,13 @@
     }
 
     /// Whether the balancer was down at any time from the sending of the request to `until`.
-    fn was_interrupted(&self, request: &Request, until: Instant) -> bool {
+    fn was_balancer_down(&self, request: &Request, until: Instant) -> bool {
         let period = Period {
             start: request.sent_at,
             end: until,
         };
-        self.observations.was_down(request.start.balancer, period)
+        self.observations
+            .was_down(request.properties.balancer, period)
     }
 
     fn is_lost(
@@ -65,9 +68,9 @@
         // A balancer that has no file descriptors left may close a new connection without reading from it.
         let had_no_descriptors = self
             .observations
-            .had_exhausted_descriptors(request.start.balancer, period);
+            .had_exhausted_descriptors(request.properties.balancer, period);
         // A reused connection may have been closed by the balancer while the request was on its way.
-        request.start.new_connection && !had_no_descriptors
+        request.properties.new_connection && !had_no_descriptors
     }
 
     fn describe_request(
@@ -80,10 +83,10 @@
         let attempts = self.describe_attempts(request);
         format!(
             "{id}: balancer {}, sent at {:.3} s, deadline {:?}, response expected within {:?}, ended {outcome:?} after {:?}, {attempts}",
-            request.start.balancer,
+            request.properties.balancer,
             self.seconds(request.sent_at),
-            request.start.deadline,
-            request.start.response_timeout + RESPONSE_SLACK + SCHEDULING_SLACK,
+            request.properties.deadline,
+            request.properties.response_timeout + RESPONSE_SLACK + SCHEDULING_SLACK,
             ended_at - request.sent_at,
         )
     }
@@ -112,6 +115,6 @@
 /// executed it.
 fn is_falsely_rejected(request: &Request, outcome: ClientOutcome) -> bool {
     matches!(outcome, ClientOutcome::Response(429 | 503))
-        && request.start.idempotency == Idempotency::NonIdempotent
+        && request.properties.idempotency == Idempotency::NonIdempotent
         && request.attempts.iter().any(Attempt::may_have_executed)
 }
--- a/soak/src/checker/slow_start.rs
+++ b/soak/src/checker/slow_start.rs
@@ -20,10 +20,10 @@
 impl Checker<'_> {
     /// Checks the slow start after each start of an upstream.
     pub(super) fn check_slow_starts(&self) -> Vec<Violation> {
-        let requests = self.request_times_by_upstream();
+        let attempt_times = self.attempt_times_by_upstream();
         let mut violations = Vec::new();
-        for (upstream, starts) in self.observations.upstream_starts() {
-            let Some(times) = requests.get(&upstream) else {
+        for (upstream, starts) in self.observations.upstream_restarts() {
+            let Some(times) = attempt_times.get(&upstream) else {
                 continue;
             };
             for &start in starts {
@@ -41,7 +41,7 @@
     }
 
     /// The start times of all completely received attempts at each upstream, sorted.
-    fn request_times_by_upstream(&self) -> HashMap<UpstreamId, Vec<Instant>> {
+    fn attempt_times_by_upstream(&self) -> HashMap<UpstreamId, Vec<Instant>> {
         let mut times: HashMap<UpstreamId, Vec<Instant>> = HashMap::new();
         for (_, request) in self.observations.requests() {
             for attempt in &request.attempts {
@@ -66,7 +66,7 @@
     start: Instant,
     limits: &SlowStartLimits,
 ) -> Option<Overload> {
-    let mut first = 0;
+    let mut first_in_window = 0;
     for (index, &at) in times.iter().enumerate() {
         let Some(age) = at.checked_duration_since(start) else {
             continue;
@@ -74,10 +74,11 @@
         if age > limits.duration {
             return None;
         }
-        while times[first] + limits.overload_window < at || times[first] < start {
-            first += 1;
+        while times[first_in_window] + limits.overload_window < at || times[first_in_window] < start
+        {
+            first_in_window += 1;
         }
-        let requests = index + 1 - first;
+        let requests = index + 1 - first_in_window;
         let allowed = limits.allowed_requests(age);
         if requests as f64 > allowed {
             return Some(Overload {
--- a/soak/src/checker/tests.rs
+++ b/soak/src/checker/tests.rs
@@ -4,8 +4,8 @@
 use crate::ids::{BalancerId, UpstreamId};
 use crate::limits::{Limits, SlowStartLimits};
 use crate::observations::{
-    AttemptOutcome, ClientOutcome, NoticeSource, Observations, RequestStart, Route,
-    UnavailabilityCause,
+    AttemptOutcome, ClientOutcome, NoticeSource, Observations, RequestProperties,
+    UnavailabilityCause, UpstreamUse,
 };
 use crate::request_class::Idempotency;
 use crate::rules::Rule;
@@ -32,7 +32,7 @@
 
 fn record_request(observations: &mut Observations, id: &str, idempotency: Idempotency) {
     let deadline = Duration::from_secs(1);
-    let start = RequestStart {
+    let properties = RequestProperties {
         idempotency,
         balancer: BALANCER,
         deadline,
@@ -40,7 +40,7 @@
         new_connection: true,
         complete: true,
     };
-    observations.record_request(id, start);
+    observations.record_request(id, properties);
 }
 
 fn record_attempt(observations: &mut Observations, id: &str, outcome: AttemptOutcome) {
@@ -95,24 +95,24 @@
 }
 
 #[test]
-fn reports_an_attempt_at_a_draining_upstream_after_the_grace_until_it_is_active_again() {
+fn reports_an_attempt_at_a_draining_upstream_after_the_grace_period_until_it_is_active_again() {
     let mut observations = Observations::new();
-    let route = Route {
+    let upstream_use = UpstreamUse {
         balancer: BALANCER,
         upstream: UPSTREAM,
         cause: UnavailabilityCause::EndpointList,
     };
     record_request(&mut observations, "a", Idempotency::Idempotent);
     let notified_at = Instant::now() - Duration::from_secs(1);
-    observations.record_unavailable(route, notified_at, NoticeSource::ListResponse);
+    observations.record_unavailable(upstream_use, notified_at, NoticeSource::ListResponse);
     record_attempt(&mut observations, "a", AttemptOutcome::Success);
     assert_eq!(violated_rules(&observations), [Rule::UnavailableUpstream]);
-    observations.record_available(route, notified_at + DRAIN_GRACE);
+    observations.record_available(upstream_use, notified_at + DRAIN_GRACE);
     assert_eq!(violated_rules(&observations), []);
 }
 
 #[test]
-fn counts_slow_start_requests_over_the_overload_window() {
+fn counts_requests_in_slow_start_within_one_overload_window() {
     let start = Instant::now();
     let limits = limits().slow_start;
     // At its start the upstream can serve 1 request a second, a tenth of its 10. The overload factor of 4 makes the limit
@@ -130,7 +130,7 @@
 #[test]
 fn names_the_earliest_notice_that_an_upstream_is_unavailable() {
     let mut observations = Observations::new();
-    let route = Route {
+    let upstream_use = UpstreamUse {
         balancer: BALANCER,
         upstream: UPSTREAM,
         cause: UnavailabilityCause::EndpointList,
@@ -138,9 +138,9 @@
     record_request(&mut observations, "a", Idempotency::Idempotent);
     let notified_at = Instant::now() - Duration::from_secs(1);
     let earlier = notified_at - Duration::from_secs(1);
-    observations.record_unavailable(route, notified_at, NoticeSource::StartupList);
-    observations.record_unavailable(route, earlier, NoticeSource::ListResponse);
-    observations.record_unavailable(route, notified_at, NoticeSource::Deadline);
+    observations.record_unavailable(upstream_use, notified_at, NoticeSource::StartupList);
+    observations.record_unavailable(upstream_use, earlier, NoticeSource::ListResponse);
+    observations.record_unavailable(upstream_use, notified_at, NoticeSource::Deadline);
     record_attempt(&mut observations, "a", AttemptOutcome::Success);
     let violations = Checker::new(&limits(), &observations).check();
     assert_eq!(violations.len(), 1);
--- a/soak/src/client/exchange.rs
+++ b/soak/src/client/exchange.rs
@@ -2,7 +2,7 @@
 use super::request::PreparedRequest;
 use super::{Client, ClientKind};
 use crate::observations::ClientOutcome;
-use crate::response_body::{expected_body, source_of};
+use crate::response_body::{expected_body, request_id_in};
 use crate::wire::{write_in_pieces, Message, ReadError};
 use rand::RngExt;
 use std::ops::Range;
@@ -33,7 +33,9 @@
         let Some(connection) = self.connection.as_mut() else {
             return;
         };
-        recorder.lock().record_request(&request.id, request.start);
+        recorder
+            .lock()
+            .record_request(&request.id, request.properties);
         let written = write_in_pieces(
             &mut connection.writer,
             &request.bytes,
@@ -58,12 +60,12 @@
         let Some(connection) = self.connection.as_mut() else {
             return;
         };
-        let wait = request.start.response_timeout + EXTRA_RESPONSE_WAIT;
+        let wait = request.properties.response_timeout + EXTRA_RESPONSE_WAIT;
         let received = timeout(wait, connection.reader.read_message()).await;
         let keeps_connection = matches!(&received, Ok(Ok(response)) if keeps_alive(response));
         let outcome = match received {
             Err(_) => ClientOutcome::NoResponse,
-            Ok(Ok(response)) => self.accept_response(&request.id, &response),
+            Ok(Ok(response)) => self.check_response(&request.id, &response),
             Ok(Err(ReadError::Truncated | ReadError::Malformed)) => {
                 ClientOutcome::TruncatedResponse
             }
@@ -77,14 +79,14 @@
 
     /// Records a wrong response if the body of a response with status 200 is not the one expected for the request.
     /// Returns the outcome.
-    fn accept_response(&self, request_id: &str, response: &Message) -> ClientOutcome {
+    fn check_response(&self, request_id: &str, response: &Message) -> ClientOutcome {
         let status = response.status().unwrap_or(0);
         if status == 200 && response.body != expected_body(request_id).as_bytes() {
             let body = String::from_utf8_lossy(&response.body);
             let details = format!("request {request_id} got a wrong response body: {body:?}");
             self.recorder()
                 .lock()
-                .record_wrong_response(request_id, source_of(&body), details);
+                .record_wrong_response(request_id, request_id_in(&body), details);
         }
         ClientOutcome::Response(status)
     }
@@ -99,14 +101,14 @@
         };
         self.recorder()
             .lock()
-            .record_request(&request.id, request.start);
+            .record_request(&request.id, request.properties);
         if connection.writer.write_all(&request.bytes).await.is_err() {
             self.record_outcome(&request.id, ClientOutcome::Disconnected);
             return;
         }
         self.recorder().lock().record_request_sent(&request.id);
         let outcome = match timeout(delay, connection.reader.read_message()).await {
-            Ok(Ok(response)) => self.accept_response(&request.id, &response),
+            Ok(Ok(response)) => self.check_response(&request.id, &response),
             _ => ClientOutcome::Disconnected,
         };
         if with_reset {
@@ -125,8 +127,8 @@
             (0..count).map(|_| self.prepare_request(true)).collect();
         let mut longest_deadline = Duration::ZERO;
         for request in &mut requests {
-            longest_deadline = longest_deadline.max(request.start.deadline);
-            request.start.response_timeout = longest_deadline;
+            longest_deadline = longest_deadline.max(request.properties.deadline);
+            request.properties.response_timeout = longest_deadline;
         }
         if !self.write_pipelined(&requests).await {
             self.connection = None;
@@ -152,7 +154,9 @@
         let mut bytes = Vec::new();
         for request in requests {
             bytes.extend_from_slice(&request.bytes);
-            recorder.lock().record_request(&request.id, request.start);
+            recorder
+                .lock()
+                .record_request(&request.id, request.properties);
         }
         let written = connection.writer.write_all(&bytes).await.is_ok();
         connection.used = true;
--- a/soak/src/client/request.rs
+++ b/soak/src/client/request.rs
@@ -1,6 +1,6 @@
 //! Draws the requests that clients send.
 use super::{Client, ClientKind};
-use crate::observations::RequestStart;
+use crate::observations::RequestProperties;
 use crate::request_class::{Idempotency, RequestClass, REQUEST_CLASSES};
 use crate::response_body::{LARGE_BODY_REPEATS, LARGE_REQUEST_SUFFIX};
 use rand::RngExt;
@@ -19,7 +19,7 @@
     /// The complete message.
     pub(super) bytes: Vec<u8>,
     /// Its properties, which are recorded when it is sent.
-    pub(super) start: RequestStart,
+    pub(super) properties: RequestProperties,
 }
 
 impl Client {
@@ -34,7 +34,7 @@
             .connection
             .as_ref()
             .is_some_and(|connection| !connection.used);
-        let start = RequestStart {
+        let properties = RequestProperties {
             idempotency: class.idempotency,
             balancer: self.group.balancer(),
             deadline,
@@ -42,7 +42,11 @@
             new_connection,
             complete,
         };
-        PreparedRequest { id, bytes, start }
+        PreparedRequest {
+            id,
+            bytes,
+            properties,
+        }
     }
 
     fn next_request_id(&self) -> String {
--- a/soak/src/discovery.rs
+++ b/soak/src/discovery.rs
@@ -11,7 +11,7 @@
 
 use crate::discovery_mode::DiscoveryMode;
 use crate::ids::{BalancerId, UpstreamId};
-use crate::observations::{NoticeSource, Observations, Route, UnavailabilityCause};
+use crate::observations::{NoticeSource, Observations, UnavailabilityCause, UpstreamUse};
 use crate::recorder::Recorder;
 use endpoint_list::EndpointList;
 use queue::RequestQueue;
@@ -92,13 +92,15 @@
 
     /// Notes that a balancer's process starts now.
     pub fn balancer_started(&self, balancer: BalancerId) {
-        self.state().set_notifies_from(balancer, Instant::now());
+        self.state()
+            .set_list_available_from(balancer, Instant::now());
     }
 
     /// Notes that a balancer is asked to use another address, from which it may take some time to get the list.
     pub fn balancer_reloaded(&self, balancer: BalancerId) {
-        let notifies_from = Instant::now() + RELOAD_NOTIFICATION_DEADLINE;
-        self.state().set_notifies_from(balancer, notifies_from);
+        let list_available_from = Instant::now() + RELOAD_NOTIFICATION_DEADLINE;
+        self.state()
+            .set_list_available_from(balancer, list_available_from);
     }
 
     /// The complete list for the start of a balancer, which is considered notified of it from now on.
@@ -117,7 +119,7 @@
         let mut observations = self.recorder.lock();
         for (upstream, entry) in state.list.entries() {
             if entry.is_active() {
-                observations.record_available(route(balancer, upstream), Instant::now());
+                observations.record_available(upstream_use(balancer, upstream), Instant::now());
             }
         }
         state.list.snapshot()
@@ -138,12 +140,12 @@
         let now = Instant::now();
         let mut observations = self.recorder.lock();
         for (upstream, entry) in list.entries() {
-            let known_since = now.max(entry.changed_at());
-            let route = route(balancer, upstream);
+            let notified_at = now.max(entry.changed_at());
+            let upstream_use = upstream_use(balancer, upstream);
             if entry.is_active() {
-                observations.record_available(route, known_since);
+                observations.record_available(upstream_use, notified_at);
             } else {
-                observations.record_unavailable(route, known_since, source);
+                observations.record_unavailable(upstream_use, notified_at, source);
             }
         }
     }
@@ -157,17 +159,22 @@
         }
         let mut observations = self.recorder.lock();
         for balancer in state.balancer_ids() {
-            self.record_overdue(&state, &mut observations, balancer);
+            self.record_overdue_notifications_of(&state, &mut observations, balancer);
         }
     }
 
-    fn record_overdue(&self, state: &State, observations: &mut Observations, balancer: BalancerId) {
+    fn record_overdue_notifications_of(
+        &self,
+        state: &State,
+        observations: &mut Observations,
+        balancer: BalancerId,
+    ) {
         let now = Instant::now();
         for (upstream, entry) in state.list.entries() {
             let due_at = state.notification_due_at(self.mode, balancer, entry.changed_at());
             if now >= due_at && !entry.is_active() {
                 observations.record_unavailable(
-                    route(balancer, upstream),
+                    upstream_use(balancer, upstream),
                     due_at,
                     NoticeSource::Deadline,
                 );
@@ -177,8 +184,8 @@
 }
 
 /// The use of an upstream by a balancer, as the endpoint list restricts it.
-fn route(balancer: BalancerId, upstream: UpstreamId) -> Route {
-    Route {
+fn upstream_use(balancer: BalancerId, upstream: UpstreamId) -> UpstreamUse {
+    UpstreamUse {
         balancer,
         upstream,
         cause: UnavailabilityCause::EndpointList,
--- a/soak/src/discovery/agent.rs
+++ b/soak/src/discovery/agent.rs
@@ -67,7 +67,7 @@
 }
 
 /// Serves one connection between a balancer and its agent.
-struct Agent {
+struct AgentConnection {
     discovery: Arc<Discovery>,
     balancer: BalancerId,
     random: StdRng,
@@ -87,19 +87,19 @@
             let mut connection_seed = seed;
             while let Ok((stream, _)) = listener.accept().await {
                 connection_seed = connection_seed.wrapping_add(1);
-                let agent = Agent {
+                let connection = AgentConnection {
                     discovery: discovery.clone(),
                     balancer,
                     random: StdRng::seed_from_u64(connection_seed),
                 };
-                tokio::spawn(agent.serve(stream));
+                tokio::spawn(connection.serve(stream));
             }
         });
         Ok(address)
     }
 }
 
-impl Agent {
+impl AgentConnection {
     /// Serves the connection until it is closed.
     async fn serve(mut self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
@@ -159,7 +159,7 @@
             DiscoveryCondition::Unresponsive => AgentAction::Ignore,
             DiscoveryCondition::Disconnecting => AgentAction::Disconnect,
             DiscoveryCondition::Rejecting => AgentAction::Reject,
-            DiscoveryCondition::Up => respond(request, &faults, has_changes),
+            DiscoveryCondition::Up => choose_response(request, &faults, has_changes),
         }
     }
 
@@ -227,7 +227,7 @@
 }
 
 /// Decides how to respond while discovery is up.
-fn respond(request: ListRequest, faults: &DrawnFaults, has_changes: bool) -> AgentAction {
+fn choose_response(request: ListRequest, faults: &DrawnFaults, has_changes: bool) -> AgentAction {
     if faults.malformed {
         return AgentAction::SendMalformed;
     }
--- a/soak/src/discovery/state.rs
+++ b/soak/src/discovery/state.rs
@@ -27,7 +27,7 @@
     silent_watches_until: Instant,
     /// For each balancer, the time from which it counts as able to get the list: the start of its process, or the latest
     /// time at which it uses a new address of discovery.
-    notifies_from: Vec<Instant>,
+    list_available_from: Vec<Instant>,
 }
 
 /// The faults of one response.
@@ -54,13 +54,13 @@
             faults: DiscoveryFaults::default(),
             silent_watches_before: None,
             silent_watches_until: now,
-            notifies_from: vec![now; balancers],
+            list_available_from: vec![now; balancers],
         }
     }
 
     /// All balancers.
     pub(super) fn balancer_ids(&self) -> impl Iterator<Item = BalancerId> {
-        (0..self.notifies_from.len()).map(BalancerId)
+        (0..self.list_available_from.len()).map(BalancerId)
     }
 
     pub(super) fn set_condition(&mut self, condition: DiscoveryCondition) {
@@ -83,8 +83,8 @@
 
     /// Sets the time from which a balancer counts as able to get the list, after a start of its process or a change of
     /// its address of discovery.
-    pub(super) fn set_notifies_from(&mut self, balancer: BalancerId, from: Instant) {
-        self.notifies_from[balancer.0] = from;
+    pub(super) fn set_list_available_from(&mut self, balancer: BalancerId, from: Instant) {
+        self.list_available_from[balancer.0] = from;
     }
 
     /// Draws the faults of one response, always in the same order.
@@ -113,7 +113,7 @@
     ) -> Instant {
         let available_at = changed_at
             .max(self.up_since)
-            .max(self.notifies_from[balancer.0]);
+            .max(self.list_available_from[balancer.0]);
         match mode {
             DiscoveryMode::Push => available_at.max(self.silent_watches_until),
             DiscoveryMode::Poll => available_at + NOTIFICATION_DEADLINE,
--- a/soak/src/injector/overrides.rs
+++ b/soak/src/injector/overrides.rs
@@ -2,7 +2,7 @@
 use super::system_calls::{in_millionths, report_failure};
 use super::FaultInjector;
 use crate::ids::BalancerId;
-use crate::observations::{NoticeSource, Route, UnavailabilityCause};
+use crate::observations::{NoticeSource, UnavailabilityCause, UpstreamUse};
 use fault_injection::control::Fault as SyscallFault;
 use rand::RngExt;
 use std::ops::Range;
@@ -52,7 +52,7 @@
     async fn change_overrides_at(&mut self, balancer: BalancerId) {
         let upstream = self.draw_upstream();
         let endpoint_id = upstream.endpoint_id();
-        let route = Route {
+        let upstream_use = UpstreamUse {
             balancer,
             upstream,
             cause: UnavailabilityCause::Suspension,
@@ -66,7 +66,7 @@
             if self.suspend(balancer, &endpoint_id).await {
                 let mut observations = testbed.recorder().lock();
                 observations.record_unavailable(
-                    route,
+                    upstream_use,
                     Instant::now(),
                     NoticeSource::OperatorCommand,
                 );
@@ -76,7 +76,7 @@
             testbed
                 .recorder()
                 .lock()
-                .record_available(route, Instant::now());
+                .record_available(upstream_use, Instant::now());
             self.restore(balancer, &endpoint_id).await;
             sleep(self.draw_duration(SUSPENSION_PAUSE_MS)).await;
         }
--- a/soak/src/injector/upstreams.rs
+++ b/soak/src/injector/upstreams.rs
@@ -15,7 +15,7 @@
 /// Time for which a crashed upstream is gone, in milliseconds.
 const CRASH_DOWNTIME_MS: Range<u64> = 50..800;
 /// Probability that an upstream rejects requests while it drains. Otherwise it serves them.
-const REJECTS_WHILE_DRAINING: f64 = 0.5;
+const REJECTION_WHILE_DRAINING_PROBABILITY: f64 = 0.5;
 /// Lowest mean latency of an upstream that misbehaves, in milliseconds.
 const MIN_MEAN_LATENCY_MS: f64 = 5.0;
 /// Limit of what a fault adds to that latency, in milliseconds.
@@ -34,8 +34,8 @@
             testbed
                 .discovery()
                 .set_endpoint_state(upstream, EndpointState::Draining);
-            let rejects = self.random.random::<f64>() < REJECTS_WHILE_DRAINING;
-            testbed.upstream(upstream).set_draining(rejects);
+            let rejects = self.random.random::<f64>() < REJECTION_WHILE_DRAINING_PROBABILITY;
+            testbed.upstream(upstream).set_rejecting(rejects);
             sleep(self.draw_duration(DRAIN_MS)).await;
             testbed
                 .discovery()
@@ -66,7 +66,7 @@
         self.testbed
             .recorder()
             .lock()
-            .record_upstream_start(upstream);
+            .record_upstream_restart(upstream);
         self.testbed
             .discovery()
             .set_endpoint_started(upstream, unix_time_ms());
@@ -101,7 +101,7 @@
             no_response: draw_below(0.1),
             truncated_response: draw_below(0.1),
             malformed_response: draw_below(0.05),
-            duplicate_response: draw_below(0.1),
+            surplus_response: draw_below(0.1),
             response_without_length: draw_below(0.1),
             idle_close: draw_below(0.3),
             unresponsive_connection: draw_below(0.1),
--- a/soak/src/observations.rs
+++ b/soak/src/observations.rs
@@ -3,8 +3,8 @@
 mod request;
 mod surplus;
 
-pub use period::{NoticeSource, Period, Route, UnavailabilityCause, UnavailablePeriod};
-pub use request::{Attempt, AttemptOutcome, ClientOutcome, Request, RequestStart};
+pub use period::{NoticeSource, Period, UnavailabilityCause, UnavailablePeriod, UpstreamUse};
+pub use request::{Attempt, AttemptOutcome, ClientOutcome, Request, RequestProperties};
 
 use crate::ids::{BalancerId, UpstreamId};
 use crate::rules::{Rule, Violation};
@@ -21,10 +21,10 @@
 pub struct Observations {
     started_at: Instant,
     requests: HashMap<String, Request>,
-    unavailable: HashMap<Route, Vec<UnavailablePeriod>>,
+    unavailable: HashMap<UpstreamUse, Vec<UnavailablePeriod>>,
     downtime: HashMap<BalancerId, Vec<Period>>,
     descriptor_exhaustion: HashMap<BalancerId, Vec<Period>>,
-    upstream_starts: HashMap<UpstreamId, Vec<Instant>>,
+    upstream_restarts: HashMap<UpstreamId, Vec<Instant>>,
     surplus: SurplusResponses,
     violations: Vec<Violation>,
 }
@@ -38,7 +38,7 @@
             unavailable: HashMap::new(),
             downtime: HashMap::new(),
             descriptor_exhaustion: HashMap::new(),
-            upstream_starts: HashMap::new(),
+            upstream_restarts: HashMap::new(),
             surplus: SurplusResponses::default(),
             violations: Vec::new(),
         }
@@ -56,9 +56,11 @@
             .map(|(id, request)| (id.as_str(), request))
     }
 
-    /// The periods in which a balancer may not use an upstream, for the cause that the route names.
-    pub fn unavailable_periods(&self, route: Route) -> &[UnavailablePeriod] {
-        self.unavailable.get(&route).map_or(&[], Vec::as_slice)
+    /// The periods in which a balancer may not use an upstream, for the cause that the use names.
+    pub fn unavailable_periods(&self, upstream_use: UpstreamUse) -> &[UnavailablePeriod] {
+        self.unavailable
+            .get(&upstream_use)
+            .map_or(&[], Vec::as_slice)
     }
 
     /// Whether a balancer was being killed or did not run at any time in this period.
@@ -72,8 +74,8 @@
     }
 
     /// The times of the restarts of each upstream that has restarted.
-    pub fn upstream_starts(&self) -> impl Iterator<Item = (UpstreamId, &[Instant])> {
-        self.upstream_starts
+    pub fn upstream_restarts(&self) -> impl Iterator<Item = (UpstreamId, &[Instant])> {
+        self.upstream_restarts
             .iter()
             .map(|(&upstream, starts)| (upstream, starts.as_slice()))
     }
@@ -103,9 +105,9 @@
     }
 
     /// Records that a client is about to send a request.
-    pub fn record_request(&mut self, id: &str, start: RequestStart) {
+    pub fn record_request(&mut self, id: &str, properties: RequestProperties) {
         let request = Request {
-            start,
+            properties,
             sent_at: Instant::now(),
             outcome: None,
             attempts: Vec::new(),
@@ -185,30 +187,40 @@
         self.surplus.record_sent(request_id, upstream, delay);
     }
 
-    /// Records that a request got the response to the request `source`. This is a violation unless it was a surplus
-    /// response that the balancer could not have detected.
-    pub fn record_wrong_response(&mut self, request_id: &str, source: &str, details: String) {
+    /// Records that a request got the response to the request `answered_request_id`. This is a violation unless it
+    /// was a surplus response that the balancer could not have detected.
+    pub fn record_wrong_response(
+        &mut self,
+        request_id: &str,
+        answered_request_id: &str,
+        details: String,
+    ) {
         let balancer = self
             .requests
             .get(request_id)
-            .map(|request| request.start.balancer);
-        let is_allowed =
-            balancer.is_some_and(|balancer| self.surplus.record_passed_on(source, balancer));
+            .map(|request| request.properties.balancer);
+        let is_allowed = balancer
+            .is_some_and(|balancer| self.surplus.record_passed_on(answered_request_id, balancer));
         if !is_allowed {
             self.record_violation(Rule::WrongResponse, details);
         }
     }
 
     /// Records that a balancer is considered notified, from `since` on, that it may use an upstream.
-    pub fn record_available(&mut self, route: Route, since: Instant) {
-        for period in self.unavailable.entry(route).or_default() {
+    pub fn record_available(&mut self, upstream_use: UpstreamUse, since: Instant) {
+        for period in self.unavailable.entry(upstream_use).or_default() {
             period.end.get_or_insert(since);
         }
     }
 
     /// Records that a balancer is considered notified, from `since` on, that it may not use an upstream.
-    pub fn record_unavailable(&mut self, route: Route, since: Instant, source: NoticeSource) {
-        let periods = self.unavailable.entry(route).or_default();
+    pub fn record_unavailable(
+        &mut self,
+        upstream_use: UpstreamUse,
+        since: Instant,
+        source: NoticeSource,
+    ) {
+        let periods = self.unavailable.entry(upstream_use).or_default();
         match periods.iter_mut().find(|period| period.end.is_none()) {
             Some(period) if period.start <= since => {}
             Some(period) => {
@@ -242,8 +254,8 @@
     }
 
     /// Records that an upstream restarts now and needs a slow start.
-    pub fn record_upstream_start(&mut self, upstream: UpstreamId) {
-        let starts = self.upstream_starts.entry(upstream).or_default();
+    pub fn record_upstream_restart(&mut self, upstream: UpstreamId) {
+        let starts = self.upstream_restarts.entry(upstream).or_default();
         starts.push(Instant::now());
     }
 }
--- a/soak/src/observations/period.rs
+++ b/soak/src/observations/period.rs
@@ -21,7 +21,7 @@
 
 /// The use of an upstream by a balancer, as one cause may restrict it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Route {
+pub struct UpstreamUse {
     /// The balancer.
     pub balancer: BalancerId,
     /// The upstream.
--- a/soak/src/observations/request.rs
+++ b/soak/src/observations/request.rs
@@ -59,7 +59,7 @@
 
 /// The properties of a request that its client knows before sending it.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestStart {
+pub struct RequestProperties {
     /// Whether it may be executed more than once.
     pub idempotency: Idempotency,
     /// The balancer that it goes to.
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug)]
 pub struct Request {
     /// The properties that its client knew before sending it.
-    pub start: RequestStart,
+    pub properties: RequestProperties,
     /// When its last byte was written, or writing it failed; until then, when the client began to write it.
     pub sent_at: Instant,
     /// How and when it ended at its client.
--- a/soak/src/observations/surplus.rs
+++ b/soak/src/observations/surplus.rs
@@ -46,10 +46,15 @@
         self.sent.insert(request_id.to_string(), surplus);
     }
 
-    /// Records that another request got the response to the request `source`. Returns whether that is allowed: it was a
-    /// late surplus response, and the first from this upstream that the balancer's process has passed on.
-    pub(super) fn record_passed_on(&mut self, source: &str, balancer: BalancerId) -> bool {
-        let Some(surplus) = self.sent.get(source) else {
+    /// Records that another request got the response to the request `answered_request_id`. Returns whether that
+    /// is allowed: it was a late surplus response, and the first from this upstream that the balancer's process has passed
+    /// on.
+    pub(super) fn record_passed_on(
+        &mut self,
+        answered_request_id: &str,
+        balancer: BalancerId,
+    ) -> bool {
+        let Some(surplus) = self.sent.get(answered_request_id) else {
             return false;
         };
         let number = self.process_counts.get(&balancer).copied().unwrap_or(0);
--- a/soak/src/response_body.rs
+++ b/soak/src/response_body.rs
@@ -20,6 +20,6 @@
 }
 
 /// The id of the request that a body names; empty if it names none.
-pub fn source_of(body: &str) -> &str {
+pub fn request_id_in(body: &str) -> &str {
     body.split(BODY_START).nth(1).unwrap_or_default()
 }
--- a/soak/src/testbed/lifecycle.rs
+++ b/soak/src/testbed/lifecycle.rs
@@ -22,10 +22,10 @@
     /// Starts a balancer's process and waits until it is ready.
     async fn start(&self, balancer: &mut Balancer) {
         let id = balancer.id();
-        let known_list = self.discovery.snapshot(id);
+        let startup_list = self.discovery.snapshot(id);
         let discovery_address = self.balancers[id.0].discovery_address();
         let started = balancer
-            .configure(discovery_address, &known_list)
+            .configure(discovery_address, &startup_list)
             .and_then(|()| balancer.start(self.seed));
         self.discovery.balancer_started(id);
         self.recorder.lock().record_process_start(id);
@@ -98,10 +98,10 @@
             return;
         }
         self.recorder.lock().record_process_start(id);
-        let known_list = self.discovery.snapshot_for_successor(id);
+        let startup_list = self.discovery.snapshot_for_successor(id);
         let discovery_address = self.balancers[id.0].discovery_address();
         let upgraded = balancer
-            .upgrade(discovery_address, &known_list, self.seed)
+            .upgrade(discovery_address, &startup_list, self.seed)
             .await;
         if let Err(error) = upgraded {
             let details = format!("balancer {id} could not be upgraded: {error}");
--- a/soak/src/testbed/setup.rs
+++ b/soak/src/testbed/setup.rs
@@ -19,7 +19,7 @@
 use tokio::sync::Mutex;
 
 /// Time that discovery takes to serve all balancers when they poll it at once.
-const DISCOVERY_SERVICE_TIME: Duration = Duration::from_millis(3500);
+const TOTAL_DISCOVERY_SERVICE_TIME: Duration = Duration::from_millis(3500);
 /// Requests a second that the clients of each balancer send.
 const REQUESTS_PER_SECOND: f64 = 30.0;
 /// Quota of the one tenant, in requests a second for each balancer.
@@ -175,7 +175,7 @@
         .iter()
         .map(|managed| managed.upstream.address())
         .collect();
-    let service_time = DISCOVERY_SERVICE_TIME / options.balancers as u32;
+    let service_time = TOTAL_DISCOVERY_SERVICE_TIME / options.balancers as u32;
     Discovery::new(
         options.mode,
         &addresses,
--- a/soak/src/upstream.rs
+++ b/soak/src/upstream.rs
@@ -58,8 +58,8 @@
     }
 
     /// Sets whether it rejects new requests.
-    pub fn set_draining(&self, draining: bool) {
-        self.state.set_draining(draining);
+    pub fn set_rejecting(&self, rejecting: bool) {
+        self.state.set_rejecting(rejecting);
     }
 
     /// Stops it until [`Upstream::restart`]: new connections are refused, and open ones are reset at their next request.
@@ -72,7 +72,7 @@
 
     /// Starts it again at the same address.
     pub async fn restart(&self) -> io::Result<()> {
-        self.set_draining(false);
+        self.set_rejecting(false);
         let listener = TcpListener::bind(self.address).await?;
         let accept_task = tokio::spawn(accept_connections(listener, self.state.clone()));
         *self.accept_task() = Some(accept_task.abort_handle());
--- a/soak/src/upstream/connection.rs
+++ b/soak/src/upstream/connection.rs
@@ -19,24 +19,24 @@
 /// Longest time for which a request without a response, or an unresponsive connection, stays open.
 const UNRESPONSIVE_TIMEOUT: Duration = Duration::from_secs(8);
 /// Pause before a surplus response, in milliseconds.
-const DUPLICATE_RESPONSE_PAUSE_MS: RangeInclusive<u64> = 1..=1000;
+const SURPLUS_RESPONSE_DELAY_MS: RangeInclusive<u64> = 1..=1000;
 /// Longest time to respond, in milliseconds.
 const MAX_LATENCY_MS: f64 = 2000.0;
 /// Time after a response, in milliseconds, after which the idle connection is closed.
 const IDLE_CLOSE_DELAY_MS: Range<u64> = 0..40;
 
 /// What happens to the connection after a request.
-enum ConnectionFate {
+enum ConnectionAction {
     Keep,
     Close,
     Reset,
 }
 
-impl ConnectionFate {
-    fn after_write(written: io::Result<()>) -> ConnectionFate {
+impl ConnectionAction {
+    fn after_write(written: io::Result<()>) -> ConnectionAction {
         match written {
-            Ok(()) => ConnectionFate::Keep,
-            Err(_) => ConnectionFate::Close,
+            Ok(()) => ConnectionAction::Keep,
+            Err(_) => ConnectionAction::Close,
         }
     }
 }
@@ -49,7 +49,7 @@
 }
 
 /// A response that is sent again.
-struct SurplusResponse {
+struct PendingSurplusResponse {
     due_at: Instant,
     response: String,
 }
@@ -59,7 +59,7 @@
     random: StdRng,
     writer: OwnedWriteHalf,
     /// A surplus response to an earlier request that is still to be sent.
-    surplus: Option<SurplusResponse>,
+    surplus: Option<PendingSurplusResponse>,
     /// The upstream's generation when the connection was accepted.
     generation: u64,
 }
@@ -83,42 +83,44 @@
     };
     loop {
         match connection.serve_request(&mut reader).await {
-            ConnectionFate::Keep => {}
-            ConnectionFate::Close => return,
-            ConnectionFate::Reset => return reader.reset_connection(connection.writer),
+            ConnectionAction::Keep => {}
+            ConnectionAction::Close => return,
+            ConnectionAction::Reset => return reader.reset_connection(connection.writer),
         }
     }
 }
 
 impl Connection {
-    async fn serve_request(&mut self, reader: &mut MessageReader) -> ConnectionFate {
+    async fn serve_request(&mut self, reader: &mut MessageReader) -> ConnectionAction {
         let Ok(started_at) = self.wait_for_request(reader).await else {
-            return ConnectionFate::Close;
+            return ConnectionAction::Close;
         };
         if self.random.random::<f64>() < self.state.profile().early_reset {
-            return ConnectionFate::Reset;
+            return ConnectionAction::Reset;
         }
         let Ok(request) = reader.read_message().await else {
-            return ConnectionFate::Close;
+            return ConnectionAction::Close;
         };
         if self.state.generation() != self.generation {
-            return ConnectionFate::Reset;
+            return ConnectionAction::Reset;
         }
         let Some(attempt) = self.record_attempt(&request, started_at) else {
-            return ConnectionFate::Close;
+            return ConnectionAction::Close;
         };
-        let fate = tokio::select! {
+        let connection_action = tokio::select! {
             biased;
-            fate = self.respond(&attempt) => fate,
+            connection_action = self.respond(&attempt) => connection_action,
             () = reader.wait_for_close() => {
                 self.record_outcome(&attempt, AttemptOutcome::Cancelled);
-                return ConnectionFate::Close;
+                return ConnectionAction::Close;
             }
         };
-        if matches!(fate, ConnectionFate::Keep) && self.closes_idle_connection().await {
-            return ConnectionFate::Close;
+        if matches!(connection_action, ConnectionAction::Keep)
+            && self.closes_idle_connection().await
+        {
+            return ConnectionAction::Close;
         }
-        fate
+        connection_action
     }
 
     /// Records a complete attempt. None if the request has no id or no client has sent it.
@@ -160,7 +162,7 @@
         closes
     }
 
-    async fn respond(&mut self, attempt: &Attempt) -> ConnectionFate {
+    async fn respond(&mut self, attempt: &Attempt) -> ConnectionAction {
         let profile = self.state.profile();
         let latency_ms = profile.draw_latency_ms(&mut self.random);
         let latency = Duration::from_secs_f64(latency_ms.min(MAX_LATENCY_MS) / 1000.0);
@@ -176,7 +178,7 @@
             }
             ResponseAction::TruncatedResponse => self.send_truncated_response(attempt).await,
             ResponseAction::MalformedResponse => self.send_malformed_response(attempt).await,
-            ResponseAction::DuplicateResponse => self.send_response_twice(attempt).await,
+            ResponseAction::SurplusResponse => self.send_response_twice(attempt).await,
             ResponseAction::ResponseWithoutLength => {
                 self.send_response_without_length(attempt).await
             }
@@ -186,7 +188,7 @@
     /// Draws what happens to a request. An upstream that rejects new requests rejects it without a draw.
     fn draw_action(&mut self) -> ResponseAction {
         let profile = self.state.profile();
-        if self.state.is_draining() {
+        if self.state.is_rejecting() {
             return ResponseAction::REJECT;
         }
         profile.draw_action(&mut self.random)
@@ -197,21 +199,21 @@
         attempt: &Attempt,
         status: &str,
         outcome: AttemptOutcome,
-    ) -> ConnectionFate {
+    ) -> ConnectionAction {
         let body = match outcome {
             AttemptOutcome::Success => expected_body(&attempt.request_id),
             _ => String::new(),
         };
         self.record_outcome(attempt, outcome);
-        ConnectionFate::after_write(self.write(&format_response(status, &body)).await)
+        ConnectionAction::after_write(self.write(&format_response(status, &body)).await)
     }
 
-    fn reset(&self, attempt: &Attempt) -> ConnectionFate {
+    fn reset(&self, attempt: &Attempt) -> ConnectionAction {
         self.record_outcome(attempt, AttemptOutcome::Reset);
-        ConnectionFate::Reset
+        ConnectionAction::Reset
     }
 
-    async fn send_truncated_response(&mut self, attempt: &Attempt) -> ConnectionFate {
+    async fn send_truncated_response(&mut self, attempt: &Attempt) -> ConnectionAction {
         let body = expected_body(&attempt.request_id);
         let response = format_response("200 OK", &body);
         let sent_bytes = response.len() - body.len() / 2;
@@ -222,29 +224,29 @@
         self.reset(attempt)
     }
 
-    async fn send_malformed_response(&mut self, attempt: &Attempt) -> ConnectionFate {
+    async fn send_malformed_response(&mut self, attempt: &Attempt) -> ConnectionAction {
         let _ = self.write("SMTP ready\r\n\r\n").await;
         self.record_outcome(attempt, AttemptOutcome::Error);
-        ConnectionFate::Close
+        ConnectionAction::Close
     }
 
-    async fn send_response_twice(&mut self, attempt: &Attempt) -> ConnectionFate {
+    async fn send_response_twice(&mut self, attempt: &Attempt) -> ConnectionAction {
         self.record_outcome(attempt, AttemptOutcome::Success);
         let response = format_response("200 OK", &expected_body(&attempt.request_id));
         if self.write(&response).await.is_err() {
-            return ConnectionFate::Close;
+            return ConnectionAction::Close;
         }
-        let pause = Duration::from_millis(self.random.random_range(DUPLICATE_RESPONSE_PAUSE_MS));
+        let pause = Duration::from_millis(self.random.random_range(SURPLUS_RESPONSE_DELAY_MS));
         self.state.recorder().lock().record_surplus_response(
             &attempt.request_id,
             self.state.id(),
             pause,
         );
-        self.surplus = Some(SurplusResponse {
+        self.surplus = Some(PendingSurplusResponse {
             due_at: Instant::now() + pause,
             response,
         });
-        ConnectionFate::Keep
+        ConnectionAction::Keep
     }
 
     /// Waits until `until`, and sends the surplus response if it is due by then.
@@ -268,12 +270,12 @@
         reader.wait_for_first_byte().await
     }
 
-    async fn send_response_without_length(&mut self, attempt: &Attempt) -> ConnectionFate {
+    async fn send_response_without_length(&mut self, attempt: &Attempt) -> ConnectionAction {
         self.record_outcome(attempt, AttemptOutcome::Success);
         let body = expected_body(&attempt.request_id);
         let response = format!("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n{body}");
         let _ = self.write(&response).await;
-        ConnectionFate::Close
+        ConnectionAction::Close
     }
 
     async fn write(&mut self, response: &str) -> io::Result<()> {
--- a/soak/src/upstream/profile.rs
+++ b/soak/src/upstream/profile.rs
@@ -23,7 +23,7 @@
     /// Responds with something other than HTTP.
     pub malformed_response: f64,
     /// Responds twice.
-    pub duplicate_response: f64,
+    pub surplus_response: f64,
     /// Responds without a length: the response ends with the connection.
     pub response_without_length: f64,
     /// Closes the idle connection after a response, without notice.
@@ -44,7 +44,7 @@
     NoResponse,
     TruncatedResponse,
     MalformedResponse,
-    DuplicateResponse,
+    SurplusResponse,
     ResponseWithoutLength,
 }
 
@@ -81,7 +81,7 @@
             (self.no_response, ResponseAction::NoResponse),
             (self.truncated_response, ResponseAction::TruncatedResponse),
             (self.malformed_response, ResponseAction::MalformedResponse),
-            (self.duplicate_response, ResponseAction::DuplicateResponse),
+            (self.surplus_response, ResponseAction::SurplusResponse),
             (
                 self.response_without_length,
                 ResponseAction::ResponseWithoutLength,
--- a/soak/src/upstream/state.rs
+++ b/soak/src/upstream/state.rs
@@ -16,7 +16,7 @@
     recorder: Arc<Recorder>,
     profile: Mutex<UpstreamProfile>,
     /// Whether new requests are rejected.
-    draining: AtomicBool,
+    rejecting: AtomicBool,
     /// Number of stops so far. A connection of an earlier generation is reset when its next request has
     /// arrived.
     generation: AtomicU64,
@@ -35,7 +35,7 @@
             id,
             recorder,
             profile: Mutex::new(profile),
-            draining: AtomicBool::new(false),
+            rejecting: AtomicBool::new(false),
             generation: AtomicU64::new(0),
             seed,
             accepted_connections: AtomicU64::new(0),
@@ -58,12 +58,12 @@
         *self.profile.lock().unwrap_or_else(PoisonError::into_inner) = profile;
     }
 
-    pub(super) fn is_draining(&self) -> bool {
-        self.draining.load(Ordering::Relaxed)
+    pub(super) fn is_rejecting(&self) -> bool {
+        self.rejecting.load(Ordering::Relaxed)
     }
 
-    pub(super) fn set_draining(&self, draining: bool) {
-        self.draining.store(draining, Ordering::Relaxed);
+    pub(super) fn set_rejecting(&self, rejecting: bool) {
+        self.rejecting.store(rejecting, Ordering::Relaxed);
     }
 
     pub(super) fn generation(&self) -> u64 {
