--- a/soak/src/checker/attempts.rs
+++ b/soak/src/checker/attempts.rs
@@ -100,8 +100,8 @@
                 });
             if is_unsafe {
                 let details = format!(
-                    "{id}: attempt {number} may execute the request again, {}",
-                    self.describe_attempts(request)
+                    "{id}: attempt {number} may execute the request again; attempts: {:?}",
+                    request.attempts
                 );
                 violations.push(self.violation(
                     Rule::DuplicateExecution,
--- a/soak/src/checker/responses.rs
+++ b/soak/src/checker/responses.rs
@@ -80,19 +80,6 @@
         outcome: ClientOutcome,
         ended_at: Instant,
     ) -> String {
-        let attempts = self.describe_attempts(request);
-        format!(
-            "{id}: balancer {}, sent at {:.3} s, deadline {:?}, response expected within {:?}, ended {outcome:?} after {:?}, {attempts}",
-            request.properties.balancer,
-            self.seconds(request.sent_at),
-            request.properties.deadline,
-            request.properties.response_timeout + RESPONSE_SLACK + SCHEDULING_SLACK,
-            ended_at - request.sent_at,
-        )
-    }
-
-    /// Lists the attempts of a request with times in seconds from the start of the run.
-    pub(super) fn describe_attempts(&self, request: &Request) -> String {
         let attempts: Vec<_> = request
             .attempts
             .iter()
@@ -107,7 +94,14 @@
                 )
             })
             .collect();
-        format!("attempts (upstream, start in s, outcome and end in s) {attempts:?}")
+        format!(
+            "{id}: balancer {}, sent at {:.3} s, deadline {:?}, response expected within {:?}, ended {outcome:?} after {:?}, attempts (upstream, start in s, outcome and end in s) {attempts:?}",
+            request.properties.balancer,
+            self.seconds(request.sent_at),
+            request.properties.deadline,
+            request.properties.response_timeout + RESPONSE_SLACK + SCHEDULING_SLACK,
+            ended_at - request.sent_at,
+        )
     }
 }
 
