--- a/soak/src/balancer/configuration.rs
+++ b/soak/src/balancer/configuration.rs
@@ -15,7 +15,7 @@
     pub program: PathBuf,
     /// The fault injection library.
     pub library: PathBuf,
-    /// The folder in which each balancer has one for its configuration, log and overrides.
+    /// The folder that contains a subfolder for each balancer, with its configuration, log and overrides.
     pub folder: PathBuf,
     /// How balancers learn of the endpoint list.
     pub mode: DiscoveryMode,
@@ -28,7 +28,7 @@
 /// The settings that a run draws or checks.
 #[derive(Clone, Copy, Debug)]
 pub struct FleetSettings {
-    /// Requests a second of the one tenant, over all balancers.
+    /// Quota of the only tenant, in requests a second over all balancers.
     pub quota_per_second: f64,
     /// Time after which upstreams close idle connections.
     pub idle_close_timeout: Duration,
@@ -48,9 +48,9 @@
     fleet: &Fleet,
     balancer: BalancerId,
     addresses: Addresses,
-    known_list: &str,
+    startup_list: &str,
 ) -> String {
-    let known_list: Value = serde_json::from_str(known_list).unwrap_or_default();
+    let startup_list: Value = serde_json::from_str(startup_list).unwrap_or_default();
     json!({
         "name": format!("b{balancer}"),
         "listen": addresses.clients,
@@ -58,7 +58,7 @@
         "ops": addresses.admin,
         "seed": format!("{:016x}", balancer.0 as u64 + 1),
         "limits": { "cores": 1.0, "memory_mb": 192, "sockets": 512 },
-        "known": known_list,
+        "known": startup_list,
         "settings": settings(fleet, balancer),
     })
     .to_string()
--- a/soak/src/discovery/agent.rs
+++ b/soak/src/discovery/agent.rs
@@ -66,8 +66,8 @@
     },
 }
 
-/// Serves one connection of a balancer.
-struct Agent {
+/// Serves one connection between a balancer and its agent.
+struct AgentConnection {
     discovery: Arc<Discovery>,
     balancer: BalancerId,
     random: StdRng,
@@ -87,19 +87,19 @@
             let mut connection_seed = seed;
             while let Ok((stream, _)) = listener.accept().await {
                 connection_seed = connection_seed.wrapping_add(1);
-                let agent = Agent {
+                let connection = AgentConnection {
                     discovery: discovery.clone(),
                     balancer,
                     random: StdRng::seed_from_u64(connection_seed),
                 };
-                tokio::spawn(agent.serve(stream));
+                tokio::spawn(connection.serve(stream));
             }
         });
         Ok(address)
     }
 }
 
-impl Agent {
+impl AgentConnection {
     /// Serves the connection until it is closed.
     async fn serve(mut self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
@@ -159,11 +159,11 @@
             DiscoveryCondition::Unresponsive => AgentAction::Ignore,
             DiscoveryCondition::Disconnecting => AgentAction::Disconnect,
             DiscoveryCondition::Rejecting => AgentAction::Reject,
-            DiscoveryCondition::Up => respond(request, &faults, has_changes),
+            DiscoveryCondition::Up => choose_response(request, &faults, has_changes),
         }
     }
 
-    /// Waits in the queue for a request's turn, in poll mode. Returns whether it is served.
+    /// Waits in the queue for a request's turn, in poll mode. Returns false if the queue rejects the request.
     async fn wait_for_turn(&self) -> bool {
         if self.discovery.mode == DiscoveryMode::Push {
             return true;
@@ -182,6 +182,7 @@
                 return false;
             }
             Some(Admission::Rejected) => return false,
+            // Discovery is down: `decide` acts on its condition. A rejection comes only after `QUEUE_TIMEOUT`.
             None => {
                 let condition = self.discovery.state().condition;
                 if condition == DiscoveryCondition::Rejecting {
@@ -226,7 +227,7 @@
 }
 
 /// Decides how to respond while discovery is up.
-fn respond(request: ListRequest, faults: &DrawnFaults, has_changes: bool) -> AgentAction {
+fn choose_response(request: ListRequest, faults: &DrawnFaults, has_changes: bool) -> AgentAction {
     if faults.malformed {
         return AgentAction::SendMalformed;
     }
--- a/soak/src/injector/overrides.rs
+++ b/soak/src/injector/overrides.rs
@@ -2,7 +2,7 @@
 use super::system_calls::{in_millionths, report_failure};
 use super::FaultInjector;
 use crate::ids::BalancerId;
-use crate::observations::{NoticeSource, Route, UnavailabilityCause};
+use crate::observations::{NoticeSource, UnavailabilityCause, UpstreamUse};
 use fault_injection::control::Fault as SyscallFault;
 use rand::RngExt;
 use std::ops::Range;
@@ -28,7 +28,11 @@
             let balancer = self.testbed.lock_balancer(id).await;
             for fault in [SyscallFault::DiskWrite, SyscallFault::DiskRead] {
                 let probability = self.random.random_range(DISK_FAILURE_PROBABILITY);
-                report_failure(balancer.set_syscall_fault(fault, in_millionths(probability)));
+                report_failure(
+                    id,
+                    format_args!("set the system call fault {fault:?}"),
+                    balancer.set_syscall_fault(fault, in_millionths(probability)),
+                );
             }
         }
         self.change_overrides_at(id).await;
@@ -37,14 +41,18 @@
             self.testbed.start_after_kill(id, killed_at).await;
         }
         let balancer = self.testbed.lock_balancer(id).await;
-        report_failure(balancer.clear_syscall_faults());
+        report_failure(
+            id,
+            format_args!("clear the system call faults"),
+            balancer.clear_syscall_faults(),
+        );
     }
 
     /// Repeatedly suspends and restores one endpoint at one balancer.
     async fn change_overrides_at(&mut self, balancer: BalancerId) {
         let upstream = self.draw_upstream();
         let endpoint_id = upstream.endpoint_id();
-        let route = Route {
+        let upstream_use = UpstreamUse {
             balancer,
             upstream,
             cause: UnavailabilityCause::Suspension,
@@ -58,7 +66,7 @@
             if self.suspend(balancer, &endpoint_id).await {
                 let mut observations = testbed.recorder().lock();
                 observations.record_unavailable(
-                    route,
+                    upstream_use,
                     Instant::now(),
                     NoticeSource::OperatorCommand,
                 );
@@ -68,7 +76,7 @@
             testbed
                 .recorder()
                 .lock()
-                .record_available(route, Instant::now());
+                .record_available(upstream_use, Instant::now());
             self.restore(balancer, &endpoint_id).await;
             sleep(self.draw_duration(SUSPENSION_PAUSE_MS)).await;
         }
--- a/soak/src/observations/request.rs
+++ b/soak/src/observations/request.rs
@@ -51,15 +51,15 @@
     TruncatedResponse,
     /// The connection closed without a byte of a response.
     ConnectionClosed,
-    /// The client disconnected.
+    /// The client disconnected, or the connection ended before the balancer had to read the request.
     Disconnected,
     /// No response arrived before the client stopped waiting, some time after the deadline.
     NoResponse,
 }
 
-/// The properties of a request that its client knows before it sends it.
+/// The properties of a request that its client knows before sending it.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestStart {
+pub struct RequestProperties {
     /// Whether it may be executed more than once.
     pub idempotency: Idempotency,
     /// The balancer that it goes to.
@@ -78,9 +78,9 @@
 /// A request and everything observed of it.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// The properties that its client knew before it sent it.
-    pub start: RequestStart,
-    /// When its last byte was written; until then, when the client began to write it.
+    /// The properties that its client knew before sending it.
+    pub properties: RequestProperties,
+    /// When its last byte was written, or writing it failed; until then, when the client began to write it.
     pub sent_at: Instant,
     /// How and when it ended at its client.
     pub outcome: Option<(ClientOutcome, Instant)>,
--- a/soak/src/testbed/lifecycle.rs
+++ b/soak/src/testbed/lifecycle.rs
@@ -22,10 +22,10 @@
     /// Starts a balancer's process and waits until it is ready.
     async fn start(&self, balancer: &mut Balancer) {
         let id = balancer.id();
-        let known_list = self.discovery.snapshot(id);
+        let startup_list = self.discovery.snapshot(id);
         let discovery_address = self.balancers[id.0].discovery_address();
         let started = balancer
-            .configure(discovery_address, &known_list)
+            .configure(discovery_address, &startup_list)
             .and_then(|()| balancer.start(self.seed));
         self.discovery.balancer_started(id);
         self.recorder.lock().record_process_start(id);
@@ -61,8 +61,8 @@
     }
 
     /// Shuts a balancer down gracefully, sends it these signals after SIGTERM, and starts it again. Clients use
-    /// their open connections until it has exited, or until it is killed, [`KILL_DELAY`] after SIGTERM, the earliest time
-    /// that the operators allow.
+    /// their open connections until the balancer has exited. If it has not exited [`KILL_DELAY`] after SIGTERM, the
+    /// earliest time at which operators may kill it, it is killed.
     pub async fn restart_with(&self, id: BalancerId, further_signals: &[Signal]) {
         let mut balancer = self.lock_balancer(id).await;
         if !balancer.has_process() {
@@ -81,7 +81,7 @@
         let exited_at = Instant::now();
         if exit_code != Some(0) {
             let details = format!(
-                "balancer {id} did not shut down cleanly: exit code {exit_code:?}, {:?} after SIGTERM",
+                "balancer {id} did not exit with code 0 in time: exit code {exit_code:?} (None: killed by a signal, or still running), {:?} after SIGTERM",
                 signalled_at.elapsed()
             );
             self.record_violation(Rule::Crash, details);
@@ -98,10 +98,10 @@
             return;
         }
         self.recorder.lock().record_process_start(id);
-        let known_list = self.discovery.snapshot_for_successor(id);
+        let startup_list = self.discovery.snapshot_for_successor(id);
         let discovery_address = self.balancers[id.0].discovery_address();
         let upgraded = balancer
-            .upgrade(discovery_address, &known_list, self.seed)
+            .upgrade(discovery_address, &startup_list, self.seed)
             .await;
         if let Err(error) = upgraded {
             let details = format!("balancer {id} could not be upgraded: {error}");
--- a/soak/src/upstream/state.rs
+++ b/soak/src/upstream/state.rs
@@ -16,8 +16,9 @@
     recorder: Arc<Recorder>,
     profile: Mutex<UpstreamProfile>,
     /// Whether new requests are rejected.
-    draining: AtomicBool,
-    /// Number of stops so far. Connections of an earlier generation are dead.
+    rejecting: AtomicBool,
+    /// Number of stops so far. A connection of an earlier generation is reset when its next request has
+    /// arrived.
     generation: AtomicU64,
     seed: u64,
     accepted_connections: AtomicU64,
@@ -34,7 +35,7 @@
             id,
             recorder,
             profile: Mutex::new(profile),
-            draining: AtomicBool::new(false),
+            rejecting: AtomicBool::new(false),
             generation: AtomicU64::new(0),
             seed,
             accepted_connections: AtomicU64::new(0),
@@ -57,19 +58,19 @@
         *self.profile.lock().unwrap_or_else(PoisonError::into_inner) = profile;
     }
 
-    pub(super) fn is_draining(&self) -> bool {
-        self.draining.load(Ordering::Relaxed)
+    pub(super) fn is_rejecting(&self) -> bool {
+        self.rejecting.load(Ordering::Relaxed)
     }
 
-    pub(super) fn set_draining(&self, draining: bool) {
-        self.draining.store(draining, Ordering::Relaxed);
+    pub(super) fn set_rejecting(&self, rejecting: bool) {
+        self.rejecting.store(rejecting, Ordering::Relaxed);
     }
 
     pub(super) fn generation(&self) -> u64 {
         self.generation.load(Ordering::Relaxed)
     }
 
-    /// Marks all connections of this generation as dead.
+    /// Starts a new generation, so that the connections of the current one are reset at their next request.
     pub(super) fn start_generation(&self) {
         self.generation.fetch_add(1, Ordering::Relaxed);
     }
