--- a/balancer/tests/asked_lists.rs
+++ b/balancer/tests/asked_lists.rs
@@ -22,8 +22,9 @@
         .expect("the connection is open");
 }
 
-/// Guards against balancers that abandon calls after 1.2 s while discovery needs at least 1.4 s for each: it would
-/// process only abandoned calls, and balancers would never learn of draining upstreams.
+/// Guards against balancers that abandon a call after 1.2 s while discovery needs at least 1.4 s for each: discovery
+/// would process only abandoned calls, and balancers would never learn of draining upstreams. The call here waits for
+/// [`QUEUE_TIME`].
 #[test]
 fn does_not_abandon_call_that_waits_in_discovery_queue() {
     let old = StubUpstream::start(|_| ok_response("old"));
@@ -58,8 +59,8 @@
     );
 }
 
-/// Guards against a queue that stays full because a fleet, migrated to a new address all at once, retries 0.1 s after
-/// each rejection.
+/// Guards against balancers that retry 0.1 s after each rejection: when a whole fleet is moved to a new discovery
+/// address at once, its calls would keep the queue at that address full.
 #[test]
 fn backs_off_from_new_address_that_rejects_calls() {
     let upstream = StubUpstream::start(|_| ok_response("x"));
@@ -87,12 +88,12 @@
     let mut retry = accept_call();
     assert!(
         rejected_at.elapsed() >= Duration::from_millis(350),
-        "{:?}",
+        "the balancer called again only {:?} after the rejection",
         rejected_at.elapsed()
     );
     assert!(
         rejected_at.elapsed() < Duration::from_millis(2500),
-        "{:?}",
+        "the balancer called again as late as {:?} after the rejection",
         rejected_at.elapsed()
     );
     respond(
--- a/balancer/tests/bodies.rs
+++ b/balancer/tests/bodies.rs
@@ -10,8 +10,8 @@
 
 const LARGE_BODY_BYTES: usize = 3 << 20;
 
-/// Echoes request bodies, which must equal `expected`, in the framing that the request's id
-/// selects.
+/// Echoes request bodies, which must equal `expected`. The request's id selects the framing of the
+/// response: `r0` a stated length, `r1` chunks, any other id the end of the connection.
 fn echo_in_every_framing(stream: &mut BufReader<TcpStream>, expected: &[u8]) {
     loop {
         let head = read_head(stream);
@@ -136,7 +136,10 @@
     client
         .read_to_end(&mut body)
         .expect("the connection is closed");
-    assert!(body == test_bytes(LARGE_BODY_BYTES));
+    assert!(
+        body == test_bytes(LARGE_BODY_BYTES),
+        "the client got a body that differs from the one sent"
+    );
     let mut client = connect(balancer.address);
     send_bytes(
         &mut client,
@@ -264,7 +267,11 @@
         let mut rest = Vec::new();
         // A reset is also correct.
         let _ = client.read_to_end(&mut rest);
-        assert!(!rest.ends_with(b"0\r\n\r\n") && rest.len() < LARGE_BODY_BYTES);
+        assert!(
+            !rest.ends_with(b"0\r\n\r\n") && rest.len() < LARGE_BODY_BYTES,
+            "the truncated response looks complete: {} bytes",
+            rest.len()
+        );
     }
     balancer.wait_for_metric("node_errors{kind=\"read\"} 2");
     balancer.wait_for_metric("node_active 0");
@@ -279,7 +286,10 @@
         if read_head(stream).is_empty() {
             return;
         }
-        assert!(read_bytes(stream, LARGE_BODY_BYTES) == expected_body);
+        assert!(
+            read_bytes(stream, LARGE_BODY_BYTES) == expected_body,
+            "the upstream got a body that differs from the one sent"
+        );
         send_bytes(stream, b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
     });
     let balancer = BalancerProcess::with_upstreams(&[refusing_address(), upstream]);
@@ -347,14 +357,18 @@
         .recv_timeout(TEST_TIMEOUT)
         .expect("the request is forwarded");
     drop(client);
-    assert!(!upload_end
-        .recv_timeout(TEST_TIMEOUT)
-        .expect("the upstream connection ends"));
+    assert!(
+        !upload_end
+            .recv_timeout(TEST_TIMEOUT)
+            .expect("the upstream connection ends"),
+        "the upstream got the whole body of a client that disconnected"
+    );
     balancer.wait_for_metric("node_active 0");
     assert!(balancer.call_admin(b"METRICS\n").contains("node_tries 0\n"));
 }
 
-/// The body has no stated length, so its bytes are counted as they arrive.
+/// The body has no stated length, so its bytes are counted as they arrive. It exceeds the limit of
+/// 32 MiB.
 #[test]
 fn rejects_an_endless_body() {
     let upstream = start_raw_upstream(|stream| {
@@ -383,15 +397,20 @@
     ] {
         let (_signal, awaited) = channel();
         let awaited = Mutex::new(Some(awaited));
-        let upstream =
-            StubUpstream::start(move |_| match awaited.lock().expect("no panic").take() {
+        let upstream = StubUpstream::start(move |_| {
+            match awaited
+                .lock()
+                .expect("no thread panicked while it held the lock")
+                .take()
+            {
                 Some(awaited) => Reply::RespondInTwoParts(
                     format!("HTTP/1.1 200 OK\r\n{framing}"),
                     awaited,
                     String::new(),
                 ),
                 None => ok_response("x"),
-            });
+            }
+        });
         let balancer = BalancerProcess::with_upstreams(&[upstream.address]);
         let start = Instant::now();
         let request =
@@ -399,7 +418,7 @@
         let raw = call_admin(balancer.address, request.as_bytes());
         assert!(
             start.elapsed() < Duration::from_secs(6),
-            "{framing:?}: {:?}",
+            "{framing:?}: the response failed only after {:?}",
             start.elapsed()
         );
         let expected = if has_started {
--- a/balancer/tests/clients.rs
+++ b/balancer/tests/clients.rs
@@ -30,7 +30,7 @@
     assert!(silent.read_response().is_none() && used.read_response().is_none());
     assert!(
         start.elapsed() < EARLY_RESPONSE_LIMIT,
-        "{:?}",
+        "the connections were closed only after {:?}",
         start.elapsed()
     );
 }
@@ -160,7 +160,8 @@
     let balancer = BalancerProcess::start(64, &known);
     let mut kept = balancer.client();
     assert_eq!(kept.call(&get_request("r0", "10000m")).status(), 200);
-    // There are more clients than permits: the oldest connections without a request are evicted.
+    // There are more clients than the balancer may have connections: it closes the oldest ones
+    // without a request.
     let silent: Vec<Client> = (0..200).map(|_| balancer.client()).collect();
     for i in 1..5 {
         assert_eq!(
@@ -174,7 +175,7 @@
     assert_eq!(
         kept.call(&get_request("r1", "10000m")).status(),
         200,
-        "a client that was served keeps its connection"
+        "a client that was served lost its connection"
     );
     drop(silent);
 }
@@ -195,8 +196,8 @@
         .header("retry-after")
         .expect("a Retry-After header")
         .parse()
-        .expect("seconds");
-    assert!(after > 0.0 && after <= 2.0, "{after}");
+        .expect("Retry-After is a number of seconds");
+    assert!(after > 0.0 && after <= 2.0, "Retry-After is {after} s");
 }
 
 #[test]
--- a/balancer/tests/common/balancer_process.rs
+++ b/balancer/tests/common/balancer_process.rs
@@ -51,11 +51,14 @@
     /// Runs a command that starts a balancer, and waits until it serves.
     pub fn run(command: Command, discovery: StubDiscovery) -> BalancerProcess {
         let mut process = BalancerProcess::run_with_unread_log(command, discovery);
-        let unread_log = process.unread_log.take().expect("its log");
+        let unread_log = process.unread_log.take().expect("an unread log");
         let lines = process.log.clone();
         let log_reader = thread::spawn(move || {
             for line in unread_log.lines().map_while(Result::ok) {
-                lines.lock().expect("no panic").push(line);
+                lines
+                    .lock()
+                    .expect("no thread panicked while it held the lock")
+                    .push(line);
             }
         });
         process.log_reader = Some(log_reader);
@@ -71,7 +74,7 @@
             .expect("a configuration")
             .into();
         let mut child = command.spawn().expect("starts the balancer");
-        let mut stderr = BufReader::new(child.stderr.take().expect("its log"));
+        let mut stderr = BufReader::new(child.stderr.take().expect("the balancer's log is a pipe"));
         let addresses = read_addresses(&mut stderr);
         BalancerProcess {
             child,
@@ -85,13 +88,13 @@
         }
     }
 
-    /// A balancer that starts with these upstreams, and whose discovery is silent.
+    /// A balancer that starts with these upstreams. Its discovery does not respond.
     pub fn with_upstreams(upstreams: &[SocketAddr]) -> BalancerProcess {
         BalancerProcess::start(1024, &active_endpoints(upstreams))
     }
 
-    /// A balancer with an admin endpoint that starts with these upstreams, and whose discovery is
-    /// silent.
+    /// A balancer that has an admin endpoint and starts with these upstreams. Its discovery does not
+    /// respond.
     pub fn with_admin(upstreams: &[SocketAddr]) -> BalancerProcess {
         let discovery = StubDiscovery::start();
         let config = balancer_config(discovery.address, 1024, &active_endpoints(upstreams));
@@ -99,8 +102,8 @@
         BalancerProcess::run(command, discovery)
     }
 
-    /// A balancer with an admin endpoint that stores its state in this folder, and listens at the
-    /// address of `predecessor`, if there is one. It starts with these upstreams, and its discovery
+    /// A balancer that has an admin endpoint, stores its state in this folder, and listens at the
+    /// address of `predecessor` if there is one. It starts with these upstreams, and its discovery
     /// sends them again in response to the first call.
     pub fn in_state_folder(
         folder: &Path,
@@ -143,15 +146,20 @@
 
     /// The lines that it has logged since it began to serve.
     pub fn log_lines(&self) -> Vec<String> {
-        self.log.lock().expect("no panic").clone()
+        self.log
+            .lock()
+            .expect("no thread panicked while it held the lock")
+            .clone()
     }
 
     /// Kills it, and returns how many bytes of its log are unread in the pipe.
     pub fn kill_and_measure_unread_log(&mut self) -> usize {
-        self.child.kill().expect("it runs");
+        self.child.kill().expect("kills the balancer");
         let mut bytes = Vec::new();
         let unread_log = self.unread_log.as_mut().expect("an unread log");
-        unread_log.read_to_end(&mut bytes).expect("its log");
+        unread_log
+            .read_to_end(&mut bytes)
+            .expect("reads the balancer's log");
         bytes.len()
     }
 
@@ -171,7 +179,9 @@
     /// The number of its open descriptors.
     pub fn descriptor_count(&self) -> usize {
         let path = format!("/proc/{}/fd", self.child.id());
-        std::fs::read_dir(path).expect("its descriptors").count()
+        std::fs::read_dir(path)
+            .expect("lists the balancer's descriptors")
+            .count()
     }
 
     /// Waits until the number of its open descriptors satisfies `condition`; fails with the message
@@ -187,11 +197,11 @@
     /// Its resident memory, in kB.
     pub fn resident_kb(&self) -> usize {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.child.id()))
-            .expect("its status");
+            .expect("reads the balancer's status in /proc");
         let line = status
             .lines()
             .find_map(|line| line.strip_prefix("VmRSS:"))
-            .expect("its memory");
+            .expect("VmRSS in the balancer's status");
         line.trim()
             .trim_end_matches(" kB")
             .parse()
@@ -203,7 +213,7 @@
         self.signal("TERM");
     }
 
-    /// Asks it to shut down with SIGINT, as a terminal does.
+    /// Asks it to shut down with SIGINT, as a terminal does at Ctrl+C.
     pub fn interrupt(&self) {
         self.signal("INT");
     }
@@ -225,7 +235,7 @@
 
     /// Waits until it has exited and its log is read.
     pub fn wait_for_exit(&mut self) -> ExitStatus {
-        let status = self.child.wait().expect("it exits");
+        let status = self.child.wait().expect("waits for the balancer");
         if let Some(reader) = self.log_reader.take() {
             reader.join().expect("the log is read");
         }
@@ -235,7 +245,12 @@
     /// Like [`BalancerProcess::wait_for_exit`], but fails if it runs on for [`TEST_TIMEOUT`].
     pub fn wait_for_exit_in_time(&mut self) -> ExitStatus {
         let start = Instant::now();
-        while self.child.try_wait().expect("its status").is_none() {
+        while self
+            .child
+            .try_wait()
+            .expect("the balancer's exit status")
+            .is_none()
+        {
             assert!(
                 start.elapsed() < TEST_TIMEOUT,
                 "the balancer did not exit in time"
--- a/balancer/tests/common/client.rs
+++ b/balancer/tests/common/client.rs
@@ -31,7 +31,8 @@
         Client(connection)
     }
 
-    /// Disconnects. A client that has half-closed can still be read from.
+    /// Disconnects. Returns the client if it only half-closed its connection: it can still read
+    /// responses.
     pub fn disconnect(self, how: Disconnect) -> Option<Client> {
         let stream = self.0.get_ref();
         match how {
--- a/balancer/tests/common/configuration.rs
+++ b/balancer/tests/common/configuration.rs
@@ -62,13 +62,13 @@
     folder
 }
 
-/// Starts a balancer with this configuration.
+/// A command that starts a balancer with this configuration, which is written to a file.
 pub fn balancer_command(config: &str) -> Command {
     with_config_file(config, Command::new(env!("CARGO_BIN_EXE_balancer")))
 }
 
-/// Like [`balancer_command`], with a limit of descriptors (`ulimit -n`) that the configuration does
-/// not state.
+/// Like [`balancer_command`], but the balancer runs with this limit of descriptors (`ulimit -n`),
+/// which its configuration does not state.
 pub fn balancer_command_with_descriptors(config: &str, descriptors: usize) -> Command {
     let mut shell = Command::new("sh");
     let exec = format!(
@@ -79,7 +79,8 @@
     with_config_file(config, shell)
 }
 
-/// Like [`balancer_command`], but the balancer inherits that the signals it handles are ignored.
+/// Like [`balancer_command`], but the signals that the balancer handles are ignored when it
+/// starts, as it inherits this from the shell.
 pub fn balancer_command_ignoring_signals(config: &str) -> Command {
     let mut shell = Command::new("sh");
     let exec = format!(
--- a/balancer/tests/common/http.rs
+++ b/balancer/tests/common/http.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// An idempotent request.
+/// An idempotent request. `deadline` is the value of its Req-Deadline header: `1500m` is 1.5 s.
 pub fn get_request(id: &str, deadline: &str) -> String {
     format!(
         "GET /api/x?y=1 HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {id}\r\nReq-Kind: read\r\n\
@@ -75,7 +75,7 @@
     )
 }
 
-/// A request that must not run twice.
+/// A request that must not run twice. `deadline` is as in [`get_request`].
 pub fn payment_request(id: &str, deadline: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: service.internal\r\nReq-Id: {id}\r\nReq-Kind: pay\r\n\
--- a/balancer/tests/common/mod.rs
+++ b/balancer/tests/common/mod.rs
@@ -39,7 +39,7 @@
     with_read_timeout(stream)
 }
 
-/// Reads of this stream fail after [`TEST_TIMEOUT`].
+/// Buffers this stream, and sets a timeout so that its reads fail after [`TEST_TIMEOUT`].
 pub fn with_read_timeout(stream: TcpStream) -> BufReader<TcpStream> {
     stream
         .set_read_timeout(Some(TEST_TIMEOUT))
--- a/balancer/tests/common/raw_http.rs
+++ b/balancer/tests/common/raw_http.rs
@@ -53,7 +53,7 @@
     }
 }
 
-/// Bytes without repetition, so that a lost or repeated part is detected.
+/// Bytes that differ between neighbouring blocks of 256 bytes, so that a lost or repeated part is detected.
 pub fn test_bytes(length: usize) -> Vec<u8> {
     (0..length)
         .map(|i| (i ^ (i >> 8) ^ (i >> 16)) as u8)
--- a/balancer/tests/common/scripted_discovery.rs
+++ b/balancer/tests/common/scripted_discovery.rs
@@ -1,7 +1,7 @@
 //! A stand-in for polled discovery whose replies a test scripts call by call.
 //!
-//! Calls wait as watches do until [`ScriptedDiscovery::play`] makes the change and starts the script. From then on each
-//! call gets the reply of the next step, and once the script is over the change.
+//! Until [`ScriptedDiscovery::play`], each call waits for its `timeout_ms`. `play` changes the endpoint list and starts
+//! the script: from then on each call gets the reply of the next step. Calls after the last step get the change.
 use super::{endpoint_list, read_message, Message};
 use socket2::{Domain, Socket, Type};
 use std::collections::VecDeque;
@@ -11,10 +11,12 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A change counts as notified at the latest this long after discovery had it and could be reached.
+/// A change counts as notified no later than this long after discovery both had it and could be reached, even if no
+/// call has fetched it.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
-/// The version of the list before the change, and of the change.
+/// The version of the list before the change.
 const VERSION_BEFORE: u64 = 5;
+/// The version of the list after the change.
 const VERSION_AFTER: u64 = 6;
 /// Length of the listener's accept queue, in connections.
 const ACCEPT_QUEUE: i32 = 16;
@@ -44,7 +46,7 @@
     None,
     /// While the call is under way, right after it was read.
     DuringCall,
-    /// Once the reply to the call is complete.
+    /// Once the reply to the call is complete; after [`CallReply::RefuseConnections`], once the time of refusal is over.
     AfterReply,
 }
 
@@ -64,7 +66,7 @@
         }
     }
 
-    /// A call during which discovery comes back, and which fails all the same.
+    /// A call during which discovery becomes reachable, and which fails nevertheless.
     pub fn recovering_during(reply: CallReply) -> Step {
         Step {
             reply,
@@ -72,7 +74,7 @@
         }
     }
 
-    /// The last call before discovery comes back.
+    /// The last call before discovery becomes reachable.
     pub fn recovering_after(reply: CallReply) -> Step {
         Step {
             reply,
@@ -141,7 +143,7 @@
     reachable_at: Option<Instant>,
     /// When the change was first written.
     written_at: Option<Instant>,
-    /// When the first call arrived that asks for updates after the change.
+    /// When the first call asked for updates after the change, which shows that the balancer has applied it.
     followed_at: Option<Instant>,
     calls: Vec<Instant>,
 }
@@ -165,7 +167,7 @@
 enum Connection {
     Kept,
     Closed,
-    /// Closed. New ones are refused for this long; then discovery is back, if the recovery says so.
+    /// Closed. New ones are refused for this long; then the recovery is applied.
     RefusedFor(Duration, Recovery),
 }
 
@@ -191,7 +193,7 @@
     }
 
     /// Makes the change and starts the script; a call that waits now gets its first step. Discovery counts as reachable
-    /// from the step that says so, or at once if none does.
+    /// from the step made by [`Step::recovering_during`] or [`Step::recovering_after`], or at once if there is none.
     pub fn play(&self, script: &[Step]) {
         let mut state = self.shared.state();
         state.script = script.iter().copied().collect();
@@ -222,7 +224,9 @@
 
 impl Shared {
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no panic")
+        self.state
+            .lock()
+            .expect("no thread panicked while it held the lock")
     }
 
     fn accept_connections(&self, mut listener: TcpListener) {
@@ -258,6 +262,7 @@
             self.recover(step.recovery);
         }
         let connection = self.perform(step, stream, since);
+        // After a refusal, `accept_connections` recovers once the time of refusal is over.
         if !matches!(connection, Connection::RefusedFor(..)) {
             self.recover(step.recovery);
         }
@@ -319,7 +324,7 @@
         let (mut state, _) = self
             .changed
             .wait_timeout_while(state, long_poll, |state| is_notified || !state.has_changed)
-            .expect("no panic");
+            .expect("no thread panicked while it held the lock");
         if !state.has_changed {
             return None;
         }
--- a/balancer/tests/common/stub_discovery.rs
+++ b/balancer/tests/common/stub_discovery.rs
@@ -5,7 +5,8 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::thread;
 
-/// Discovery that gives one prepared response to each call, in order, and is silent without one.
+/// Discovery that gives one prepared response to each call, in order. A call for which none is
+/// prepared waits until one is.
 pub struct StubDiscovery {
     pub address: SocketAddr,
     pub calls: Receiver<Message>,
--- a/balancer/tests/common/stub_upstream.rs
+++ b/balancer/tests/common/stub_upstream.rs
@@ -53,7 +53,11 @@
     let (signal, awaited) = channel();
     let awaited = Mutex::new(Some(awaited));
     let first = ok_text(body);
-    let reply = move |_: &Message| match awaited.lock().expect("no panic").take() {
+    let reply = move |_: &Message| match awaited
+        .lock()
+        .expect("no thread panicked while it held the lock")
+        .take()
+    {
         Some(awaited) => Reply::RespondAfterSignal(awaited, first.clone()),
         None => ok_response(other),
     };
--- a/balancer/tests/disconnects.rs
+++ b/balancer/tests/disconnects.rs
@@ -1,13 +1,13 @@
 //! Clients that disconnect while their request waits. Each test covers one reason to wait, with
-//! every way of disconnecting, and without and with unread bytes behind the request: a reader
-//! reaches the end of the stream only after them.
+//! every way of disconnecting. Most tests run each way twice: without and with unread bytes after
+//! the request, as a reader reaches the end of the stream only after these bytes.
 mod common;
 use common::*;
 use std::sync::mpsc::channel;
 use std::sync::Mutex;
 use std::time::{Duration, Instant};
 
-/// Every way of disconnecting, without and with bytes behind the request.
+/// Every way of disconnecting, without and with bytes after the request.
 fn disconnect_cases() -> impl Iterator<Item = (Disconnect, String)> {
     DISCONNECTS.into_iter().flat_map(|how| {
         ["".to_string(), get_request("behind", "60000m")].map(|behind| (how, behind))
@@ -42,8 +42,8 @@
     .replace("\"idle_close\"", "\"dial_timeout\":80000,\"idle_close\"")
     .replace("\"cancel\":true", &format!("\"cancel\":{cancel}"));
     let balancer = BalancerProcess::run(balancer_command(&with_admin_endpoint(&config)), discovery);
-    // Once a call has arrived, the connection to discovery is open: its descriptor does not count
-    // as that of a dial below.
+    // Once a call has arrived, the connection to discovery is open: tests that count descriptors
+    // don't take its descriptor for that of a connection to the upstream.
     balancer.discovery.next_call_path();
     (balancer, unresponsive)
 }
@@ -77,7 +77,7 @@
     for how in DISCONNECTS {
         let (balancer, unresponsive) = balancer_with_unopened_upstream(false);
         // More than the balancer buffers, but no more than the kernel does: the end of the stream
-        // could not arrive behind a longer body.
+        // could not arrive after a longer body.
         let body = "x".repeat(70_000);
         let head = payment_request("gone", "60000m").replace(
             "Content-Length: 4\r\n\r\nbody",
@@ -113,11 +113,16 @@
         let awaited = Mutex::new(Some(awaited));
         let declined =
             "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
-        let upstream =
-            StubUpstream::start(move |_| match awaited.lock().expect("no panic").take() {
+        let upstream = StubUpstream::start(move |_| {
+            match awaited
+                .lock()
+                .expect("no thread panicked while it held the lock")
+                .take()
+            {
                 Some(awaited) => Reply::RespondAfterSignal(awaited, declined.into()),
                 None => ok_response("x"),
-            });
+            }
+        });
         let discovery = StubDiscovery::start();
         let config = balancer_config(
             discovery.address,
@@ -210,7 +215,10 @@
             disconnected_at.elapsed()
         });
         let best = rounds.min().expect("some rounds");
-        assert!(best < Duration::from_millis(50), "{how:?}: {best:?}");
+        assert!(
+            best < Duration::from_millis(50),
+            "{how:?}: the fastest round took {best:?}"
+        );
     }
 }
 
@@ -239,8 +247,8 @@
     }
 }
 
-/// Clients may write their requests while they wait for a permit. If one disconnects meanwhile, its
-/// request is not forwarded.
+/// Clients may send requests on connections that wait to be accepted, as the limit of connections is
+/// reached. If such a client disconnects, its request is not forwarded.
 #[test]
 fn does_not_forward_a_request_whose_client_disconnects_before_it_is_accepted() {
     for (how, behind) in disconnect_cases() {
@@ -248,14 +256,17 @@
         let (signal, awaited) = channel();
         let awaited = Mutex::new(Some(awaited));
         let served = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
-        let upstream =
-            StubUpstream::start(
-                move |request| match awaited.lock().expect("no panic").take() {
-                    Some(awaited) => Reply::RespondAfterSignal(awaited, served.into()),
-                    None if request.header("req-id") == Some("next") => ok_response("x"),
-                    None => Reply::NeverRespond,
-                },
-            );
+        let upstream = StubUpstream::start(move |request| {
+            match awaited
+                .lock()
+                .expect("no thread panicked while it held the lock")
+                .take()
+            {
+                Some(awaited) => Reply::RespondAfterSignal(awaited, served.into()),
+                None if request.header("req-id") == Some("next") => ok_response("x"),
+                None => Reply::NeverRespond,
+            }
+        });
         let balancer = BalancerProcess::start(
             64,
             &endpoint_list(1, true, &[(0, upstream.address, "active")]),
--- a/balancer/tests/discovery.rs
+++ b/balancer/tests/discovery.rs
@@ -8,7 +8,7 @@
     let path = discovery.next_call_path();
     assert!(
         path.starts_with(&format!("/api/targets?since={version}&")),
-        "{situation}: {path}"
+        "{situation}: expected a call since version {version}, got {path}"
     );
 }
 
@@ -58,7 +58,7 @@
     assert_eq!(
         served_by("r"),
         "old",
-        "a snapshot removes an unlisted upstream"
+        "a snapshot did not remove an unlisted upstream"
     );
     // Guards against asking forever for updates after a version that discovery does not know any
     // more since its restart.
@@ -66,7 +66,7 @@
     assert_eq!(
         discovery.next_call_path(),
         "/api/targets",
-        "a delta with an older version causes a request for a snapshot"
+        "a delta with an older version caused no request for a snapshot"
     );
     assert_eq!(served_by("r"), "old");
     discovery.respond(&endpoint_list(2, true, &[(1, new.address, "active")]));
@@ -78,14 +78,14 @@
     assert_eq!(
         discovery.next_call_path(),
         "/api/targets",
-        "an older list causes a request for a snapshot"
+        "an older list caused no request for a snapshot"
     );
     assert_eq!(served_by("r"), "new");
     discovery.respond(&endpoint_list(1, true, &[(0, old.address, "active")]));
     expect_call_since(
         discovery,
         1,
-        "a requested snapshot applies, whatever its version",
+        "after a requested snapshot with an older version",
     );
     assert_eq!(served_by("r"), "old");
 }
@@ -106,11 +106,12 @@
     let mut client = balancer.client();
     client.send(&get_request("r1", "15000m"));
     old.next_request();
-    // Guards against a process that SIGHUP ends, and against an invalid file that changes anything.
+    // Guards against SIGHUP ending the process, and against an invalid configuration file changing
+    // anything.
     balancer.reload("{");
     balancer.wait_for_log("not reloaded");
-    // A reload to an unresponsive address, and right after it one to another address, which does
-    // not wait for the first.
+    // The first reload names an unresponsive address. The second one names another address, and
+    // must not wait for the first.
     let (unresponsive, second) = (UnresponsiveListener::start(), StubDiscovery::start());
     balancer.reload(&balancer_config(unresponsive.address, 1024, "null"));
     balancer.wait_for_log(&format!("now at {}", unresponsive.address));
@@ -118,7 +119,7 @@
     assert_eq!(
         other.call(&get_request("r2", "5000m")).body,
         b"old",
-        "the known list is used until the new address sends one"
+        "the known list is not used until the new address sends one"
     );
     balancer.reload(&balancer_config(second.address, 1024, "null"));
     // Versions of the old address do not apply to the new one.
@@ -130,7 +131,7 @@
     assert_eq!(
         client.read_response().expect("a response").body,
         b"old",
-        "the request in flight continues"
+        "the request in flight did not continue"
     );
     // Another reload to a new address, while the watch waits.
     let third = StubDiscovery::start();
--- a/balancer/tests/discovery_timing.rs
+++ b/balancer/tests/discovery_timing.rs
@@ -8,7 +8,8 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// Guards against learning of a release 22 s late because one watch gets no response.
+/// Guards against a balancer that learns of an update of the endpoint list 22 s late because one
+/// watch gets no response.
 #[test]
 fn calls_discovery_again_when_a_watch_is_silent() {
     let (old, new) = (
@@ -109,7 +110,7 @@
     read_message(&mut updated).expect("the watch continues");
     assert!(
         called_at.elapsed() < Duration::from_secs(6),
-        "{:?}",
+        "the update was applied only after {:?}",
         called_at.elapsed()
     );
     assert_eq!(
@@ -138,14 +139,14 @@
         );
         assert!(
             called_at.elapsed() < Duration::from_secs(4),
-            "{:?}",
+            "the next call followed only after {:?}",
             called_at.elapsed()
         );
     }
 }
 
-/// A list that stalls, is truncated or never ends: the known list stays in use, exactly one log
-/// line names the error, and the next call follows within 5 s.
+/// If a list stalls, is truncated or never ends, the known list stays in use, exactly one log line
+/// names the error, and the next call follows within 5 s.
 #[test]
 fn ignores_truncated_and_endless_lists_without_delay() {
     let (old, new) = (
@@ -180,7 +181,7 @@
         let (_next, call) = calls.next().expect("a call to discovery");
         assert!(
             sent_at.elapsed() < Duration::from_secs(5),
-            "{:?}",
+            "the next call followed only after {:?}",
             sent_at.elapsed()
         );
         assert!(call.start_line.contains("since=1&"), "{}", call.start_line);
@@ -213,7 +214,7 @@
         drop(calls.next());
         assert!(
             failed_at.elapsed() < Duration::from_millis(1400),
-            "{:?}",
+            "the next call followed only after {:?}",
             failed_at.elapsed()
         );
     }
@@ -240,7 +241,10 @@
     }
     // Seven calls have six pauses between them.
     let took = first_call_at.expect("a call to discovery").elapsed();
-    assert!(took < Duration::from_millis(1800), "{took:?}");
+    assert!(
+        took < Duration::from_millis(1800),
+        "the seven calls took {took:?}"
+    );
 }
 
 /// An update must be applied within 4 s after a reload, so a second call to a silent address must
@@ -261,7 +265,7 @@
         .collect();
     assert!(
         reloaded_at.elapsed() < Duration::from_secs(4),
-        "{:?}",
+        "the second call followed only {:?} after the reload",
         reloaded_at.elapsed()
     );
     drop(calls);
--- a/balancer/tests/failing_calls/fault_control.rs
+++ b/balancer/tests/failing_calls/fault_control.rs
@@ -30,7 +30,7 @@
         FaultControl { path, file }
     }
 
-    /// Writes the faults of a row into the control file, from which on they are injected.
+    /// Writes the faults of a row into the control file. They are injected from then on.
     pub fn set(&self, row: &Row) {
         for fault in row.faults {
             self.file
--- a/balancer/tests/failing_calls/load.rs
+++ b/balancer/tests/failing_calls/load.rs
@@ -10,9 +10,10 @@
 
 /// Time between two requests of a client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(33);
-/// The balancer promises not to close an idle connection within this time after the last response.
+/// The balancer must not close an idle connection within this time after the last response.
 const IDLE_PROMISE: Duration = Duration::from_millis(80);
-/// For this long after SIGTERM, the balancer must accept connections if it has no successor. It promises a little more.
+/// For this long after SIGTERM, a balancer without a successor must accept connections. This is a little less than it
+/// guarantees.
 const ACCEPT_PROMISE: Duration = Duration::from_millis(400);
 /// Longest time for a response: the deadline of the requests' class, and a margin.
 const RESPONSE_LIMIT: Duration = Duration::from_millis(2500);
@@ -24,13 +25,15 @@
     Response(u16),
     /// The request was sent, and the connection closed without a response.
     ClosedWithoutResponse,
-    /// The same on a connection idle for so long that the balancer may have closed it before the request arrived.
+    /// The request was sent on a connection that was idle for at least [`IDLE_PROMISE`], and the connection closed without
+    /// a response: the balancer may have closed it before the request arrived.
     CrossedByClose,
     /// No response in time.
     Overdue,
     /// The balancer did not accept a connection.
     Refused,
-    /// The same after [`ACCEPT_PROMISE`], when it need not accept any more.
+    /// The balancer did not accept a connection later than [`ACCEPT_PROMISE`] after SIGTERM, when it need not accept any
+    /// more.
     RefusedLate,
 }
 
--- a/balancer/tests/failing_calls/preloaded_balancer.rs
+++ b/balancer/tests/failing_calls/preloaded_balancer.rs
@@ -16,7 +16,7 @@
 
 /// Time within which a process must become ready.
 const READINESS_LIMIT: Duration = Duration::from_secs(10);
-/// SIGKILL follows SIGTERM after this time: the deadline of the settings and 0.7 s.
+/// Time from SIGTERM to SIGKILL: the deadline of the settings and 0.7 s.
 const KILL_DELAY: Duration = Duration::from_millis(1700);
 /// Time within which a reload must be applied after its signal.
 const RELOAD_LIMIT: Duration = Duration::from_secs(3);
@@ -78,7 +78,7 @@
             .into();
         let mut child = command.spawn().expect("starts the balancer");
         let log = Arc::new(Mutex::new(Vec::new()));
-        let stderr = child.stderr.take().expect("its log");
+        let stderr = child.stderr.take().expect("the balancer's log is a pipe");
         let lines = log.clone();
         PreloadedBalancer {
             child,
@@ -162,7 +162,10 @@
         if let Some(reader) = self.log_reader.take() {
             reader.join().expect("the log is read");
         }
-        let log = self.log.lock().expect("no panic");
+        let log = self
+            .log
+            .lock()
+            .expect("no thread panicked while it held the lock");
         log.clone()
     }
 
@@ -205,6 +208,9 @@
 
 fn read_log(stderr: ChildStderr, lines: &Mutex<Vec<String>>) {
     for line in BufReader::new(stderr).lines().map_while(Result::ok) {
-        lines.lock().expect("no panic").push(line);
+        lines
+            .lock()
+            .expect("no thread panicked while it held the lock")
+            .push(line);
     }
 }
--- a/balancer/tests/failing_calls/runner.rs
+++ b/balancer/tests/failing_calls/runner.rs
@@ -81,12 +81,16 @@
                 }
                 let seed = seed_of(moment, row, play);
                 let result = Play::new(&ROWS[row], moment, seed).run(moment);
-                let mut reports = reports.lock().expect("no panic");
+                let mut reports = reports
+                    .lock()
+                    .expect("no thread panicked while it held the lock");
                 add_result(&mut reports[row], &ROWS[row], seed, &result);
             });
         }
     });
-    reports.into_inner().expect("no panic")
+    reports
+        .into_inner()
+        .expect("no thread panicked while it held the lock")
 }
 
 /// A seed that no other play has.
--- a/balancer/tests/failing_calls/shared_services.rs
+++ b/balancer/tests/failing_calls/shared_services.rs
@@ -1,4 +1,4 @@
-//! The upstreams and the discovery service that all plays share: with their own for each play, threads would
+//! The upstreams and the discovery service that all plays share: if each play started its own, threads would
 //! accumulate in long runs.
 use crate::common::{active_endpoints, ok_response, ok_text, read_message, StubUpstream};
 use std::io::{BufReader, Write};
--- a/balancer/tests/hollow.rs
+++ b/balancer/tests/hollow.rs
@@ -22,7 +22,8 @@
 
 const BALANCER_COUNT: usize = 40;
 const ENDPOINT_COUNT: usize = 30;
-/// Longer than any time within which discovery has to deliver a change.
+/// Time within which each balancer must have applied a change. It is longer than any time within which discovery has to
+/// deliver one.
 const MAX_UPDATE_TIME: Duration = Duration::from_secs(6);
 
 /// The endpoint list of a simulated discovery service.
@@ -51,7 +52,7 @@
 }
 
 /// A discovery service that responds to calls for the complete list at once, and to watches once there is a change
-/// after their version or their time is over.
+/// after their version or their `timeout_ms` has passed.
 #[derive(Clone)]
 struct SimulatedDiscovery {
     addr: SocketAddr,
@@ -98,14 +99,19 @@
             let since = query_parameter(&path, "since");
             let wait =
                 query_parameter(&path, "timeout_ms").map_or(Duration::ZERO, Duration::from_millis);
-            self.calls.lock().expect("no panic").push(path);
+            self.calls
+                .lock()
+                .expect("no thread panicked while it held the lock")
+                .push(path);
             let (endpoints, changed) = &*self.shared;
             let waits =
                 |endpoints: &mut Endpoints| since.is_some_and(|since| endpoints.version <= since);
-            let guard = endpoints.lock().expect("no panic");
+            let guard = endpoints
+                .lock()
+                .expect("no thread panicked while it held the lock");
             let (guard, _) = changed
                 .wait_timeout_while(guard, wait, waits)
-                .expect("no panic");
+                .expect("no thread panicked while it held the lock");
             let body = guard.response(since);
             drop(guard);
             let response = format!(
@@ -121,7 +127,9 @@
     /// Sets the state of one endpoint, and returns the new version.
     fn change(&self, number: usize, state: &'static str) -> u64 {
         let (endpoints, changed) = &*self.shared;
-        let mut endpoints = endpoints.lock().expect("no panic");
+        let mut endpoints = endpoints
+            .lock()
+            .expect("no thread panicked while it held the lock");
         endpoints.version += 1;
         let version = endpoints.version;
         endpoints
@@ -132,7 +140,10 @@
     }
 
     fn calls(&self) -> Vec<String> {
-        self.calls.lock().expect("no panic").clone()
+        self.calls
+            .lock()
+            .expect("no thread panicked while it held the lock")
+            .clone()
     }
 }
 
@@ -249,7 +260,10 @@
                     .applied_at
                     .duration_since(changed_at)
                     .expect("the update is applied after the change");
-                assert!(took < MAX_UPDATE_TIME, "{mode}: {took:?}");
+                assert!(
+                    took < MAX_UPDATE_TIME,
+                    "{mode}: the change was applied only after {took:?}"
+                );
             }
             assert_eq!(fleet.listed(), [listed; BALANCER_COUNT], "{mode}");
         }
@@ -271,7 +285,12 @@
 fn complete_list_replaces_previous_one() {
     run_on_one_thread(async {
         let discovery = SimulatedDiscovery::start(ENDPOINT_COUNT);
-        discovery.shared.0.lock().expect("no panic").always_complete = true;
+        discovery
+            .shared
+            .0
+            .lock()
+            .expect("no thread panicked while it held the lock")
+            .always_complete = true;
         let mut fleet = Fleet::start(&parsed_config(&discovery, "pushed", "null"), BALANCER_COUNT);
         fleet.wait_until_applied(1).await;
         let version = discovery.change(3, "left");
@@ -290,7 +309,12 @@
 fn cached_snapshot_saves_fetching_complete_list() {
     run_on_one_thread(async {
         let discovery = SimulatedDiscovery::start(ENDPOINT_COUNT);
-        let snapshot = discovery.shared.0.lock().expect("no panic").response(None);
+        let snapshot = discovery
+            .shared
+            .0
+            .lock()
+            .expect("no thread panicked while it held the lock")
+            .response(None);
         let version = discovery.change(3, "leaving");
         let mut fleet = Fleet::start(&parsed_config(&discovery, "pushed", &snapshot), 1);
         assert_eq!(
