--- a/balancer/tests/bodies.rs
+++ b/balancer/tests/bodies.rs
@@ -12,7 +12,7 @@
 
 /// Echoes request bodies, which must equal `expected`. The request's id selects the framing of the
 /// response: `r0` a stated length, `r1` chunks, any other id the end of the connection.
-fn echo_in_every_framing(stream: &mut BufReader<TcpStream>, expected: &[u8]) {
+fn echo_in_framing_of_id(stream: &mut BufReader<TcpStream>, expected: &[u8]) {
     loop {
         let head = read_head(stream);
         if head.is_empty() {
@@ -56,7 +56,7 @@
 fn forwards_large_bodies_unchanged_in_every_framing() {
     let body = test_bytes(LARGE_BODY_BYTES);
     let expected_body = body.clone();
-    let upstream = start_raw_upstream(move |stream| echo_in_every_framing(stream, &expected_body));
+    let upstream = start_raw_upstream(move |stream| echo_in_framing_of_id(stream, &expected_body));
     let balancer = BalancerProcess::with_upstreams(&[upstream]);
     let mut client = connect(balancer.address);
     send_bytes(
@@ -106,7 +106,7 @@
 /// An HTTP/1.0 client gets no chunks: closing the connection ends the response. A HEAD request is
 /// rejected, with a response without a body.
 #[test]
-fn sends_an_unchunked_response_to_an_http_1_0_client() {
+fn http_1_0_client_gets_no_chunks_and_head_request_is_rejected() {
     let upstream = start_raw_upstream(|stream| {
         read_head(stream);
         send_bytes(
@@ -159,7 +159,7 @@
 #[test]
 fn forwards_first_bytes_at_once_in_both_directions() {
     let (first_byte_sender, first_byte) = channel();
-    let (signal, awaited) = channel::<()>();
+    let (signal, signal_receiver) = channel::<()>();
     let upstream = start_raw_upstream(move |stream| {
         read_head(stream);
         read_bytes(stream, 1);
@@ -169,7 +169,7 @@
             stream,
             format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE_BODY_BYTES}\r\n\r\nx").as_bytes(),
         );
-        awaited.recv().expect("a signal");
+        signal_receiver.recv().expect("a signal");
         send_bytes(stream, &vec![b'x'; LARGE_BODY_BYTES - 1]);
     });
     let balancer = BalancerProcess::with_admin(&[upstream]);
@@ -336,13 +336,15 @@
 
 #[test]
 fn cleans_up_after_a_client_that_disconnects_during_its_upload() {
-    let (upload_ended, upload_end) = channel();
-    let (upload_started, upload_start) = channel();
+    let (upload_result_sender, upload_results) = channel();
+    let (upload_start_sender, upload_starts) = channel();
     let upstream = start_raw_upstream(move |stream| {
         if !read_head(stream).is_empty() {
-            upload_started.send(()).expect("the test waits");
+            upload_start_sender.send(()).expect("the test waits");
             let is_complete = stream.read_exact(&mut vec![0; LARGE_BODY_BYTES]).is_ok();
-            upload_ended.send(is_complete).expect("the test waits");
+            upload_result_sender
+                .send(is_complete)
+                .expect("the test waits");
         }
     });
     let balancer = BalancerProcess::with_admin(&[upstream]);
@@ -353,12 +355,12 @@
     );
     send_bytes(&mut client, &vec![b'x'; 100_000]);
     // A request that is not yet forwarded has no upstream connection to close.
-    upload_start
+    upload_starts
         .recv_timeout(TEST_TIMEOUT)
         .expect("the request is forwarded");
     drop(client);
     assert!(
-        !upload_end
+        !upload_results
             .recv_timeout(TEST_TIMEOUT)
             .expect("the upstream connection ends"),
         "the upstream got the whole body of a client that disconnected"
@@ -391,21 +393,21 @@
 /// deadline.
 #[test]
 fn fails_an_endless_small_response_by_the_deadline() {
-    for (framing, has_started) in [
+    for (framing, is_head_forwarded) in [
         ("Content-Length: 9\r\n\r\nhalf", false),
         ("Transfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n", true),
     ] {
-        let (_signal, awaited) = channel();
-        let awaited = Mutex::new(Some(awaited));
+        let (_signal, signal_receiver) = channel();
+        let signal_receiver = Mutex::new(Some(signal_receiver));
         let upstream = StubUpstream::start(move |_| {
-            match awaited
+            match signal_receiver
                 .lock()
                 .expect("no thread panicked while it held the lock")
                 .take()
             {
-                Some(awaited) => Reply::RespondInTwoParts(
+                Some(signal_receiver) => Reply::RespondInTwoParts(
                     format!("HTTP/1.1 200 OK\r\n{framing}"),
-                    awaited,
+                    signal_receiver,
                     String::new(),
                 ),
                 None => ok_response("x"),
@@ -421,7 +423,7 @@
             "{framing:?}: the response failed only after {:?}",
             start.elapsed()
         );
-        let expected = if has_started {
+        let expected = if is_head_forwarded {
             "HTTP/1.1 200 OK"
         } else {
             "HTTP/1.1 502 Bad Gateway"
--- a/balancer/tests/clients.rs
+++ b/balancer/tests/clients.rs
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn hundreds_of_silent_clients_do_not_shut_out_active_ones() {
+fn active_clients_are_served_despite_hundreds_of_silent_ones() {
     let upstream = StubUpstream::start(|_| ok_response("x"));
     let known = endpoint_list(1, true, &[(0, upstream.address, "active")]);
     let balancer = BalancerProcess::start(64, &known);
@@ -192,12 +192,15 @@
     upstream.next_request();
     let response = balancer.client().call(&get_request("r2", "15000m"));
     assert_eq!(response.status(), 503);
-    let after: f64 = response
+    let retry_after_seconds: f64 = response
         .header("retry-after")
         .expect("a Retry-After header")
         .parse()
         .expect("Retry-After is a number of seconds");
-    assert!(after > 0.0 && after <= 2.0, "Retry-After is {after} s");
+    assert!(
+        retry_after_seconds > 0.0 && retry_after_seconds <= 2.0,
+        "Retry-After is {retry_after_seconds} s"
+    );
 }
 
 #[test]
--- a/balancer/tests/disconnects.rs
+++ b/balancer/tests/disconnects.rs
@@ -109,17 +109,19 @@
 fn does_not_retry_for_a_client_that_disconnects_during_an_attempt() {
     for (how, behind) in disconnect_cases() {
         let case = format!("{how:?}, {} bytes behind", behind.len());
-        let (signal, awaited) = channel();
-        let awaited = Mutex::new(Some(awaited));
+        let (signal, signal_receiver) = channel();
+        let signal_receiver = Mutex::new(Some(signal_receiver));
         let declined =
             "HTTP/1.1 503 Service Unavailable\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n";
         let upstream = StubUpstream::start(move |_| {
-            match awaited
+            match signal_receiver
                 .lock()
                 .expect("no thread panicked while it held the lock")
                 .take()
             {
-                Some(awaited) => Reply::RespondAfterSignal(awaited, declined.into()),
+                Some(signal_receiver) => {
+                    Reply::RespondAfterSignal(signal_receiver, declined.into())
+                }
                 None => ok_response("x"),
             }
         });
@@ -253,16 +255,16 @@
 fn does_not_forward_a_request_whose_client_disconnects_before_it_is_accepted() {
     for (how, behind) in disconnect_cases() {
         let case = format!("{how:?}, {} bytes behind", behind.len());
-        let (signal, awaited) = channel();
-        let awaited = Mutex::new(Some(awaited));
+        let (signal, signal_receiver) = channel();
+        let signal_receiver = Mutex::new(Some(signal_receiver));
         let served = "HTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nx";
         let upstream = StubUpstream::start(move |request| {
-            match awaited
+            match signal_receiver
                 .lock()
                 .expect("no thread panicked while it held the lock")
                 .take()
             {
-                Some(awaited) => Reply::RespondAfterSignal(awaited, served.into()),
+                Some(signal_receiver) => Reply::RespondAfterSignal(signal_receiver, served.into()),
                 None if request.header("req-id") == Some("next") => ok_response("x"),
                 None => Reply::NeverRespond,
             }
--- a/balancer/tests/discovery_timing.rs
+++ b/balancer/tests/discovery_timing.rs
@@ -148,7 +148,7 @@
 /// If a list stalls, is truncated or never ends, the known list stays in use, exactly one log line
 /// names the error, and the next call follows within 5 s.
 #[test]
-fn ignores_truncated_and_endless_lists_without_delay() {
+fn calls_again_within_five_seconds_of_an_incomplete_list() {
     let (old, new) = (
         StubUpstream::start(|_| ok_response("old")),
         StubUpstream::start(|_| ok_response("new")),
