--- a/balancer/tests/failing_calls/failure.rs
+++ b/balancer/tests/failing_calls/failure.rs
@@ -12,11 +12,11 @@
     /// The process exited before it was told to.
     ExitedEarly(ExitStatus),
     /// The process did not exit with code 0.
-    Exit(ExitStatus),
+    ExitedWithError(ExitStatus),
     /// The process still ran when it would have been killed, this long after SIGTERM.
-    NoExit(Duration),
+    StillRunning(Duration),
     /// This many requests ended in this way, which the row does not allow.
-    Requests(RequestOutcome, usize),
+    WrongOutcomes(RequestOutcome, usize),
     /// No request was answered.
     NothingServed,
     /// The reload with this number was not applied in time.
--- a/balancer/tests/failing_calls/load.rs
+++ b/balancer/tests/failing_calls/load.rs
@@ -11,10 +11,10 @@
 /// Time between two requests of a client.
 const REQUEST_INTERVAL: Duration = Duration::from_millis(33);
 /// The balancer must not close an idle connection within this time after the last response.
-const IDLE_PROMISE: Duration = Duration::from_millis(80);
+const MIN_IDLE_TIME: Duration = Duration::from_millis(80);
 /// For this long after SIGTERM, a balancer without a successor must accept connections. This is a little less than it
 /// guarantees.
-const ACCEPT_PROMISE: Duration = Duration::from_millis(400);
+const MIN_ACCEPT_TIME: Duration = Duration::from_millis(400);
 /// Longest time for a response: the deadline of the requests' class, and a margin.
 const RESPONSE_LIMIT: Duration = Duration::from_millis(2500);
 
@@ -25,14 +25,14 @@
     Response(u16),
     /// The request was sent, and the connection closed without a response.
     ClosedWithoutResponse,
-    /// The request was sent on a connection that was idle for at least [`IDLE_PROMISE`], and the connection closed without
+    /// The request was sent on a connection that was idle for at least [`MIN_IDLE_TIME`], and the connection closed without
     /// a response: the balancer may have closed it before the request arrived.
-    CrossedByClose,
+    ClosedWhenIdle,
     /// No response in time.
     Overdue,
     /// The balancer did not accept a connection.
     Refused,
-    /// The balancer did not accept a connection later than [`ACCEPT_PROMISE`] after SIGTERM, when it need not accept any
+    /// The balancer did not accept a connection later than [`MIN_ACCEPT_TIME`] after SIGTERM, when it need not accept any
     /// more.
     RefusedLate,
 }
@@ -54,7 +54,7 @@
     fn must_accept(&self) -> bool {
         self.terminated_at
             .get()
-            .is_none_or(|at| at.elapsed() < ACCEPT_PROMISE)
+            .is_none_or(|at| at.elapsed() < MIN_ACCEPT_TIME)
     }
 }
 
@@ -131,16 +131,16 @@
     /// Sends a request and reads the response.
     fn exchange(&mut self, request: &str) -> Result<Message, RequestOutcome> {
         let sent_at = Instant::now();
-        let may_cross = self
+        let may_be_closed_as_idle = self
             .idle_since
-            .is_some_and(|at| sent_at.duration_since(at) >= IDLE_PROMISE);
+            .is_some_and(|at| sent_at.duration_since(at) >= MIN_IDLE_TIME);
         let written = self.stream.get_mut().write_all(request.as_bytes());
         let response = written.ok().and_then(|()| read_message(&mut self.stream));
         self.idle_since = Some(Instant::now());
         match response {
             Some(response) if sent_at.elapsed() < RESPONSE_LIMIT => Ok(response),
             _ if sent_at.elapsed() >= RESPONSE_LIMIT => Err(RequestOutcome::Overdue),
-            _ if may_cross => Err(RequestOutcome::CrossedByClose),
+            _ if may_be_closed_as_idle => Err(RequestOutcome::ClosedWhenIdle),
             _ => Err(RequestOutcome::ClosedWithoutResponse),
         }
     }
--- a/balancer/tests/failing_calls/plays.rs
+++ b/balancer/tests/failing_calls/plays.rs
@@ -80,8 +80,8 @@
         }
         let mut balancer = self.start_balancer(0);
         let result = balancer.wait_until_ready().and_then(|()| match moment {
-            Moment::Idle => self.end_idle(&mut balancer),
-            _ => self.end_under_load(moment, &mut balancer),
+            Moment::Idle => self.terminate_idle(&mut balancer),
+            _ => self.run_under_load(moment, &mut balancer),
         });
         self.failures.extend(result.err());
         self.collect_log(balancer);
@@ -100,7 +100,7 @@
         PreloadedBalancer::start(self.address.address, &self.folder, &self.faults, seed)
     }
 
-    fn end_idle(&self, balancer: &mut PreloadedBalancer) -> Result<(), Failure> {
+    fn terminate_idle(&self, balancer: &mut PreloadedBalancer) -> Result<(), Failure> {
         self.faults.set(self.row);
         thread::sleep(IDLE_PERIOD);
         balancer.check_running()?;
@@ -109,7 +109,7 @@
         balancer.wait_for_exit(terminated_at)
     }
 
-    fn end_under_load(
+    fn run_under_load(
         &mut self,
         moment: Moment,
         balancer: &mut PreloadedBalancer,
@@ -171,7 +171,7 @@
             .tally
             .iter()
             .filter(|(outcome, _)| !self.is_accepted(**outcome))
-            .map(|(outcome, count)| Failure::Requests(*outcome, *count))
+            .map(|(outcome, count)| Failure::WrongOutcomes(*outcome, *count))
             .collect();
         self.failures.extend(wrong);
     }
@@ -179,7 +179,7 @@
     fn is_accepted(&self, outcome: RequestOutcome) -> bool {
         match outcome {
             RequestOutcome::Response(200)
-            | RequestOutcome::CrossedByClose
+            | RequestOutcome::ClosedWhenIdle
             | RequestOutcome::RefusedLate => true,
             RequestOutcome::Response(502 | 503) => self.row.breaks_upstream_connections,
             _ => false,
--- a/balancer/tests/failing_calls/preloaded_balancer.rs
+++ b/balancer/tests/failing_calls/preloaded_balancer.rs
@@ -136,9 +136,9 @@
         loop {
             match self.child.try_wait().expect("its status") {
                 Some(status) if status.success() => return Ok(()),
-                Some(status) => return Err(Failure::Exit(status)),
+                Some(status) => return Err(Failure::ExitedWithError(status)),
                 None if terminated_at.elapsed() > KILL_DELAY => {
-                    return Err(Failure::NoExit(terminated_at.elapsed()));
+                    return Err(Failure::StillRunning(terminated_at.elapsed()));
                 }
                 None => thread::sleep(POLL_INTERVAL),
             }
