--- a/balancer/tests/inherited_signals.rs
+++ b/balancer/tests/inherited_signals.rs
@@ -8,7 +8,8 @@
 use std::process::Command;
 use std::thread;
 
-/// The command, configuration and discovery of a balancer with an admin endpoint.
+/// Returns the command that `command_for` makes of a configuration with an admin endpoint, that configuration, and its
+/// discovery.
 fn prepare_balancer(command_for: impl Fn(&str) -> Command) -> (Command, String, StubDiscovery) {
     let discovery = StubDiscovery::start();
     let config = with_admin_endpoint(&balancer_config(discovery.address, 1024, "null"));
--- a/balancer/tests/lifecycle.rs
+++ b/balancer/tests/lifecycle.rs
@@ -14,8 +14,8 @@
     assert_eq!(kept.call(&get_request("kept", "5000m")).status(), 200);
     let terminated_at = Instant::now();
     balancer.terminate();
-    // The balancer accepts connections for 500 ms after SIGTERM, and the test checks 400 ms. If a
-    // slow machine takes longer to get here, the check proves nothing.
+    // The balancer accepts connections for 500 ms after SIGTERM. The test expects this only in the
+    // first 400 ms: a slow machine may get here later, and then any outcome passes.
     let within = |ms| terminated_at.elapsed() < Duration::from_millis(ms);
     match balancer.try_client() {
         Some(mut late) => {
@@ -38,7 +38,8 @@
     loop {
         kept.send(&get_request("again", "5000m"));
         match kept.read_response() {
-            // With so many requests some may be rejected, as at any other time.
+            // The loop sends many requests, and the balancer may reject some of them with 503, as it
+            // may without a shutdown.
             Some(response) => assert!(matches!(response.status(), 200 | 503), "{response:?}"),
             None => break,
         }
@@ -82,11 +83,11 @@
     let terminated_at = Instant::now();
     balancer.terminate();
     balancer.wait_for_log("shutdown requested");
-    // The process exits before the client's deadline.
+    // The request is answered with 502 because the process exits before the client's deadline.
     assert_eq!(kept.call(&payment_request("late", "20000m")).status(), 502);
     assert!(
         terminated_at.elapsed() < Duration::from_millis(2500),
-        "{:?}",
+        "the request was answered {:?} after SIGTERM",
         terminated_at.elapsed()
     );
     assert_eq!(balancer.wait_for_exit().code(), Some(0));
--- a/balancer/tests/many_closes.rs
+++ b/balancer/tests/many_closes.rs
@@ -139,7 +139,8 @@
     terminate_and_expect_success(process);
 }
 
-/// Guards against a lost request, or an exit, when a wake of the event loop fails as the pool drops its connections.
+/// Guards against a failed request, or an exit of the balancer, if a write that wakes the event loop fails while the pool
+/// drops connections that the upstream closed.
 #[test]
 fn survives_an_upstream_that_closes_its_idle_connections_right_before_requests() {
     assert_survives_closed_idle_connections("closes-before", Duration::from_millis(20), 2);
@@ -185,7 +186,8 @@
     terminate_and_expect_success(process);
 }
 
-/// Guards against a shutdown that waits for a blocked change of the overrides until the process is killed.
+/// Guards against a shutdown that waits, until the process is killed, for a command whose change of the overrides waits
+/// for the lock file.
 #[test]
 fn exits_in_time_beside_a_blocked_change() {
     let folder = state_folder("blocked-change");
@@ -251,6 +253,7 @@
         .map(|id| call_status(&mut client, &format!("dials-{id}")))
         .collect();
     let injected = faults.injected(&REGISTRATIONS);
+    // Stops the faults, so that the admin connection below can be registered.
     faults.set(&Row {
         word: 0,
         ..REGISTRATIONS
--- a/balancer/tests/operators.rs
+++ b/balancer/tests/operators.rs
@@ -65,7 +65,7 @@
         .expect("a socket");
     assert!(
         read_all(incomplete).starts_with("NO a call is one line"),
-        "an incomplete line may hold an incomplete id"
+        "a line without a line end was not rejected, although its id may be incomplete"
     );
     balancer.wait_for_metric("node_pool_ejected 0");
 }
@@ -185,7 +185,7 @@
     }
 }
 
-/// Guards against opening a connection per request unnoticed.
+/// Guards against a balancer that opens a connection for each request without the metrics showing it.
 #[test]
 fn metrics_count_the_connections_opened_to_upstreams_and_those_open_now() {
     let upstream = StubUpstream::start(|request| match request.header("req-id") {
@@ -234,7 +234,7 @@
     };
     assert!(
         requests_until("suspended", 1000) < 1000,
-        "it is not used before the suspension"
+        "the upstream was not used within 1000 requests before its suspension"
     );
     assert_eq!(
         balancer.call_admin(b"SUSPEND s-0\n"),
@@ -255,17 +255,17 @@
     assert_eq!(
         requests_until("suspended", 50),
         50,
-        "its removal from the list and new listing restored it"
+        "the suspended upstream was used again after a list without it and then a list with it"
     );
     assert_eq!(balancer.call_admin(b"RESTORE s-0\n"), "YES s-0 is in use\n");
     assert!(
         requests_until("suspended", 100_000) < 100_000,
-        "it is not used after it is restored"
+        "the upstream was not used within 100000 requests after RESTORE"
     );
 }
 
-/// While paused, the balancer fails readiness checks, closes idle connections and those that it has responded on, and
-/// serves new connections. After the resume it keeps connections open and is ready.
+/// While paused, the balancer fails readiness checks, closes idle connections, and closes each other connection after a
+/// response. It still serves new connections. After RESUME it keeps connections open and is ready.
 #[test]
 fn pause_sends_clients_away_until_resume() {
     let (release, held) = std::sync::mpsc::channel();
@@ -339,7 +339,7 @@
     let mut used = balancer.client();
     assert_eq!(used.call(&get_request("1", "9000m")).status(), 200);
     assert_eq!(balancer.call_admin(b"PAUSE\n"), "YES paused\n");
-    // Its idle time is shorter than the time that the new connection has been open.
+    // `used` is closed although it has been idle for less time than `new` has been open.
     assert!(used.read_response().is_none());
     assert_eq!(new.call(&get_request("2", "9000m")).status(), 200);
 }
--- a/balancer/tests/poll_notices.rs
+++ b/balancer/tests/poll_notices.rs
@@ -1,6 +1,7 @@
-//! Notices in poll mode: regardless of how an endpoint's change, calls for the list and requests interleave, no new
-//! request is sent to an upstream later than the drain grace after the notice takes effect. It takes effect once
-//! discovery has written it, and at the latest 6 s after discovery had it and was reachable.
+//! Notices in poll mode. A notice is a change of the endpoint list that reports an upstream as draining, removed or
+//! restarted. It takes effect once discovery has written it, and at the latest 6 s after discovery had it and was
+//! reachable. Regardless of how the change, calls for the list and requests interleave, no new request is sent to a
+//! draining or removed upstream later than the drain grace after the notice takes effect.
 //!
 //! Each test forces one interleaving with a scripted discovery. Pauses between calls are random, so several balancers
 //! with different seeds run each scenario.
@@ -23,7 +24,7 @@
 const DRAIN_GRACE: Duration = Duration::from_millis(300);
 /// Tolerance for a request's transit time on a busy machine.
 const SLACK: Duration = Duration::from_millis(50);
-/// How long a watch is open before the change.
+/// How long a test waits before the change, or before it kills the old process.
 const WARM_UP: Duration = Duration::from_millis(500);
 /// How long requests continue after the notice takes effect: longer than any pause between two calls.
 const OBSERVATION: Duration = Duration::from_secs(4);
@@ -65,6 +66,7 @@
 }
 
 impl Outcome {
+    /// Whether the balancer sent a request late, applied the change late or never, or never used the upstream.
     fn violates_rule(&self, notice: Notice) -> bool {
         let limit = DRAIN_GRACE + SLACK;
         let is_applied = self.applied.is_some_and(|applied| applied <= limit);
@@ -87,9 +89,9 @@
 /// When the balancer starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Start {
-    /// Its watch is open before the change.
+    /// The balancer's watch is open before the change.
     BeforeTheChange,
-    /// It starts after the change, with the list from before it.
+    /// The balancer starts after the change, with the list from before the change.
     AfterTheChange,
 }
 
@@ -128,7 +130,8 @@
         self
     }
 
-    /// Runs the scenario with all balancers, and asserts that none sends a request late.
+    /// Runs the scenario with all balancers. Asserts that each used the upstream, applied the change in time and, unless
+    /// the upstream restarted, sent it no request late.
     fn assert_nothing_is_sent_late(&self) {
         let results: Vec<Outcome> = thread::scope(|scope| {
             let workers: Vec<_> = (0..BALANCERS)
@@ -243,7 +246,7 @@
         }
         assert!(
             started_at.elapsed() < RECOVERY_TIMEOUT,
-            "discovery did not recover by its script; calls: {:?}",
+            "the notice was not in effect for {OBSERVATION:?} within {RECOVERY_TIMEOUT:?}; calls: {:?}",
             discovery.calls()
         );
     }
@@ -278,7 +281,7 @@
     }
 }
 
-/// The script of an outage, whose first step ends the watch: these replies, then `last`.
+/// The script of an outage: these replies, then `last`. The first step is the reply to the open watch, and ends it.
 fn outage_script(calls: &[CallReply], last: Step) -> Vec<Step> {
     let mut script: Vec<Step> = calls.iter().copied().map(Step::new).collect();
     script.push(last);
@@ -287,6 +290,7 @@
 
 const REJECT: CallReply = CallReply::Reject(NO_DELAY);
 const REJECT_AFTER_QUEUE: CallReply = CallReply::Reject(QUEUE_TIMEOUT);
+/// Served from discovery's queue shortly before [`QUEUE_TIMEOUT`] would reject the call.
 const SERVE_AFTER_QUEUE: CallReply = CallReply::Serve(Duration::from_millis(1900));
 
 #[test]
@@ -364,7 +368,8 @@
     Scenario::new(script).assert_nothing_is_sent_late();
 }
 
-/// `ask_within` only sets the deadline in the simulator: on sockets, a change has at most 6 s, regardless of the setting.
+/// `ask_within` sets the deadline of a notice in the simulator only. On sockets a notice takes effect after at most 6 s,
+/// regardless of the setting.
 #[test]
 fn discovery_recovers_during_a_late_rejection_with_a_small_ask_within() {
     for ask_within_ms in [1000, 3000] {
@@ -377,7 +382,7 @@
     }
 }
 
-/// Failures of another kind must not lengthen the pause after the first rejection.
+/// Resets before the recovery must not lengthen the pause after the first rejection that follows them.
 #[test]
 fn discovery_recovers_after_resets_and_its_queue_rejects_the_first_call() {
     let mut script = outage_script(
@@ -484,7 +489,7 @@
     }
 }
 
-/// A process that can be upgraded. It listens at the address of its predecessor, if it has one.
+/// A process that can be upgraded. It listens at the address of the old process, if there is one.
 fn run_in_folder(
     folder: &Path,
     discovery: &ScriptedDiscovery,
@@ -501,8 +506,8 @@
     BalancerProcess::run(command, StubDiscovery::start())
 }
 
-/// Upgrades a balancer whose old process is notified while the new process's discovery follows `script`. Asserts that the
-/// new process sends nothing to the draining upstream.
+/// Upgrades a balancer. While the new process gets the replies of `script` from its discovery, the old process learns
+/// that an upstream drains. Asserts that the new process sends that upstream nothing later than the drain grace.
 fn assert_successor_sends_nothing_late(name: &str, script: &[Step]) {
     let scenario = Scenario::new(script.to_vec());
     let (arrivals, leaving) = recording_upstream(ok_reply);
@@ -537,7 +542,7 @@
     );
 }
 
-/// Both processes of an upgrade are the same balancer: a notice to one binds the other.
+/// Both processes of an upgrade are the same balancer: once one of them has a notice, the other must follow it too.
 #[test]
 fn successor_whose_call_is_rejected_sends_nothing_to_upstreams_its_predecessor_saw_draining() {
     assert_successor_sends_nothing_late("rejected", &[Step::new(REJECT), Step::new(REJECT)]);
@@ -548,7 +553,7 @@
     assert_successor_sends_nothing_late("rejected-late", &[Step::new(REJECT_AFTER_QUEUE)]);
 }
 
-/// An unchanged list confirms the cached one: the successor need not wait for another.
+/// An unchanged list confirms the cached one: the new process need not wait for another.
 #[test]
 fn successor_serves_once_its_cached_list_is_confirmed() {
     let (_, upstream) = recording_upstream(ok_reply);
@@ -560,10 +565,13 @@
     let started_at = Instant::now();
     run_in_folder(&folder, &discovery[1], &lists.before, Some(old.address));
     let elapsed = started_at.elapsed();
-    assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
+    assert!(
+        elapsed < Duration::from_secs(1),
+        "the new process served after {elapsed:?}"
+    );
 }
 
-/// No other process serves the clients, so the successor serves with its cached list.
+/// No other process serves the clients, so the new process serves with its cached list.
 #[test]
 fn successor_serves_at_once_after_its_predecessor_is_killed() {
     let (_, upstream) = recording_upstream(ok_reply);
@@ -574,6 +582,7 @@
     let old = run_in_folder(&folder, &discovery[0], &lists.before, None);
     let address = old.address;
     discovery[1].play(&[Step::new(CallReply::Ignore); 4]);
+    // The old process is killed once WARM_UP has passed.
     let killed_at = Instant::now() + WARM_UP;
     thread::scope(|scope| {
         scope.spawn(|| run_in_folder(&folder, &discovery[1], &lists.before, Some(address)));
@@ -581,5 +590,8 @@
         drop(old);
     });
     let elapsed = killed_at.elapsed();
-    assert!(elapsed < Duration::from_secs(1), "{elapsed:?}");
+    assert!(
+        elapsed < Duration::from_secs(1),
+        "the new process served {elapsed:?} after the old one was killed"
+    );
 }
--- a/balancer/tests/restarts.rs
+++ b/balancer/tests/restarts.rs
@@ -5,8 +5,9 @@
 use std::net::{SocketAddr, TcpListener};
 use std::time::{Duration, Instant};
 
-/// More upstreams than any fleet has had, all at one address.
+/// Number of endpoints in a large list: more than any fleet has had.
 const ENDPOINTS: usize = 1024;
+/// Longest time from the start of a process until it is ready.
 const READINESS_LIMIT: Duration = Duration::from_secs(10);
 
 /// A list of [`ENDPOINTS`] endpoints at one address.
@@ -28,7 +29,11 @@
         );
         std::thread::sleep(Duration::from_millis(20));
     }
-    assert!(since.elapsed() < READINESS_LIMIT, "{:?}", since.elapsed());
+    assert!(
+        since.elapsed() < READINESS_LIMIT,
+        "ready after {:?}",
+        since.elapsed()
+    );
 }
 
 /// The configuration, with endpoint lists pushed instead of polled if `pushed` is true.
@@ -87,7 +92,8 @@
             balancer.client().call(&get_request("r1", "5000m")).status(),
             200
         );
-        // The one line precedes "serving on", after which `log_lines` starts. No later line mentions the list.
+        // The line that reports the malformed list precedes "serving on", and `log_lines` has only later lines: none of
+        // them may mention the list.
         assert!(
             !balancer
                 .log_lines()
@@ -129,7 +135,7 @@
     );
 }
 
-/// Large indented lists, pushed and polled.
+/// The lists are large and indented; they are applied in both modes, pushed and polled.
 #[test]
 fn applies_and_changes_list_of_over_a_thousand_upstreams() {
     let old = StubUpstream::start(|_| ok_response("old"));
@@ -166,14 +172,14 @@
         }
         assert!(
             balancer.resident_kb() < 32 << 10,
-            "{} KiB",
+            "resident memory is {} KiB",
             balancer.resident_kb()
         );
     }
 }
 
-/// Silent clients take every descriptor they can get while discovery is down. Connections of operators, to upstreams and,
-/// once it has recovered, to discovery still get descriptors.
+/// Silent clients take every descriptor they can get while discovery is down. Descriptors remain for connections from
+/// operators, to upstreams, and to discovery once discovery has recovered.
 #[test]
 fn silent_clients_that_fill_descriptors_do_not_block_endpoint_updates() {
     let old = StubUpstream::start(|_| ok_response("old"));
@@ -214,7 +220,7 @@
             .contains("since=2&"));
         assert!(
             recovered_at.elapsed() < Duration::from_secs(6),
-            "{:?}",
+            "the list was applied {:?} after discovery recovered",
             recovered_at.elapsed()
         );
         assert_eq!(
--- a/balancer/tests/sockets.rs
+++ b/balancer/tests/sockets.rs
@@ -94,7 +94,7 @@
             status,
             "{to:?} for {from:?}"
         );
-        // Nothing is read after an invalid request.
+        // The balancer closes the connection after an invalid request.
         assert!(client.read_response().is_none());
         client = balancer.client();
     }
@@ -143,7 +143,8 @@
             StubUpstream::start(reply),
         );
         let balancer = BalancerProcess::with_upstreams(&[a.address, b.address]);
-        // It may have run: neither a retry nor a rejection, which would invite one.
+        // The request may have run. The balancer doesn't retry it, and answers 502 rather than 503, as a client may
+        // retry after a 503.
         assert_eq!(
             balancer
                 .client()
@@ -217,7 +218,7 @@
     assert_eq!(client.call(&payment_request("late", "300m")).status(), 502);
     upstream.next_request();
     upstream.wait_for_closed_connection();
-    // The next response belongs to the next request: the first one has no second response.
+    // The request `late` gets no second response after its 502: the next response on the connection is for `next`.
     assert_eq!(client.call(&payment_request("next", "5000m")).status(), 200);
     assert_eq!(upstream.next_request().header("req-id"), Some("next"));
 }
@@ -326,7 +327,7 @@
 fn rejects_when_the_upstream_connection_never_opens() {
     let listener = UnresponsiveListener::start();
     let balancer = BalancerProcess::with_upstreams(&[listener.address]);
-    // Nothing was sent, so a retry is safe: a rejection, also for a non-idempotent request.
+    // Nothing was sent, so a client can retry safely: even a non-idempotent request is answered 503, not 502.
     assert_eq!(
         balancer
             .client()
@@ -360,7 +361,7 @@
     let initial_count = balancer.descriptor_count();
     let mut client = balancer.client();
     client.send(&payment_request("r1", "20000m"));
-    // The client's socket and the one that dials.
+    // Two more descriptors: the client's connection and the one that the balancer dials.
     balancer.wait_for_descriptors(|n| n >= initial_count + 2, "the balancer does not dial");
     drop(client);
     balancer.wait_for_descriptors(
--- a/balancer/tests/surplus_responses.rs
+++ b/balancer/tests/surplus_responses.rs
@@ -15,10 +15,11 @@
 const UPSTREAMS: usize = 3;
 const CLIENTS: usize = 4;
 const REQUESTS_PER_CLIENT: usize = 120;
-/// Longer than a connection must stay idle before it is preferred for reuse.
+/// Longer than the idle time after which the balancer prefers a connection for reuse.
 const LONG_IDLE_TIME: Duration = Duration::from_millis(1200);
 const SERVICE_TIME: Duration = Duration::from_millis(3);
-/// Surplus data with at least this delay may reach one request before it is detected.
+/// A second copy of a response that arrives at least this late may be taken for another request's
+/// response once before the balancer detects it; an earlier copy never.
 const ALWAYS_DETECTED: Duration = Duration::from_millis(10);
 
 /// How often an upstream sends a response twice, and how long after the first copy.
@@ -126,9 +127,9 @@
     expect_few_wrong_responses(10);
 }
 
-/// An upstream with two idle connections, each used for one request. `send_surplus` makes it send a
-/// surplus response on the one that is not reused next. It does not respond to the first request
-/// "held".
+/// An upstream with two idle connections, each used for one request. `send_surplus` makes the upstream
+/// send a surplus response on the connection that the balancer doesn't reuse next, that of request
+/// `first`. The upstream doesn't respond to the first request with id `held`.
 struct TwoConnections {
     upstream: StubUpstream,
     balancer: BalancerProcess,
@@ -208,8 +209,8 @@
     assert_eq!(opened.load(Ordering::SeqCst), 3);
 }
 
-/// Guards against a fault that operators cannot notice: the metrics count it, and the log names the
-/// upstream.
+/// Guards against surplus responses that operators cannot notice: the metrics count detections and
+/// affected upstreams, and the log names the upstream.
 #[test]
 fn reports_an_upstream_that_sends_surplus_responses() {
     let surplus = Surplus {
--- a/balancer/tests/upgrade_lists.rs
+++ b/balancer/tests/upgrade_lists.rs
@@ -14,13 +14,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long polled discovery queues a call before it rejects it.
+/// How long discovery queues a call before it rejects it.
 const QUEUE_TIME: Duration = Duration::from_secs(2);
-/// A change counts as notified this long after discovery had it and could be reached.
+/// A change takes effect at the latest this long after discovery had it and could be reached.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 /// Longest time from the start of a process until it is ready.
 const READINESS_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time for a process to start, not counting what it waits for.
+/// Longest time from when a process has nothing left to wait for until it serves.
 const START_ALLOWANCE: Duration = Duration::from_secs(1);
 
 fn respond(stream: &mut BufReader<TcpStream>, status: &str, body: &str) {
@@ -119,7 +119,10 @@
     let known = active_endpoints(&[upstream.address]);
     let _new = start_successor(&folder, old.address, discovery.address, &known);
     let elapsed = started_at.elapsed();
-    assert!(elapsed < START_ALLOWANCE, "{elapsed:?}");
+    assert!(
+        elapsed < START_ALLOWANCE,
+        "the new process served after {elapsed:?}"
+    );
 }
 
 /// An outage of discovery delays an upgrade, but does not prevent it.
@@ -135,13 +138,13 @@
     let elapsed = started_at.elapsed();
     assert!(
         elapsed >= NOTIFICATION_DEADLINE && elapsed < READINESS_TIMEOUT,
-        "{elapsed:?}"
+        "the new process served after {elapsed:?}"
     );
     let response = new.client().call(&get_request("r1", "9000m"));
     assert_eq!(response.status(), 200);
 }
 
-/// No other process serves the clients then, so it must not wait.
+/// Once the old process has ended, no process serves the clients, so the new one must not wait for a list.
 #[test]
 fn new_process_takes_over_without_a_list_once_the_old_one_has_ended() {
     let upstream = StubUpstream::start(|_| ok_response(""));
@@ -159,6 +162,9 @@
     let killed_at = Instant::now();
     let new = new.join().expect("the new process serves");
     let elapsed = killed_at.elapsed();
-    assert!(elapsed < START_ALLOWANCE, "{elapsed:?}");
+    assert!(
+        elapsed < START_ALLOWANCE,
+        "the new process served {elapsed:?} after the old one was killed"
+    );
     assert_eq!(new.call_admin(b"STATUS\n"), "YES serving\n");
 }
--- a/balancer/tests/upgrade_waits.rs
+++ b/balancer/tests/upgrade_waits.rs
@@ -37,7 +37,7 @@
     command
 }
 
-/// Starts a successor to a process that is shutting down, and asserts that clients are refused only briefly.
+/// Starts a new process while the old one shuts down, and asserts that clients are refused only briefly.
 fn assert_clients_are_accepted_soon(old: &BalancerProcess, folder: &Path, upstream: SocketAddr) {
     let silent = StubDiscovery::start();
     let command = command_in(folder, &silent, upstream, &old.address.to_string());
@@ -99,7 +99,7 @@
     assert!(elapsed < START_OR_EXIT_LIMIT, "ready after {elapsed:?}");
 }
 
-/// Guards against a successor that keeps waiting for its list while the old process drains and waits for a response.
+/// Guards against a new process that keeps waiting for its list while the old one drains and waits for a response.
 #[test]
 fn clients_are_accepted_while_the_old_process_drains() {
     let unresponsive = StubUpstream::start(|_| Reply::NeverRespond);
@@ -111,7 +111,7 @@
     assert_clients_are_accepted_soon(&old, &folder, unresponsive.address);
 }
 
-/// Guards against a successor that keeps waiting for its list while the old process relays a response to a client that
+/// Guards against a new process that keeps waiting for its list while the old one relays a response to a client that
 /// does not read.
 #[test]
 fn clients_are_accepted_while_the_old_process_relays() {
@@ -125,8 +125,8 @@
     assert_clients_are_accepted_soon(&old, &folder, upstream.address);
 }
 
-/// Guards against a successor that handles signals only once it serves, or that stays registered although it exited
-/// before.
+/// Guards against a new process that handles signals only once it serves, or that exits before it serves and stays
+/// registered.
 #[test]
 fn successor_that_waits_follows_sigterm() {
     let upstream = StubUpstream::start(|_| ok_response(""));
@@ -148,7 +148,7 @@
     let after = fs::read_to_string(&stored).expect("the stored overrides");
     assert_eq!(
         after, before,
-        "the stored overrides changed: the exited successor is registered"
+        "the stored overrides changed: the exited process is registered"
     );
     assert_eq!(old.call_admin(b"STATUS\n"), "YES serving\n");
 }
--- a/balancer/tests/upgrades.rs
+++ b/balancer/tests/upgrades.rs
@@ -139,7 +139,8 @@
     assert!(old.wait_for_exit().success());
 }
 
-/// Guards against an exit on schedule that truncates a response still being relayed: only SIGKILL may do that.
+/// Guards against a process that exits at the planned end of its shutdown and so truncates a response that it still
+/// relays: only SIGKILL may truncate one.
 #[test]
 fn relayed_response_delays_exit() {
     const LARGE: usize = 1 << 20;
@@ -150,13 +151,13 @@
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: {LARGE}\r\n\r\n");
         Reply::RespondInTwoParts(text, held, "x".repeat(LARGE))
     });
-    let folder = state_folder("outlasts");
+    let folder = state_folder("relayed-response");
     let mut old = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
     let mut client = old.client_that_sent(&get_request("r1", "9000m"));
     upstream.next_request();
     old.wait_for_metric("node_tries 1");
     old.terminate();
-    // Logged once everything else has ended.
+    // The balancer logs this line once only relayed responses remain.
     old.wait_for_log("1 responses are still being relayed");
     release.send(()).expect("the upstream waits");
     assert_eq!(
@@ -198,7 +199,7 @@
 #[test]
 fn starts_without_overrides_that_cannot_be_read() {
     let upstream = StubUpstream::start(|_| ok_response(""));
-    let folder = state_folder("torn");
+    let folder = state_folder("unreadable-overrides");
     std::fs::write(
         folder.join("herondock-orders.json"),
         "{\"version\":1,\"susp",
@@ -219,7 +220,7 @@
 #[test]
 fn new_process_registers_once_folder_can_be_written_again() {
     let upstream = StubUpstream::start(|_| ok_response(""));
-    let folder = state_folder("heals");
+    let folder = state_folder("folder-returns");
     let old = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
     let aside = folder.with_extension("aside");
     std::fs::rename(&folder, &aside).expect("renames");
@@ -264,7 +265,8 @@
         );
     }
     assert_eq!(suspended.further_request_count(), 0);
-    // The previous version can read what this one wrote: the process has registered, and the pause is over.
+    // The format is unchanged, so the previous version can read the file. Only two changes were made: the process
+    // registered, and RESUME ended the pause. Each raised the revision by one.
     assert_eq!(
         std::fs::read_to_string(&file).expect("reads"),
         OVERRIDES_OF_PREVIOUS_VERSION
--- a/balancer/tests/upstreams.rs
+++ b/balancer/tests/upstreams.rs
@@ -126,8 +126,8 @@
     assert_eq!(upstream.further_request_count(), 0);
 }
 
-/// An upstream responds to a request twice, some milliseconds apart: the second response must not
-/// become the next request's.
+/// An upstream sends its response to a request twice, 4 ms apart: the balancer must not use the second
+/// one as the response to the next request.
 #[test]
 fn does_not_use_a_late_second_response_for_the_next_request() {
     let upstream = StubUpstream::start(|m| {
