--- a/balancer/tests/lifecycle.rs
+++ b/balancer/tests/lifecycle.rs
@@ -16,20 +16,26 @@
     balancer.terminate();
     // The balancer accepts connections for 500 ms after SIGTERM. The test expects this only in the
     // first 400 ms: a slow machine may get here later, and then any outcome passes.
-    let within = |ms| terminated_at.elapsed() < Duration::from_millis(ms);
+    let elapsed_is_below_ms = |ms| terminated_at.elapsed() < Duration::from_millis(ms);
     match balancer.try_client() {
         Some(mut late) => {
             late.send(&get_request("late", "5000m"));
             let status = late.read_response().map(|a| a.status());
-            assert!(status == Some(200) || !within(400), "{status:?}");
+            assert!(
+                status == Some(200) || !elapsed_is_below_ms(400),
+                "{status:?}"
+            );
         }
-        None => assert!(!within(400), "connection refused within 400 ms of SIGTERM"),
+        None => assert!(
+            !elapsed_is_below_ms(400),
+            "connection refused within 400 ms of SIGTERM"
+        ),
     }
     // Guards against closing existing connections when accepting ends: their clients may find no
     // other balancer. They are served until the balancer closes them between two requests.
     while balancer.try_client().is_some() {
         assert!(
-            within(20_000),
+            elapsed_is_below_ms(20_000),
             "the balancer still accepts connections 20 s after SIGTERM"
         );
         std::thread::yield_now();
@@ -46,7 +52,7 @@
         served += 1;
     }
     assert!(
-        served > 0 || !within(2300),
+        served > 0 || !elapsed_is_below_ms(2300),
         "the kept connection closed within 2.3 s of SIGTERM without serving a request"
     );
     signal.send(()).expect("the upstream waits");
--- a/balancer/tests/many_closes.rs
+++ b/balancer/tests/many_closes.rs
@@ -189,7 +189,7 @@
 /// Guards against a shutdown that waits, until the process is killed, for a command whose change of the overrides waits
 /// for the lock file.
 #[test]
-fn exits_in_time_beside_a_blocked_change() {
+fn exits_in_time_while_a_command_waits_for_the_lock_of_the_overrides() {
     let folder = state_folder("blocked-change");
     let faults = FaultControl::create(&folder);
     let upstream = StubUpstream::start(|_| ok_response("x"));
@@ -236,7 +236,7 @@
 /// Guards against failed requests and ejected healthy upstreams when a dialled connection cannot be registered for events
 /// at once.
 #[test]
-fn answers_while_connections_to_upstreams_do_not_register() {
+fn answers_while_half_of_the_registrations_for_events_fail() {
     let folder = state_folder("registrations");
     let faults = FaultControl::create(&folder);
     let closing = ok_text("x").replacen("\r\n", "\r\nConnection: close\r\n", 1);
--- a/balancer/tests/poll_notices.rs
+++ b/balancer/tests/poll_notices.rs
@@ -25,7 +25,7 @@
 /// Tolerance for a request's transit time on a busy machine.
 const SLACK: Duration = Duration::from_millis(50);
 /// How long a test waits before the change, or before it kills the old process.
-const WARM_UP: Duration = Duration::from_millis(500);
+const WAIT_BEFORE_EVENT: Duration = Duration::from_millis(500);
 /// How long requests continue after the notice takes effect: longer than any pause between two calls.
 const OBSERVATION: Duration = Duration::from_secs(4);
 /// How long discovery lets a call wait in its queue before it rejects it.
@@ -67,11 +67,11 @@
 
 impl Outcome {
     /// Whether the balancer sent a request late, applied the change late or never, or never used the upstream.
-    fn violates_rule(&self, notice: Notice) -> bool {
+    fn is_failure(&self, notice: Notice) -> bool {
         let limit = DRAIN_GRACE + SLACK;
-        let is_applied = self.applied.is_some_and(|applied| applied <= limit);
-        let is_sent_late = self.last_arrival.is_some_and(|arrival| arrival > limit);
-        !self.was_used || !is_applied || (is_sent_late && notice != Notice::Restarted)
+        let is_applied_in_time = self.applied.is_some_and(|applied| applied <= limit);
+        let has_late_arrival = self.last_arrival.is_some_and(|arrival| arrival > limit);
+        !self.was_used || !is_applied_in_time || (has_late_arrival && notice != Notice::Restarted)
     }
 }
 
@@ -132,7 +132,7 @@
 
     /// Runs the scenario with all balancers. Asserts that each used the upstream, applied the change in time and, unless
     /// the upstream restarted, sent it no request late.
-    fn assert_nothing_is_sent_late(&self) {
+    fn assert_notice_is_followed(&self) {
         let results: Vec<Outcome> = thread::scope(|scope| {
             let workers: Vec<_> = (0..BALANCERS)
                 .map(|seed| scope.spawn(move || self.run(seed)))
@@ -144,7 +144,7 @@
         });
         let violations: Vec<_> = results
             .iter()
-            .filter(|outcome| outcome.violates_rule(self.notice))
+            .filter(|outcome| outcome.is_failure(self.notice))
             .collect();
         assert!(
             violations.is_empty(),
@@ -166,7 +166,7 @@
         let balancer = BalancerProcess::run(balancer_command(&config), StubDiscovery::start());
         let load = Load::start(&balancer);
         if self.start == Start::BeforeTheChange {
-            thread::sleep(WARM_UP);
+            thread::sleep(WAIT_BEFORE_EVENT);
             discovery.play(&self.script);
         }
         let notified_at = observe(&discovery);
@@ -303,7 +303,7 @@
     ] {
         Scenario::new(vec![])
             .with_notice(notice)
-            .assert_nothing_is_sent_late();
+            .assert_notice_is_followed();
     }
 }
 
@@ -314,32 +314,32 @@
     for reply in [declined, || Reply::Close] {
         Scenario::new(vec![])
             .with_reply(reply)
-            .assert_nothing_is_sent_late();
+            .assert_notice_is_followed();
     }
 }
 
 #[test]
 fn one_rejection_before_discovery_recovers() {
-    Scenario::new(outage_script(&[], Step::recovering_after(REJECT))).assert_nothing_is_sent_late();
+    Scenario::new(outage_script(&[], Step::recovering_after(REJECT))).assert_notice_is_followed();
 }
 
 #[test]
 fn two_rejections_before_discovery_recovers() {
     Scenario::new(outage_script(&[REJECT], Step::recovering_after(REJECT)))
-        .assert_nothing_is_sent_late();
+        .assert_notice_is_followed();
 }
 
 #[test]
 fn three_rejections_before_discovery_recovers() {
     let scenario = Scenario::new(outage_script(&[REJECT; 2], Step::recovering_after(REJECT)));
-    scenario.assert_nothing_is_sent_late();
+    scenario.assert_notice_is_followed();
 }
 
 #[test]
-fn three_rejections_before_discovery_recovers_and_a_queue_behind_them() {
+fn discovery_recovers_after_three_rejections_and_queues_the_next_call() {
     let mut script = outage_script(&[REJECT; 2], Step::recovering_after(REJECT));
     script.push(Step::new(SERVE_AFTER_QUEUE));
-    Scenario::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_notice_is_followed();
 }
 
 /// The call in flight when discovery recovers is still rejected.
@@ -349,7 +349,7 @@
         &[REJECT],
         Step::recovering_during(REJECT_AFTER_QUEUE),
     ));
-    scenario.assert_nothing_is_sent_late();
+    scenario.assert_notice_is_followed();
 }
 
 #[test]
@@ -358,14 +358,14 @@
         &[REJECT, REJECT_AFTER_QUEUE],
         Step::recovering_during(REJECT_AFTER_QUEUE),
     ));
-    scenario.assert_nothing_is_sent_late();
+    scenario.assert_notice_is_followed();
 }
 
 #[test]
-fn discovery_recovers_during_a_call_that_it_rejects_late_and_a_queue_behind_it() {
+fn discovery_recovers_during_a_call_that_it_rejects_late_and_queues_the_next_call() {
     let mut script = outage_script(&[REJECT], Step::recovering_during(REJECT_AFTER_QUEUE));
     script.push(Step::new(SERVE_AFTER_QUEUE));
-    Scenario::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_notice_is_followed();
 }
 
 /// `ask_within` sets the deadline of a notice in the simulator only. On sockets a notice takes effect after at most 6 s,
@@ -378,7 +378,7 @@
             Step::recovering_during(REJECT_AFTER_QUEUE),
         ))
         .with_ask_within(ask_within_ms)
-        .assert_nothing_is_sent_late();
+        .assert_notice_is_followed();
     }
 }
 
@@ -391,7 +391,7 @@
     );
     script.push(Step::new(REJECT_AFTER_QUEUE));
     script.push(Step::new(CallReply::Serve(Duration::from_millis(500))));
-    Scenario::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_notice_is_followed();
 }
 
 #[test]
@@ -402,7 +402,7 @@
     );
     script.push(Step::new(REJECT));
     script.push(Step::new(CallReply::Serve(Duration::from_millis(700))));
-    Scenario::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_notice_is_followed();
 }
 
 #[test]
@@ -410,14 +410,14 @@
     let refused = CallReply::RefuseConnections(Duration::from_secs(4));
     let mut script = outage_script(&[], Step::recovering_after(refused));
     script.push(Step::new(SERVE_AFTER_QUEUE));
-    Scenario::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_notice_is_followed();
 }
 
 #[test]
 fn watch_stops_responding() {
     let mut script = vec![Step::recovering_during(CallReply::Ignore)];
     script.push(Step::new(SERVE_AFTER_QUEUE));
-    Scenario::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_notice_is_followed();
 }
 
 #[test]
@@ -427,7 +427,7 @@
         Step::new(REJECT),
         Step::new(CallReply::Serve(Duration::from_millis(1500))),
     ];
-    Scenario::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_notice_is_followed();
 }
 
 /// The balancer abandons a call; discovery recovers before the next one.
@@ -438,7 +438,7 @@
         Step::recovering_during(CallReply::Ignore),
     );
     script.push(Step::new(CallReply::Serve(Duration::from_millis(1800))));
-    Scenario::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_notice_is_followed();
 }
 
 #[test]
@@ -448,7 +448,7 @@
         Step::new(CallReply::ServeOlderList(QUEUE_TIMEOUT)),
         Step::new(CallReply::Serve(Duration::from_secs(1))),
     ];
-    Scenario::new(script).assert_nothing_is_sent_late();
+    Scenario::new(script).assert_notice_is_followed();
 }
 
 /// Calls fail in every way, one after the other, before discovery recovers.
@@ -468,7 +468,7 @@
     for notice in [Notice::Draining, Notice::Removed, Notice::Restarted] {
         Scenario::new(script.clone())
             .with_notice(notice)
-            .assert_nothing_is_sent_late();
+            .assert_notice_is_followed();
     }
 }
 
@@ -485,7 +485,7 @@
     for script in scripts {
         Scenario::new(script)
             .with_start(Start::AfterTheChange)
-            .assert_nothing_is_sent_late();
+            .assert_notice_is_followed();
     }
 }
 
@@ -494,10 +494,10 @@
     folder: &Path,
     discovery: &ScriptedDiscovery,
     known: &str,
-    predecessor: Option<SocketAddr>,
+    old_address: Option<SocketAddr>,
 ) -> BalancerProcess {
     let mut config = with_admin_endpoint(&poll_config(discovery, 0, ASK_WITHIN_MS, known));
-    if let Some(address) = predecessor {
+    if let Some(address) = old_address {
         let listen = format!("\"listen\":\"{address}\"");
         config = config.replacen("\"listen\":\"127.0.0.1:0\"", &listen, 1);
     }
@@ -508,7 +508,7 @@
 
 /// Upgrades a balancer. While the new process gets the replies of `script` from its discovery, the old process learns
 /// that an upstream drains. Asserts that the new process sends that upstream nothing later than the drain grace.
-fn assert_successor_sends_nothing_late(name: &str, script: &[Step]) {
+fn assert_new_process_sends_nothing_late(name: &str, script: &[Step]) {
     let scenario = Scenario::new(script.to_vec());
     let (arrivals, leaving) = recording_upstream(ok_reply);
     let (_, staying) = recording_upstream(ok_reply);
@@ -521,7 +521,7 @@
     let new = thread::scope(|scope| {
         let new = scope
             .spawn(|| run_in_folder(&folder, &new_discovery, &lists.before, Some(old.address)));
-        thread::sleep(WARM_UP);
+        thread::sleep(WAIT_BEFORE_EVENT);
         old_discovery.play(&[]);
         new.join().expect("the new process serves")
     });
@@ -544,18 +544,18 @@
 
 /// Both processes of an upgrade are the same balancer: once one of them has a notice, the other must follow it too.
 #[test]
-fn successor_whose_call_is_rejected_sends_nothing_to_upstreams_its_predecessor_saw_draining() {
-    assert_successor_sends_nothing_late("rejected", &[Step::new(REJECT), Step::new(REJECT)]);
+fn new_process_whose_call_is_rejected_sends_nothing_to_upstreams_the_old_one_saw_draining() {
+    assert_new_process_sends_nothing_late("rejected", &[Step::new(REJECT), Step::new(REJECT)]);
 }
 
 #[test]
-fn successor_whose_call_is_rejected_late_sends_nothing_to_upstreams_its_predecessor_saw_draining() {
-    assert_successor_sends_nothing_late("rejected-late", &[Step::new(REJECT_AFTER_QUEUE)]);
+fn new_process_whose_call_is_rejected_late_sends_nothing_to_upstreams_the_old_one_saw_draining() {
+    assert_new_process_sends_nothing_late("rejected-late", &[Step::new(REJECT_AFTER_QUEUE)]);
 }
 
 /// An unchanged list confirms the cached one: the new process need not wait for another.
 #[test]
-fn successor_serves_once_its_cached_list_is_confirmed() {
+fn new_process_serves_once_its_cached_list_is_confirmed() {
     let (_, upstream) = recording_upstream(ok_reply);
     let before = vec![(0, upstream.address, "active")];
     let lists = ListHistory::new(&before, &before, &before);
@@ -573,7 +573,7 @@
 
 /// No other process serves the clients, so the new process serves with its cached list.
 #[test]
-fn successor_serves_at_once_after_its_predecessor_is_killed() {
+fn new_process_serves_at_once_after_the_old_one_is_killed() {
     let (_, upstream) = recording_upstream(ok_reply);
     let before = vec![(0, upstream.address, "active")];
     let lists = ListHistory::new(&before, &before, &before);
@@ -582,11 +582,11 @@
     let old = run_in_folder(&folder, &discovery[0], &lists.before, None);
     let address = old.address;
     discovery[1].play(&[Step::new(CallReply::Ignore); 4]);
-    // The old process is killed once WARM_UP has passed.
-    let killed_at = Instant::now() + WARM_UP;
+    // The old process is killed once WAIT_BEFORE_EVENT has passed.
+    let killed_at = Instant::now() + WAIT_BEFORE_EVENT;
     thread::scope(|scope| {
         scope.spawn(|| run_in_folder(&folder, &discovery[1], &lists.before, Some(address)));
-        thread::sleep(WARM_UP);
+        thread::sleep(WAIT_BEFORE_EVENT);
         drop(old);
     });
     let elapsed = killed_at.elapsed();
--- a/balancer/tests/restarts.rs
+++ b/balancer/tests/restarts.rs
@@ -53,7 +53,7 @@
         refusing_address(),
         unresponsive.local_addr().expect("an address"),
     ] {
-        for push in [true, false] {
+        for pushed in [true, false] {
             let config = balancer_config(
                 discovery,
                 1024,
@@ -61,7 +61,7 @@
             );
             let started_at = Instant::now();
             let balancer = BalancerProcess::run(
-                balancer_command(&with_list_mode(config, push)),
+                balancer_command(&with_list_mode(config, pushed)),
                 StubDiscovery::start(),
             );
             wait_until_ready(&balancer, started_at);
@@ -74,15 +74,15 @@
 }
 
 #[test]
-fn starts_without_malformed_cached_list_and_logs_one_line() {
+fn ignores_malformed_cached_list_and_does_not_log_it_while_serving() {
     let upstream = StubUpstream::start(|_| ok_response("x"));
-    for push in [true, false] {
+    for pushed in [true, false] {
         let discovery = StubDiscovery::start();
         let known = endpoint_list(1, true, &[(0, refusing_address(), "odd")]);
         let config = balancer_config(discovery.address, 1024, &known);
         let started_at = Instant::now();
         let balancer =
-            BalancerProcess::run(balancer_command(&with_list_mode(config, push)), discovery);
+            BalancerProcess::run(balancer_command(&with_list_mode(config, pushed)), discovery);
         assert_eq!(balancer.discovery.next_call_path(), "/api/targets");
         balancer
             .discovery
@@ -140,12 +140,12 @@
 fn applies_and_changes_list_of_over_a_thousand_upstreams() {
     let old = StubUpstream::start(|_| ok_response("old"));
     let new = StubUpstream::start(|_| ok_response("new"));
-    for push in [true, false] {
+    for pushed in [true, false] {
         let discovery = StubDiscovery::start();
         let config = balancer_config(discovery.address, 1024, "null");
         let started_at = Instant::now();
         let balancer =
-            BalancerProcess::run(balancer_command(&with_list_mode(config, push)), discovery);
+            BalancerProcess::run(balancer_command(&with_list_mode(config, pushed)), discovery);
         balancer.discovery.next_call_path();
         balancer.discovery.respond(
             &endpoint_list(1, true, &endpoints_at(old.address))
@@ -184,7 +184,7 @@
 fn silent_clients_that_fill_descriptors_do_not_block_endpoint_updates() {
     let old = StubUpstream::start(|_| ok_response("old"));
     let new = StubUpstream::start(|_| ok_response("new"));
-    for push in [true, false] {
+    for pushed in [true, false] {
         let down = refusing_address();
         let config = balancer_config(
             down,
@@ -192,7 +192,7 @@
             &endpoint_list(1, true, &[(0, old.address, "active")]),
         );
         let balancer = BalancerProcess::run(
-            balancer_command(&with_list_mode(with_admin_endpoint(&config), push)),
+            balancer_command(&with_list_mode(with_admin_endpoint(&config), pushed)),
             StubDiscovery::start(),
         );
         let _idle: Vec<Client> = (0..200).map(|_| balancer.client()).collect();
--- a/balancer/tests/sockets.rs
+++ b/balancer/tests/sockets.rs
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn rejects_at_once_with_retry_after_without_upstreams() {
+fn rejects_at_once_and_sends_retry_after_if_no_upstream_is_known() {
     // No upstream is known, and the deadline is far off.
     let balancer = BalancerProcess::start(1024, "null");
     let mut client = balancer.client();
--- a/balancer/tests/surplus_responses.rs
+++ b/balancer/tests/surplus_responses.rs
@@ -20,7 +20,7 @@
 const SERVICE_TIME: Duration = Duration::from_millis(3);
 /// A second copy of a response that arrives at least this late may be taken for another request's
 /// response once before the balancer detects it; an earlier copy never.
-const ALWAYS_DETECTED: Duration = Duration::from_millis(10);
+const MIN_DELAY_OF_A_WRONG_RESPONSE: Duration = Duration::from_millis(10);
 
 /// How often an upstream sends a response twice, and how long after the first copy.
 #[derive(Clone, Copy, Debug)]
@@ -99,12 +99,12 @@
     by_upstream
 }
 
-fn expect_few_wrong_responses(one_in: usize) {
+fn assert_at_most_one_wrong_response_per_upstream(one_in: usize) {
     for delay_ms in [1, 4, 9, 11, 15, 25, 60, 200, 1000] {
         let delay = Duration::from_millis(delay_ms);
         let wrong = wrong_responses_by_upstream(Surplus { delay, one_in });
         println!("{delay_ms} ms, one in {one_in}: {wrong:?}");
-        let limit = usize::from(delay >= ALWAYS_DETECTED);
+        let limit = usize::from(delay >= MIN_DELAY_OF_A_WRONG_RESPONSE);
         for (upstream, count) in wrong {
             assert!(
                 count <= limit,
@@ -117,14 +117,14 @@
 /// Guards against a shift of all later responses to the wrong clients when an upstream sends each
 /// response twice.
 #[test]
-fn an_upstream_that_sends_each_response_twice_does_so_to_one_client_at_most() {
-    expect_few_wrong_responses(1);
+fn an_upstream_that_sends_each_response_twice_causes_at_most_one_wrong_response() {
+    assert_at_most_one_wrong_response_per_upstream(1);
 }
 
 /// The same for an upstream that sends one response in ten twice.
 #[test]
-fn an_upstream_that_sends_some_responses_twice_does_so_to_one_client_at_most() {
-    expect_few_wrong_responses(10);
+fn an_upstream_that_sends_some_responses_twice_causes_at_most_one_wrong_response() {
+    assert_at_most_one_wrong_response_per_upstream(10);
 }
 
 /// An upstream with two idle connections, each used for one request. `send_surplus` makes the upstream
--- a/balancer/tests/upgrade_lists.rs
+++ b/balancer/tests/upgrade_lists.rs
@@ -15,13 +15,13 @@
 use std::time::{Duration, Instant};
 
 /// How long discovery queues a call before it rejects it.
-const QUEUE_TIME: Duration = Duration::from_secs(2);
+const QUEUE_TIMEOUT: Duration = Duration::from_secs(2);
 /// A change takes effect at the latest this long after discovery had it and could be reached.
 const NOTIFICATION_DEADLINE: Duration = Duration::from_secs(6);
 /// Longest time from the start of a process until it is ready.
-const READINESS_TIMEOUT: Duration = Duration::from_secs(10);
+const READINESS_LIMIT: Duration = Duration::from_secs(10);
 /// Longest time from when a process has nothing left to wait for until it serves.
-const START_ALLOWANCE: Duration = Duration::from_secs(1);
+const START_LIMIT: Duration = Duration::from_secs(1);
 
 fn respond(stream: &mut BufReader<TcpStream>, status: &str, body: &str) {
     let text = format!(
@@ -36,7 +36,7 @@
 
 /// Starts a second process at the client address of one that serves, with this discovery and this list in its
 /// configuration. Returns once it serves.
-fn start_successor(
+fn start_new_process(
     folder: &Path,
     client_address: SocketAddr,
     discovery: SocketAddr,
@@ -52,7 +52,7 @@
     BalancerProcess::run(command, StubDiscovery::start())
 }
 
-/// Discovery that rejects the first call after [`QUEUE_TIME`] and responds to the second one with `list`. Sets the
+/// Discovery that rejects the first call after [`QUEUE_TIMEOUT`] and responds to the second one with `list`. Sets the
 /// returned flag just before that response.
 fn start_queueing_discovery(list: String) -> (SocketAddr, Arc<AtomicBool>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("binds");
@@ -66,7 +66,7 @@
             stream
         };
         let mut rejected = accept_call();
-        thread::sleep(QUEUE_TIME);
+        thread::sleep(QUEUE_TIMEOUT);
         respond(&mut rejected, "503 Service Unavailable", "");
         let mut served = accept_call();
         responded.store(true, Ordering::SeqCst);
@@ -93,7 +93,7 @@
     old.discovery.respond(&change);
     old.wait_for_metric("node_pool_size 1");
     let (discovery, has_responded) = start_queueing_discovery(change);
-    let new = start_successor(&folder, old.address, discovery, &known);
+    let new = start_new_process(&folder, old.address, discovery, &known);
     assert!(
         has_responded.load(Ordering::SeqCst),
         "the new process serves before discovery has sent it a list"
@@ -117,27 +117,27 @@
     discovery.respond(&endpoint_list(1, false, &[]));
     let started_at = Instant::now();
     let known = active_endpoints(&[upstream.address]);
-    let _new = start_successor(&folder, old.address, discovery.address, &known);
+    let _new = start_new_process(&folder, old.address, discovery.address, &known);
     let elapsed = started_at.elapsed();
     assert!(
-        elapsed < START_ALLOWANCE,
+        elapsed < START_LIMIT,
         "the new process served after {elapsed:?}"
     );
 }
 
 /// An outage of discovery delays an upgrade, but does not prevent it.
 #[test]
-fn new_process_takes_over_without_a_list_once_changes_count_as_notified() {
+fn new_process_takes_over_without_a_list_after_the_notification_deadline() {
     let upstream = StubUpstream::start(|_| ok_response(""));
     let folder = state_folder("no-list");
     let old = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
     let silent = StubDiscovery::start();
     let started_at = Instant::now();
     let known = active_endpoints(&[upstream.address]);
-    let new = start_successor(&folder, old.address, silent.address, &known);
+    let new = start_new_process(&folder, old.address, silent.address, &known);
     let elapsed = started_at.elapsed();
     assert!(
-        elapsed >= NOTIFICATION_DEADLINE && elapsed < READINESS_TIMEOUT,
+        elapsed >= NOTIFICATION_DEADLINE && elapsed < READINESS_LIMIT,
         "the new process served after {elapsed:?}"
     );
     let response = new.client().call(&get_request("r1", "9000m"));
@@ -153,17 +153,17 @@
     let silent = StubDiscovery::start();
     let known = active_endpoints(&[upstream.address]);
     let (client_address, discovery) = (old.address, silent.address);
-    let new = thread::spawn(move || start_successor(&folder, client_address, discovery, &known));
+    let new = thread::spawn(move || start_new_process(&folder, client_address, discovery, &known));
     silent.next_call_path();
     // Gives the new process time to detect the old one.
-    thread::sleep(START_ALLOWANCE);
+    thread::sleep(START_LIMIT);
     // Dropping it kills the process.
     drop(old);
     let killed_at = Instant::now();
     let new = new.join().expect("the new process serves");
     let elapsed = killed_at.elapsed();
     assert!(
-        elapsed < START_ALLOWANCE,
+        elapsed < START_LIMIT,
         "the new process served {elapsed:?} after the old one was killed"
     );
     assert_eq!(new.call_admin(b"STATUS\n"), "YES serving\n");
--- a/balancer/tests/upgrade_waits.rs
+++ b/balancer/tests/upgrade_waits.rs
@@ -88,7 +88,7 @@
 
 /// Guards against mistaking a missing state folder for a sign of another process that serves.
 #[test]
-fn lone_process_whose_folder_is_missing_is_ready_soon() {
+fn process_without_an_old_one_is_ready_soon_if_its_state_folder_is_missing() {
     let upstream = StubUpstream::start(|_| ok_response(""));
     let missing = state_folder("missing").join("no-such-folder");
     let silent = StubDiscovery::start();
@@ -128,7 +128,7 @@
 /// Guards against a new process that handles signals only once it serves, or that exits before it serves and stays
 /// registered.
 #[test]
-fn successor_that_waits_follows_sigterm() {
+fn new_process_that_waits_for_its_list_exits_at_sigterm() {
     let upstream = StubUpstream::start(|_| ok_response(""));
     let folder = state_folder("waits");
     let old = BalancerProcess::in_state_folder(&folder, None, &[upstream.address]);
--- a/balancer/tests/upgrades.rs
+++ b/balancer/tests/upgrades.rs
@@ -106,7 +106,7 @@
 
 /// Guards against a failed readiness check on a kept connection that makes the front avoid the new process.
 #[test]
-fn old_process_stays_ready_during_handoff() {
+fn old_process_stays_ready_during_an_upgrade() {
     let (release, held) = std::sync::mpsc::channel();
     let held = std::sync::Mutex::new(Some(held));
     let upstream = StubUpstream::start(move |request| match request.header("req-id") {
--- a/balancer/tests/upstreams.rs
+++ b/balancer/tests/upstreams.rs
@@ -6,7 +6,7 @@
 
 /// Asserts that a non-idempotent request that may have run is not retried: the client gets a 502,
 /// and the upstream connection is closed.
-fn expect_failed_attempt(response: &str) {
+fn assert_attempt_fails_without_retry(response: &str) {
     let text = response.to_string();
     let upstream = StubUpstream::start(move |m| match m.header("req-id") {
         Some("bad") => Reply::Respond(text.clone()),
@@ -41,10 +41,13 @@
         "HTTP/1.1 101 Switching Protocols\r\nUpgrade: x\r\nConnection: upgrade\r\n\r\n",
         "\u{1}\u{2} noise \r\n\r\n",
     ] {
-        expect_failed_attempt(response);
+        assert_attempt_fails_without_retry(response);
     }
-    expect_failed_attempt(&format!("HTTP/1.1 200 OK\r\n{}", "X-A: b\r\n".repeat(5000)));
-    expect_failed_attempt(&format!(
+    assert_attempt_fails_without_retry(&format!(
+        "HTTP/1.1 200 OK\r\n{}",
+        "X-A: b\r\n".repeat(5000)
+    ));
+    assert_attempt_fails_without_retry(&format!(
         "HTTP/1.1 200 OK\r\nX-Long: {}",
         "x".repeat(40_000)
     ));
