--- a/balancer/tests/many_closes.rs
+++ b/balancer/tests/many_closes.rs
@@ -139,7 +139,8 @@
     terminate_and_expect_success(process);
 }
 
-/// Guards against a lost request, or an exit, when a wake of the event loop fails as the pool drops its connections.
+/// Guards against a failed request, or an exit of the balancer, if a write that wakes the event loop fails while the pool
+/// drops connections that the upstream closed.
 #[test]
 fn survives_an_upstream_that_closes_its_idle_connections_right_before_requests() {
     assert_survives_closed_idle_connections("closes-before", Duration::from_millis(20), 2);
@@ -185,9 +186,10 @@
     terminate_and_expect_success(process);
 }
 
-/// Guards against a shutdown that waits for a blocked change of the overrides until the process is killed.
+/// Guards against a shutdown that waits, until the process is killed, for a command whose change of the overrides waits
+/// for the lock file.
 #[test]
-fn exits_in_time_beside_a_blocked_change() {
+fn exits_in_time_while_a_command_waits_for_the_lock_of_the_overrides() {
     let folder = state_folder("blocked-change");
     let faults = FaultControl::create(&folder);
     let upstream = StubUpstream::start(|_| ok_response("x"));
@@ -234,7 +236,7 @@
 /// Guards against failed requests and ejected healthy upstreams when a dialled connection cannot be registered for events
 /// at once.
 #[test]
-fn answers_while_connections_to_upstreams_do_not_register() {
+fn answers_while_half_of_the_registrations_for_events_fail() {
     let folder = state_folder("registrations");
     let faults = FaultControl::create(&folder);
     let closing = ok_text("x").replacen("\r\n", "\r\nConnection: close\r\n", 1);
@@ -251,6 +253,7 @@
         .map(|id| call_status(&mut client, &format!("dials-{id}")))
         .collect();
     let injected = faults.injected(&REGISTRATIONS);
+    // Stops the faults, so that the admin connection below can be registered.
     faults.set(&Row {
         word: 0,
         ..REGISTRATIONS
