--- a/scale/src/client.rs
+++ b/scale/src/client.rs
@@ -82,7 +82,7 @@
     pub status: StatusCode,
     /// Its body.
     pub body: Bytes,
-    /// The connection that carried the call in the end.
+    /// The connection that carried the call; a new one if the call asked for it or no idle connection was usable.
     pub connection: ConnectionUse,
 }
 
@@ -152,7 +152,8 @@
         }
     }
 
-    /// Uses an idle connection, or a new one where there is none; it is idle again afterwards.
+    /// Uses an idle connection, or a new one where there is none. The connection is idle again after a complete
+    /// response.
     async fn exchange_on_idle(
         &self,
         mut request: Request<Full<Bytes>>,
--- a/scale/src/discovery.rs
+++ b/scale/src/discovery.rs
@@ -18,7 +18,7 @@
 const PATH: &str = "/api/targets";
 /// A watch waits at most this long, whatever timeout it asks for.
 const MAX_WATCH_TIMEOUT: Duration = Duration::from_secs(60);
-/// Stands for the version that a connection has acknowledged before its first watch.
+/// The acknowledged version of a connection that has not acknowledged any version yet.
 const NO_VERSION: u64 = u64::MAX;
 
 /// A running discovery. It ends when dropped.
--- a/scale/src/discovery/registry.rs
+++ b/scale/src/discovery/registry.rs
@@ -38,7 +38,7 @@
     group: u16,
     state: EndpointState,
     weight: f64,
-    /// Milliseconds since the epoch; zero: long ago.
+    /// When the endpoint started, in milliseconds since the Unix epoch; 0 for an endpoint that started long ago.
     #[serde(rename = "started_ms")]
     started_at_ms: u64,
 }
@@ -99,7 +99,7 @@
     watchers: AtomicUsize,
 }
 
-/// A change that a delta can still be made of.
+/// A change in the history, from which deltas are built.
 struct RecentChange {
     version: u64,
     position: usize,
@@ -111,8 +111,9 @@
     history: VecDeque<RecentChange>,
     max_history: usize,
     version: u64,
+    /// All changes since the start, with their acknowledgements.
     changes: Vec<PublishedChange>,
-    /// Responses for the present version, by the version that they start from; none: snapshots.
+    /// Responses for the present version. The key is the version that a delta starts from, or none for a snapshot.
     responses: HashMap<Option<u64>, Bytes>,
 }
 
@@ -150,7 +151,7 @@
     /// Waits until the version differs from `since`, at most for `timeout`.
     pub async fn wait_for_change(&self, since: u64, timeout: Duration) {
         let mut versions = self.version.subscribe();
-        // A change and the timeout are answered alike.
+        // The result is ignored: a watch is answered in the same way after a change and after the timeout.
         let _ = tokio::time::timeout(timeout, versions.wait_for(|&version| version != since)).await;
     }
 
--- a/scale/src/error.rs
+++ b/scale/src/error.rs
@@ -72,7 +72,7 @@
     /// Balancers did not become ready.
     #[error("not ready within {seconds} s: {name}")]
     NotReady {
-        /// Which balancers.
+        /// The process that is not ready, or how many balancers are ready.
         name: String,
         /// The time allowed.
         seconds: u64,
@@ -89,7 +89,7 @@
     #[error("cannot read the size of the machine's memory: {0}")]
     MemoryUnreadable(#[source] procfs::ProcError),
     /// All processes together use more memory than a run may use.
-    #[error("the run uses {used_mb:.0} MB; the limit is {allowed_mb:.0} MB, half of the machine's memory")]
+    #[error("the run uses {used_mb:.0} MiB; the limit is {allowed_mb:.0} MiB, half of the machine's memory")]
     TooMuchMemory {
         /// Memory in use, in MiB.
         used_mb: f64,
--- a/scale/src/experiment.rs
+++ b/scale/src/experiment.rs
@@ -19,9 +19,9 @@
     pub purpose: String,
     /// Number of measurements of each point.
     pub repeats: u32,
-    /// Time at the start of each measurement that is not evaluated, in seconds.
+    /// How long each measurement runs before its evaluated time begins, in seconds.
     pub warmup_seconds: f64,
-    /// Time of each measurement that is evaluated, in seconds.
+    /// Length of the evaluated time of each measurement, in seconds.
     pub measure_seconds: f64,
     /// Seed of all random choices.
     #[serde(default = "default_seed")]
@@ -203,7 +203,8 @@
         })
     }
 
-    /// Loads in one repeat of all points: one through the balancers for each point, and a direct one if there is one.
+    /// Loads in one repeat of all points: one through the balancers for each point, and a direct one for each point if
+    /// `direct` is set.
     fn loads(&self) -> usize {
         let loads_per_point = if self.direct { 2 } else { 1 };
         self.sizes().count() * loads_per_point
--- a/scale/src/experiment/validation.rs
+++ b/scale/src/experiment/validation.rs
@@ -114,7 +114,7 @@
         require(
             self.balancers() > 0,
             "control.real_balancers",
-            "at least one balancer is needed",
+            "at least one real or hollow balancer is needed",
         )?;
         let min_processes = u32::from(self.hollow_balancers > 0);
         AllowedRange::new(min_processes, self.hollow_balancers)
@@ -196,7 +196,7 @@
         return Ok(());
     }
     let requirement = format!(
-        "needs {needed_mb:.0} MB; the limit is {allowed_mb:.0} MB, half of the machine's memory"
+        "needs an estimated {needed_mb:.0} MiB; the limit is {allowed_mb:.0} MiB, half of the machine's memory"
     );
     Err(invalid(key, requirement))
 }
--- a/scale/src/hollow.rs
+++ b/scale/src/hollow.rs
@@ -25,8 +25,8 @@
 }
 
 impl HollowProcess {
-    /// Starts this number of balancers. Each has the configuration with a seed of its own, counted up from the
-    /// configuration's seed.
+    /// Starts this number of balancers. Each has the configuration, but with its own seed: the configuration's seed
+    /// plus the balancer's number in this process.
     pub fn start(
         workspace: &Workspace,
         configuration: &Configuration,
@@ -67,6 +67,7 @@
         seed: config.seed.wrapping_add(u64::from(number)),
         log: LogOutput::Discard,
     };
-    // The stand-in of discovery learns from the next watch that an update is in force.
+    // The callback ignores updates: the stand-in of discovery learns from a balancer's next watch which version the
+    // balancer has in force.
     HollowBalancer::start(options, |_| {}).map_err(|error| ScaleError::Configuration(error.into()))
 }
--- a/scale/src/load.rs
+++ b/scale/src/load.rs
@@ -164,7 +164,7 @@
         });
     }
 
-    /// Returns whether the time came before the load was stopped.
+    /// Sleeps until this time. Returns false if the load was stopped before it.
     fn sleep_until(&self, time: Instant) -> bool {
         loop {
             if self.stopped.load(Ordering::Relaxed) {
@@ -207,7 +207,7 @@
 /// A call and its time in the plan.
 struct PlannedCall {
     call: Call,
-    /// The load's start on the run's clock.
+    /// The load's start on the measurement's clock.
     load_start: Duration,
     /// Time since the load's start.
     planned_at: Duration,
--- a/scale/src/process.rs
+++ b/scale/src/process.rs
@@ -15,7 +15,7 @@
 
 impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // Both fail only for a process that has already ended.
+        // `kill` and `wait` fail only for a process that has already ended.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
@@ -65,8 +65,8 @@
     }
 }
 
-/// Reads a process's log until its end, so that the process never blocks on a full pipe. The returned value holds the
-/// last line.
+/// Reads a process's log until its end, so that the process never blocks on a full pipe. The returned value
+/// always holds the last line read so far.
 fn follow_log(name: &str, child: &mut Child) -> Arc<Mutex<String>> {
     let last_line = Arc::new(Mutex::new(String::new()));
     let Some(log) = child.stderr.take() else {
--- a/scale/src/report/growth.rs
+++ b/scale/src/report/growth.rs
@@ -6,7 +6,7 @@
 
 /// The depth that the growth is extrapolated to.
 const EXTRAPOLATED_DEPTH: u32 = 25;
-/// Minimum number of depths, and of samples, for a fitted line with an error of its slope.
+/// Minimum number of depths, and of samples, that allow a standard error of the fitted slope.
 const MIN_DEPTHS: usize = 3;
 /// Half the width of a 95% confidence interval of normally distributed errors, in standard errors.
 const NORMAL_95: f64 = 1.96;
@@ -29,7 +29,7 @@
     pub per_hop_95: [f64; 2],
     /// Attempts at depth 25 by the fitted line, extrapolated.
     pub at_depth_25: f64,
-    /// The same with the ends of the factor's interval.
+    /// Attempts at depth 25 computed with each end of the factor's 95% confidence interval.
     pub at_depth_25_95: [f64; 2],
 }
 
@@ -119,7 +119,8 @@
 }
 
 impl Line {
-    /// Least squares; none where all samples have the same depth or there are too few of them for an error.
+    /// A least-squares fit; none where all samples have the same depth or there are too few of them for a standard
+    /// error of the slope.
     fn fit(samples: &[Sample]) -> Option<Line> {
         let count = samples.len() as f64;
         let mean_hops = samples.iter().map(|s| s.hops).sum::<f64>() / count;
--- a/scale/src/report/growth/tests.rs
+++ b/scale/src/report/growth/tests.rs
@@ -28,7 +28,8 @@
         (line.slope.exp() - 1.2).abs() < 1e-9,
         "errors cancel out at each depth"
     );
-    // Variance 6 * 0.1^2 / 4 over a variation of the hops of 4.
+    // The squared residuals of 6 samples sum to 6 * 0.1^2; divided by 6 - 2 degrees of freedom, the variance is 0.015.
+    // The squared deviations of the hops from their mean sum to 4.
     assert!((line.slope_error - (0.015_f64 / 4.0).sqrt()).abs() < 1e-9);
 }
 
--- a/scale/src/report/measurement.rs
+++ b/scale/src/report/measurement.rs
@@ -81,7 +81,7 @@
 pub struct ControlMeasurement {
     /// Each real balancer.
     pub real: Vec<BalancerUsage>,
-    /// The mean balancer of each process of hollow balancers.
+    /// The mean usage per balancer of each process of hollow balancers.
     pub hollow: Vec<BalancerUsage>,
     /// From the start of the first balancer until all balancers watched discovery, in seconds.
     pub all_watch_after_seconds: f64,
--- a/scale/src/report/metrics.rs
+++ b/scale/src/report/metrics.rs
@@ -103,7 +103,7 @@
     }
 }
 
-/// Each percentile through the balancers less the same one directly.
+/// Each percentile of the load through the balancers minus the same percentile of the direct load.
 fn percentile_differences(
     names: PercentileNames,
     balanced: &Percentiles,
--- a/scale/src/report/point.rs
+++ b/scale/src/report/point.rs
@@ -3,7 +3,7 @@
 use crate::statistics::{spreads, Metric, Spread};
 use serde::Serialize;
 
-/// One combination of sizes.
+/// One combination of sizes with its measurements.
 #[derive(Clone, Debug, Serialize)]
 pub struct Point<S, M> {
     /// The sizes.
--- a/scale/src/report/table.rs
+++ b/scale/src/report/table.rs
@@ -45,7 +45,8 @@
     )
 }
 
-/// The fitted growth, with the ends of its 95% interval in place of a spread over repeats.
+/// The fitted growth. The columns for the smallest and the greatest value hold the ends of its 95% interval, not a
+/// spread over repeats.
 fn growth_rows(growth: &Growth) -> [Row; 2] {
     let label = format!(
         "{} calls/s, {}% failing",
--- a/scale/src/run/chain.rs
+++ b/scale/src/run/chain.rs
@@ -18,8 +18,8 @@
 const QUOTA_FACTOR: f64 = 4.0;
 /// Changes that a chain's discovery remembers; its list never changes.
 const HISTORY: usize = 1;
-/// Distances between the seeds of repeats and of tiers. Each is at least the number of seeds in between, so that
-/// instances of different repeats and tiers have different seeds.
+/// Distances between the seeds of repeats and of tiers. Each is at least the number of seeds that one repeat or
+/// one tier uses, so that instances of different repeats and tiers have different seeds.
 const SEEDS_PER_REPEAT: u64 = 10_000;
 const SEEDS_PER_TIER: u64 = 100;
 const MILLIS_PER_SECOND: f64 = 1000.0;
@@ -43,7 +43,7 @@
     discovery: Discovery,
 }
 
-/// The usage and counters of a chain at one time, since its start.
+/// The usage of the first balancer and the attempts at each service, counted from the chain's start until one time.
 pub(super) struct ChainSnapshot {
     pub(super) first_balancer: Usage,
     /// Attempts that reached each service, the first service first.
@@ -68,7 +68,7 @@
         };
         let mut services = Vec::new();
         let mut other_balancers = Vec::new();
-        // The balancers that send into the tier that was started last.
+        // The balancers that send calls to the service started last; the next service started calls through them.
         let mut balancers = Vec::new();
         for tier in (0..size.depth).rev() {
             let service = builder.start_service(tier, &balancers)?;
@@ -90,7 +90,7 @@
         self.first_balancer.address
     }
 
-    /// New connections to the instances of the first service.
+    /// A new connection pool for each instance of the first service.
     pub(super) fn direct_pools(&self) -> Vec<Arc<ConnectionPool>> {
         let instances = self.services.last().map(|service| &service.instances);
         instances
--- a/scale/src/run/context.rs
+++ b/scale/src/run/context.rs
@@ -6,8 +6,8 @@
 use crate::hollow::HollowProcess;
 use std::time::Duration;
 
-/// Distance between the seeds derived from two experiment seeds. It is larger than the number of repeats, so that the
-/// seeds of their repeats differ.
+/// Distance between the first seeds of two experiments whose `seed` differs by one. It is larger than the number of
+/// repeats, so that repeats of the two experiments have different seeds.
 const SEEDS_PER_EXPERIMENT: u64 = 1000;
 
 /// The experiment, and everything that is needed to start its processes.
@@ -34,12 +34,12 @@
         &self.experiment
     }
 
-    /// Time at the start of a measurement that is not evaluated.
+    /// How long a measurement runs before its evaluated time begins.
     pub(super) fn warmup(&self) -> Duration {
         Duration::from_secs_f64(self.experiment.warmup_seconds)
     }
 
-    /// Time of a measurement that is evaluated.
+    /// Length of the evaluated time of a measurement.
     pub(super) fn measure(&self) -> Duration {
         Duration::from_secs_f64(self.experiment.measure_seconds)
     }
--- a/scale/src/run/control.rs
+++ b/scale/src/run/control.rs
@@ -14,7 +14,7 @@
 /// Endpoints have loopback addresses without a listener. Nothing is sent to them.
 const UNUSED_NETWORK: u32 = u32::from_be_bytes([127, 100, 0, 0]);
 const UNUSED_PORT: u16 = 9;
-/// Time allowed after the measurement until all balancers have its last changes in force.
+/// Time allowed after the evaluated time until all balancers have the last changes published in it in force.
 const SETTLE_TIMEOUT: Duration = Duration::from_secs(5);
 const SETTLE_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Fraction of balancers for `in_force_at_99_percent`.
@@ -105,7 +105,7 @@
     }
 }
 
-/// The changes of the window, once all balancers have them in force or the timeout has passed.
+/// Returns the changes of the window after all balancers have them in force or the timeout has passed.
 async fn settled_changes(
     discovery: &Discovery,
     balancers: usize,
--- a/scale/src/server.rs
+++ b/scale/src/server.rs
@@ -88,7 +88,7 @@
         let connection =
             http1::Builder::new().serve_connection(TokioIo::new(stream), new_session());
         connections.spawn(async move {
-            // The other side sees how the connection ended.
+            // The result is ignored: a client notices itself that its connection failed.
             let _ = connection.await;
         });
         while connections.try_join_next().is_some() {}
--- a/scale/src/timing.rs
+++ b/scale/src/timing.rs
@@ -1,4 +1,4 @@
-//! The clock of a run, and the times that a service reports in its responses.
+//! The clock of a measurement, and the times that a service reports in its responses.
 use serde::{Deserialize, Serialize};
 use std::time::{Duration, Instant};
 
@@ -6,7 +6,7 @@
 const TIMES_END: u8 = b'\n';
 const PADDING: u8 = b'.';
 
-/// A clock that clients and services of a run share.
+/// A clock that the clients and services of one measurement of calls share.
 #[derive(Clone, Copy, Debug)]
 pub struct RunClock {
     started_at: Instant,
@@ -31,14 +31,14 @@
     }
 }
 
-/// When a service received a request and when it responded, as times since the run's start. Each response body begins
-/// with them, so that a client can subtract the service's own time.
+/// When a service received a request and when it responded, as times since the measurement's start. Each response body
+/// begins with them, so that a client can subtract the service's own time.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize)]
 pub struct ServiceTimes {
-    /// The request's last byte was read.
+    /// When the request's last byte had been read.
     #[serde(rename = "received")]
     pub received_at: Duration,
-    /// The response was ready.
+    /// When the response was ready.
     #[serde(rename = "answered")]
     pub responded_at: Duration,
 }
--- a/scale/src/toml_file.rs
+++ b/scale/src/toml_file.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::Path;
 
-/// Reads a TOML file. The error names the line at fault.
+/// Reads a TOML file. The error contains the number of the invalid line.
 pub fn read_toml<T: DeserializeOwned>(path: &Path) -> Result<T, ScaleError> {
     let text = fs::read_to_string(path).map_err(|source| ScaleError::Unreadable {
         path: path.to_path_buf(),
--- a/scale/tests/command.rs
+++ b/scale/tests/command.rs
@@ -64,7 +64,10 @@
     let errors = String::from_utf8(output.stderr.clone()).expect("text");
     assert!(!output.status.success(), "it fails: {errors}");
     assert_eq!(errors.lines().count(), 1, "one line: {errors}");
-    assert!(errors.starts_with("scale: "), "plain: {errors}");
+    assert!(
+        errors.starts_with("scale: "),
+        "the error is a line that starts with scale: {errors}"
+    );
     assert!(errors.contains(wanted), "{wanted:?} in {errors}");
     assert!(output.stdout.is_empty(), "nothing was measured");
 }
@@ -118,7 +121,11 @@
         let attempts = point["repeats"][0]["attempts_per_call"]
             .as_array()
             .expect("attempts");
-        assert_eq!(attempts.len() as u64, depth, "one figure for each service");
+        assert_eq!(
+            attempts.len() as u64,
+            depth,
+            "one number of attempts for each service"
+        );
     }
     let control = &report["control"][0]["repeats"][0];
     assert_eq!(control["real"].as_array().map(Vec::len), Some(3));
--- a/scale/tests/stand_ins.rs
+++ b/scale/tests/stand_ins.rs
@@ -246,7 +246,7 @@
             };
             match pool.call(&call).await {
                 Ok(response) => break response,
-                // This call came first, and the other one is rejected.
+                // This call entered the queue before the spawned call and timed out; the loop sends another.
                 Err(_) => tokio::task::yield_now().await,
             }
         };
