--- a/scale/src/balancer.rs
+++ b/scale/src/balancer.rs
@@ -133,7 +133,7 @@
             self.process.ensure_running()?;
             if started_at.elapsed() > READY_TIMEOUT {
                 return Err(ScaleError::NotReady {
-                    name: self.process.name().to_string(),
+                    balancers: self.process.name().to_string(),
                     seconds: READY_TIMEOUT.as_secs(),
                 });
             }
--- a/scale/src/discovery/registry.rs
+++ b/scale/src/discovery/registry.rs
@@ -112,7 +112,7 @@
     max_history: usize,
     version: u64,
     /// All changes since the start, with their acknowledgements.
-    changes: Vec<PublishedChange>,
+    published_changes: Vec<PublishedChange>,
     /// Responses for the present version. The key is the version that a delta starts from, or none for a snapshot.
     responses: HashMap<Option<u64>, Bytes>,
 }
@@ -125,7 +125,7 @@
             history: VecDeque::new(),
             max_history,
             version: FIRST_VERSION,
-            changes: Vec::new(),
+            published_changes: Vec::new(),
             responses: HashMap::new(),
         };
         Registry {
@@ -184,9 +184,9 @@
         }
         let mut state = self.lock_state();
         let position = |version: u64| version.saturating_sub(FIRST_VERSION) as usize;
-        let end = position(current).min(state.changes.len());
+        let end = position(current).min(state.published_changes.len());
         let start = position(previous).min(end);
-        for change in &mut state.changes[start..end] {
+        for change in &mut state.published_changes[start..end] {
             change
                 .acknowledged_after
                 .push(change.published_at.elapsed());
@@ -195,7 +195,7 @@
 
     /// All changes so far, the oldest first.
     pub fn published_changes(&self) -> Vec<PublishedChange> {
-        self.lock_state().changes.clone()
+        self.lock_state().published_changes.clone()
     }
 
     fn lock_state(&self) -> MutexGuard<'_, State> {
@@ -215,7 +215,7 @@
             self.history.pop_front();
         }
         self.responses.clear();
-        self.changes.push(PublishedChange {
+        self.published_changes.push(PublishedChange {
             published_at: Instant::now(),
             acknowledged_after: Vec::new(),
         });
--- a/scale/src/error.rs
+++ b/scale/src/error.rs
@@ -70,10 +70,10 @@
         log: String,
     },
     /// Balancers did not become ready.
-    #[error("not ready within {seconds} s: {name}")]
+    #[error("not ready within {seconds} s: {balancers}")]
     NotReady {
         /// The process that is not ready, or how many balancers are ready.
-        name: String,
+        balancers: String,
         /// The time allowed.
         seconds: u64,
     },
--- a/scale/src/load.rs
+++ b/scale/src/load.rs
@@ -1,7 +1,7 @@
 //! Open-loop clients: they send calls at the planned times, whatever happened to earlier ones, and measure latency from
 //! the planned time.
 use crate::client::{Call, CallKind, ConnectionPool, ConnectionUse};
-use crate::timing::{RunClock, ServiceTimes};
+use crate::timing::{MeasurementClock, ServiceTimes};
 use bytes::Bytes;
 use hyper::StatusCode;
 use rand::rngs::StdRng;
@@ -86,7 +86,7 @@
 pub async fn send(
     plan: LoadPlan,
     pools: Vec<Arc<ConnectionPool>>,
-    clock: RunClock,
+    clock: MeasurementClock,
 ) -> Vec<CallRecord> {
     let (records_sender, mut records_receiver) = unbounded_channel();
     let stop_on_drop = StopOnDrop::default();
@@ -123,7 +123,7 @@
 struct Pacer {
     plan: LoadPlan,
     pools: Vec<Arc<ConnectionPool>>,
-    clock: RunClock,
+    clock: MeasurementClock,
     runtime: Handle,
     records: UnboundedSender<CallRecord>,
     stopped: Arc<AtomicBool>,
@@ -214,7 +214,7 @@
 }
 
 impl PlannedCall {
-    async fn measure(self, pool: &ConnectionPool, clock: RunClock) -> CallRecord {
+    async fn measure(self, pool: &ConnectionPool, clock: MeasurementClock) -> CallRecord {
         let due_at = self.load_start + self.planned_at;
         let sent_at = clock.now();
         let response = pool.call(&self.call).await;
--- a/scale/src/report/growth/tests.rs
+++ b/scale/src/report/growth/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
-fn on_line(intercept: f64, per_hop: f64, hops: &[f64]) -> Vec<Sample> {
+fn on_line(at_depth_1: f64, per_hop: f64, hops: &[f64]) -> Vec<Sample> {
     hops.iter()
         .map(|&hops| Sample {
             hops,
-            log_attempts: (intercept * per_hop.powf(hops)).ln(),
+            log_attempts: (at_depth_1 * per_hop.powf(hops)).ln(),
         })
         .collect()
 }
--- a/scale/src/run/calls.rs
+++ b/scale/src/run/calls.rs
@@ -7,7 +7,7 @@
 use crate::experiment::{Calls, CallsSize};
 use crate::load::{send, LoadPlan};
 use crate::report::{CallsMeasurement, LoadMeasurement};
-use crate::timing::RunClock;
+use crate::timing::MeasurementClock;
 use bytes::Bytes;
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,7 +22,7 @@
     size: CallsSize,
     repeat: u32,
 ) -> Result<CallsMeasurement, ScaleError> {
-    let clock = RunClock::start();
+    let clock = MeasurementClock::start();
     let seed = context.seed(repeat);
     let mut chain = Chain::start(context, section, size, clock, seed).await?;
     let plan = load_plan(context, section, size, seed);
@@ -45,7 +45,7 @@
 fn load_plan(context: &Context, section: &Calls, size: CallsSize, seed: u64) -> LoadPlan {
     LoadPlan {
         calls_per_second: size.calls_per_second,
-        duration: context.warmup() + context.measure(),
+        duration: context.warmup() + context.evaluated_time(),
         read_fraction: section.get_percent / 100.0,
         new_connection_fraction: section.new_connection_percent / 100.0,
         body: Bytes::from(vec![b'.'; section.body_bytes as usize]),
@@ -59,7 +59,7 @@
     context: &Context,
     chain: &Chain,
     plan: &LoadPlan,
-    clock: RunClock,
+    clock: MeasurementClock,
 ) -> LoadMeasurement {
     let plan = LoadPlan {
         seed: plan.seed + DIRECT_SEED_OFFSET,
@@ -79,7 +79,7 @@
     async fn observe(context: &Context, chain: &Chain) -> Result<Window, ScaleError> {
         tokio::time::sleep(context.warmup()).await;
         let before = chain.snapshot()?;
-        tokio::time::sleep(context.measure()).await;
+        tokio::time::sleep(context.evaluated_time()).await;
         let after = chain.snapshot()?;
         Ok(Window { before, after })
     }
--- a/scale/src/run/chain.rs
+++ b/scale/src/run/chain.rs
@@ -9,7 +9,7 @@
 use crate::experiment::{Calls, CallsSize};
 use crate::machine::Usage;
 use crate::service::{ServiceCounters, ServiceInstance, ServiceSettings};
-use crate::timing::RunClock;
+use crate::timing::MeasurementClock;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
@@ -56,7 +56,7 @@
         context: &Context,
         section: &Calls,
         size: CallsSize,
-        clock: RunClock,
+        clock: MeasurementClock,
         seed: u64,
     ) -> Result<Chain, ScaleError> {
         let builder = ChainBuilder {
@@ -127,7 +127,7 @@
     context: &'a Context,
     section: &'a Calls,
     size: CallsSize,
-    clock: RunClock,
+    clock: MeasurementClock,
     seed: u64,
 }
 
--- a/scale/src/run/context.rs
+++ b/scale/src/run/context.rs
@@ -40,7 +40,7 @@
     }
 
     /// Length of the evaluated time of a measurement.
-    pub(super) fn measure(&self) -> Duration {
+    pub(super) fn evaluated_time(&self) -> Duration {
         Duration::from_secs_f64(self.experiment.measure_seconds)
     }
 
--- a/scale/src/run/control.rs
+++ b/scale/src/run/control.rs
@@ -86,7 +86,7 @@
         let bytes_before = traffic.bytes();
         let messages_before = traffic.messages();
         let started_at = Instant::now();
-        tokio::time::sleep(context.measure()).await;
+        tokio::time::sleep(context.evaluated_time()).await;
         let after = balancers.usages()?;
         let ended_at = Instant::now();
         let length = ended_at - started_at;
--- a/scale/src/run/control_balancers.rs
+++ b/scale/src/run/control_balancers.rs
@@ -70,7 +70,7 @@
             if started_at.elapsed() > WATCH_TIMEOUT {
                 let watching = registry.watchers();
                 return Err(ScaleError::NotReady {
-                    name: format!("only {watching} of {balancers} balancers watch discovery"),
+                    balancers: format!("only {watching} of {balancers} balancers watch discovery"),
                     seconds: WATCH_TIMEOUT.as_secs(),
                 });
             }
--- a/scale/src/service.rs
+++ b/scale/src/service.rs
@@ -1,7 +1,7 @@
 //! A stand-in for one instance of a service: cores, a queue, a service time, and calls to the next service.
 use crate::client::{Call, CallKind, ConnectionPool, ConnectionUse};
 use crate::server::{response, Server, StandInResponse};
-use crate::timing::{RunClock, ServiceTimes};
+use crate::timing::{MeasurementClock, ServiceTimes};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
@@ -71,7 +71,7 @@
     pub fn start(
         settings: ServiceSettings,
         counters: Arc<ServiceCounters>,
-        clock: RunClock,
+        clock: MeasurementClock,
         seed: u64,
     ) -> io::Result<ServiceInstance> {
         let state = Arc::new(State {
@@ -101,7 +101,7 @@
 struct State {
     settings: ServiceSettings,
     counters: Arc<ServiceCounters>,
-    clock: RunClock,
+    clock: MeasurementClock,
     cores: Semaphore,
     /// Calls that hold a core or wait for one.
     accepted: AtomicUsize,
--- a/scale/src/timing.rs
+++ b/scale/src/timing.rs
@@ -8,14 +8,14 @@
 
 /// A clock that the clients and services of one measurement of calls share.
 #[derive(Clone, Copy, Debug)]
-pub struct RunClock {
+pub struct MeasurementClock {
     started_at: Instant,
 }
 
-impl RunClock {
+impl MeasurementClock {
     /// A clock that starts now.
-    pub fn start() -> RunClock {
-        RunClock {
+    pub fn start() -> MeasurementClock {
+        MeasurementClock {
             started_at: Instant::now(),
         }
     }
--- a/scale/tests/stand_ins.rs
+++ b/scale/tests/stand_ins.rs
@@ -12,7 +12,7 @@
 use scale::load::{send, CallOutcome, CallRecord, LoadPlan};
 use scale::server::{response, Server};
 use scale::service::{ServiceCounters, ServiceInstance, ServiceSettings};
-use scale::timing::RunClock;
+use scale::timing::MeasurementClock;
 use serde_json::Value;
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -182,8 +182,8 @@
 
 fn start_service(settings: ServiceSettings) -> (ServiceInstance, Arc<ServiceCounters>) {
     let counters = Arc::new(ServiceCounters::default());
-    let instance =
-        ServiceInstance::start(settings, counters.clone(), RunClock::start(), 1).expect("starts");
+    let instance = ServiceInstance::start(settings, counters.clone(), MeasurementClock::start(), 1)
+        .expect("starts");
     (instance, counters)
 }
 
@@ -293,7 +293,7 @@
             seed: 1,
         };
         let pools = vec![Arc::new(ConnectionPool::new(server.address(), 1))];
-        let records = send(plan, pools, RunClock::start()).await;
+        let records = send(plan, pools, MeasurementClock::start()).await;
         assert!(
             records.len() >= SIMULTANEOUS_CALLS,
             "{} calls were planned",
