--- a/scale/src/discovery/registry.rs
+++ b/scale/src/discovery/registry.rs
@@ -38,7 +38,7 @@
     group: u16,
     state: EndpointState,
     weight: f64,
-    /// Milliseconds since the epoch; zero: long ago.
+    /// When the endpoint started, in milliseconds since the Unix epoch; 0 for an endpoint that started long ago.
     #[serde(rename = "started_ms")]
     started_at_ms: u64,
 }
@@ -99,7 +99,7 @@
     watchers: AtomicUsize,
 }
 
-/// A change that a delta can still be made of.
+/// A change in the history, from which deltas are built.
 struct RecentChange {
     version: u64,
     position: usize,
@@ -111,8 +111,9 @@
     history: VecDeque<RecentChange>,
     max_history: usize,
     version: u64,
-    changes: Vec<PublishedChange>,
-    /// Responses for the present version, by the version that they start from; none: snapshots.
+    /// All changes since the start, with their acknowledgements.
+    published_changes: Vec<PublishedChange>,
+    /// Responses for the present version. The key is the version that a delta starts from, or none for a snapshot.
     responses: HashMap<Option<u64>, Bytes>,
 }
 
@@ -124,7 +125,7 @@
             history: VecDeque::new(),
             max_history,
             version: FIRST_VERSION,
-            changes: Vec::new(),
+            published_changes: Vec::new(),
             responses: HashMap::new(),
         };
         Registry {
@@ -150,7 +151,7 @@
     /// Waits until the version differs from `since`, at most for `timeout`.
     pub async fn wait_for_change(&self, since: u64, timeout: Duration) {
         let mut versions = self.version.subscribe();
-        // A change and the timeout are answered alike.
+        // The result is ignored: a watch is answered in the same way after a change and after the timeout.
         let _ = tokio::time::timeout(timeout, versions.wait_for(|&version| version != since)).await;
     }
 
@@ -183,9 +184,9 @@
         }
         let mut state = self.lock_state();
         let position = |version: u64| version.saturating_sub(FIRST_VERSION) as usize;
-        let end = position(current).min(state.changes.len());
+        let end = position(current).min(state.published_changes.len());
         let start = position(previous).min(end);
-        for change in &mut state.changes[start..end] {
+        for change in &mut state.published_changes[start..end] {
             change
                 .acknowledged_after
                 .push(change.published_at.elapsed());
@@ -194,7 +195,7 @@
 
     /// All changes so far, the oldest first.
     pub fn published_changes(&self) -> Vec<PublishedChange> {
-        self.lock_state().changes.clone()
+        self.lock_state().published_changes.clone()
     }
 
     fn lock_state(&self) -> MutexGuard<'_, State> {
@@ -214,7 +215,7 @@
             self.history.pop_front();
         }
         self.responses.clear();
-        self.changes.push(PublishedChange {
+        self.published_changes.push(PublishedChange {
             published_at: Instant::now(),
             acknowledged_after: Vec::new(),
         });
--- a/scale/src/load.rs
+++ b/scale/src/load.rs
@@ -1,7 +1,7 @@
 //! Open-loop clients: they send calls at the planned times, whatever happened to earlier ones, and measure latency from
 //! the planned time.
 use crate::client::{Call, CallKind, ConnectionPool, ConnectionUse};
-use crate::timing::{RunClock, ServiceTimes};
+use crate::timing::{MeasurementClock, ServiceTimes};
 use bytes::Bytes;
 use hyper::StatusCode;
 use rand::rngs::StdRng;
@@ -86,7 +86,7 @@
 pub async fn send(
     plan: LoadPlan,
     pools: Vec<Arc<ConnectionPool>>,
-    clock: RunClock,
+    clock: MeasurementClock,
 ) -> Vec<CallRecord> {
     let (records_sender, mut records_receiver) = unbounded_channel();
     let stop_on_drop = StopOnDrop::default();
@@ -123,7 +123,7 @@
 struct Pacer {
     plan: LoadPlan,
     pools: Vec<Arc<ConnectionPool>>,
-    clock: RunClock,
+    clock: MeasurementClock,
     runtime: Handle,
     records: UnboundedSender<CallRecord>,
     stopped: Arc<AtomicBool>,
@@ -164,7 +164,7 @@
         });
     }
 
-    /// Returns whether the time came before the load was stopped.
+    /// Sleeps until this time. Returns false if the load was stopped before it.
     fn sleep_until(&self, time: Instant) -> bool {
         loop {
             if self.stopped.load(Ordering::Relaxed) {
@@ -207,14 +207,14 @@
 /// A call and its time in the plan.
 struct PlannedCall {
     call: Call,
-    /// The load's start on the run's clock.
+    /// The load's start on the measurement's clock.
     load_start: Duration,
     /// Time since the load's start.
     planned_at: Duration,
 }
 
 impl PlannedCall {
-    async fn measure(self, pool: &ConnectionPool, clock: RunClock) -> CallRecord {
+    async fn measure(self, pool: &ConnectionPool, clock: MeasurementClock) -> CallRecord {
         let due_at = self.load_start + self.planned_at;
         let sent_at = clock.now();
         let response = pool.call(&self.call).await;
