--- a/balancer-core/tests/poll_schedule.rs
+++ b/balancer-core/tests/poll_schedule.rs
@@ -14,9 +14,9 @@
 const QUEUE_TIMEOUT: f64 = 2000.0;
 /// Discovery rejects a call at once that would wait longer than this.
 const MAX_EXPECTED_WAIT: f64 = 2300.0;
-/// A replica gives up a call that has no response after this time.
+/// A replica abandons a call that has no response after this time.
 const CALL_TIMEOUT: f64 = 2800.0;
-/// A replica gives up a watch that has no response after this time.
+/// A replica abandons a watch that has no response after this time.
 const WATCH_TIMEOUT: f64 = 2500.0;
 /// Discovery holds a watch's call for this long if nothing changes.
 const LONG_POLL_TIMEOUT: f64 = 1500.0;
--- a/balancer/src/phase.rs
+++ b/balancer/src/phase.rs
@@ -8,8 +8,8 @@
     Starting,
     /// Serving.
     Serving,
-    /// Paused by operators: clients are sent away. Requests are still served, on connections that
-    /// close with their next response.
+    /// Paused by operators: the readiness check is answered with 503, idle client connections are
+    /// closed, and the others close with their next response. Requests are still served.
     Paused,
     /// Shutdown was requested: new connections are still accepted, and existing ones are served.
     ShutdownRequested,
--- a/balancer/src/telemetry/metrics.rs
+++ b/balancer/src/telemetry/metrics.rs
@@ -48,7 +48,7 @@
     TimedOut,
     /// The connection was idle, and a new connection needed its descriptor.
     Evicted,
-    /// The process shuts down, or clients are sent away.
+    /// The process shuts down, or operators have paused the balancer.
     Shutdown,
 }
 
