--- a/scale/tests/stand_ins.rs
+++ b/scale/tests/stand_ins.rs
@@ -235,23 +235,24 @@
             ..instant_service()
         });
         let pool = Arc::new(ConnectionPool::new(blocked.address(), 1));
-        let first = tokio::spawn({
-            let pool = pool.clone();
-            async move { pool.call(&order("waits forever")).await }
-        });
         let rejected = loop {
+            let first = tokio::spawn({
+                let pool = pool.clone();
+                async move { pool.call(&order("waits forever")).await }
+            });
             let call = Call {
                 timeout: Duration::from_millis(200),
                 ..order("second")
             };
-            match pool.call(&call).await {
-                Ok(response) => break response,
-                // This call entered the queue before the spawned call and timed out; the loop sends another.
-                Err(_) => tokio::task::yield_now().await,
+            let response = pool.call(&call).await;
+            first.abort();
+            // Without a response, this call probably entered the queue first and the spawned one was rejected, so that
+            // nothing fills the queue any more. Both are sent again.
+            if let Ok(response) = response {
+                break response;
             }
         };
         assert_eq!(rejected.status, StatusCode::SERVICE_UNAVAILABLE);
-        first.abort();
     });
 }
 
